--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -16,8 +16,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// sparseLoad runs a test on a host that sees a single request each three seconds, which may be sent once; one of its five targets is
-// slow, another one in each ten seconds.
+// sparseLoad runs a test on a host that gets one single, non-idempotent request every three seconds
+// and returns how many were answered in time. One of its five targets is slow, a different one
+// every ten seconds.
 func sparseLoad(t *testing.T, tellLoad bool, without ...gateway.Mechanism) (inTime int) {
 	o := options{without: without, changeTarget: func(c *platformtarget.Config) { c.TellLoad = tellLoad }}
 	run(t, o, func(t *testing.T, s *site) {
@@ -44,20 +45,21 @@
 
 const sparseRequests = 90
 
-// A host that sees few requests knows nothing of the load of targets at this moment: it asks two of them, and the slow one gets the
-// request only if it knows of no other.
+// A host with few requests has no current data on its targets' load. It queries two targets, so a
+// request gets to the slow one only if nothing better is known. Without load queries the slow
+// target gets requests at random.
 func TestLoadQueryAvoidsSlowTarget(t *testing.T) {
 	is := is.New(t)
 	is.True(sparseLoad(t, true) >= sparseRequests*97/100)
 	is.True(sparseLoad(t, true, gateway.LoadQueries) < sparseRequests*90/100)
-	is.True(sparseLoad(t, false) < sparseRequests*90/100) // nothing is told, so nothing is asked
+	is.True(sparseLoad(t, false) < sparseRequests*90/100) // without load reports nothing is queried
 }
 
-// Targets that don't answer the question hold the request up for a moment only.
+// Targets that don't answer load queries delay the request by the query's timeout at most.
 func TestUnansweredLoadQueryBarelyDelaysRequest(t *testing.T) {
 	run(t, options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // its answer tells the load
+		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
 			target.SilenceHealth(true)
 		}
@@ -69,10 +71,11 @@
 	})
 }
 
-// Where the connection of a request is the only one to its target, no question is sent over it: one that is not answered
-// would end the connection as the request takes it, and the request would be refused as "targets are busy".
+// If the only connection to a target is reserved for a request, no load query is sent over it. An
+// unanswered query would close the connection just as the request takes it, and the request would
+// be refused as "targets are busy".
 func TestLoadQueryLeavesLastConnectionToRequest(t *testing.T) {
-	const connections = 1 // of the host to each target
+	const connections = 1 // per target
 	var dialed atomic.Int32
 	o := options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}
 	o.dial = func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
@@ -83,7 +86,7 @@
 		is := is.New(t)
 		few := func(service *routing.Service) { service.MaxConnections = connections }
 		s.configureWith(2, few, s.defaultRoutes(1)...)
-		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // its answer tells the load
+		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
 			target.SilenceHealth(true)
 		}
--- a/internal/gateway/away_test.go
+++ b/internal/gateway/away_test.go
@@ -16,9 +16,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/discovery"
 )
 
-// Targets of three of four shards have ended and refuse connections; a connection to the fourth takes 6 ms. The query is given up
-// at once, as too few shards can answer. Nothing of it was sent to any target, and callers were told 502, that it may have run: after
-// a query had ended the targets of most shards, up to 223 queries that had reached no target were answered so.
+// Targets of three of four shards refuse connections, and connecting to the fourth takes 6 ms. The
+// query is abandoned at once, as too few shards can answer. The test guards against answering 502
+// (may have run) for a query of which nothing was sent: after a query had made the targets of most
+// shards end, up to 223 queries that had reached no target were answered so.
 func TestUnsentQueryIsReportedAsNotRun(t *testing.T) {
 	run(t, options{services: 4, dial: dialOnly("s3")}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -31,7 +32,8 @@
 	})
 }
 
-// The same where the shards are gathered by two hosts: the other one says what became of its part before the caller is told.
+// The same where two hosts gather the shards: the helper reports the outcome of its cell before the
+// caller is answered.
 func TestUnsentDividedQueryIsReportedAsNotRun(t *testing.T) {
 	withCells(t, helperHealthy, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -45,7 +47,8 @@
 	})
 }
 
-// dialOnly returns a dial of the targets of one service, whose connections take 6 ms; all others refuse them.
+// dialOnly returns a dial function that connects to the targets of one service after 6 ms and
+// refuses all others.
 func dialOnly(service string) dialFunc {
 	return func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
 		if !strings.HasPrefix(address, service) {
@@ -60,8 +63,8 @@
 	}
 }
 
-// A request waits for a connection to a target when its failure domain is evacuated: it goes to a target elsewhere, and the one
-// that is evacuated is not found guilty of anything.
+// The failure domain of a target is evacuated while a request waits for a connection to it. The
+// request goes to a target in another domain, and the evacuated target's health is not affected.
 func TestWaitingRequestLeavesEvacuatedTarget(t *testing.T) {
 	var log bytes.Buffer
 	run(t, options{log: &log}, func(t *testing.T, s *site) {
@@ -76,7 +79,7 @@
 		time.AfterFunc(10*time.Millisecond, func() {
 			s.state.ApplyEvacuations(discovery.EvacuationRead{Domains: []string{domain}, Revision: at(100)}, time.Now())
 		})
-		got := s.get("/once/x", "q") // it is not idempotent, and has not been sent yet
+		got := s.get("/once/x", "q") // not idempotent, and not sent yet
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(s.targets["s0-t0"].Arrived(), 0)
 		is.Equal(s.targets["s0-t1"].Arrived(), 1)
@@ -84,7 +87,7 @@
 	})
 }
 
-// The same of requests to one target: the connection opens only after the caller's time is over.
+// The same for single requests: the connection opens only after the request's deadline.
 func TestRequestWithSlowConnectIsReportedAsNotRun(t *testing.T) {
 	slow := func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
 		time.Sleep(3 * time.Second)
--- a/internal/gateway/broken_test.go
+++ b/internal/gateway/broken_test.go
@@ -13,7 +13,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// logLine is what the tests read of a log logLine.
+// logLine has the fields of a log line that the tests read.
 type logLine struct {
 	Event   int    `json:"event"`
 	Request string `json:"request"`
@@ -21,7 +21,7 @@
 	Target  string `json:"target"`
 }
 
-// eventLines returns the lines of one event.
+// eventLines returns the log lines of an event.
 func eventLines(is *is.I, log *bytes.Buffer, event int) []logLine {
 	is.Helper()
 	var all []logLine
@@ -40,8 +40,8 @@
 	eventUnreachable    = 11009
 )
 
-// A caller's attempts at the same thing can be told from all others by the lines of the
-// connections that broke off under them.
+// The log lines about lost connections have a content id, by which a caller's repeated requests for
+// the same thing can be told from all others.
 func TestConnectionLossLinesShareContentID(t *testing.T) {
 	var log bytes.Buffer
 	run(t, options{log: &log, without: []gateway.Mechanism{gateway.Retries}}, func(t *testing.T, s *site) {
@@ -58,14 +58,14 @@
 	})
 }
 
-// That a target takes no more connections is told once, and again after it did.
+// An unreachable target is logged once, and again only after it was reachable.
 func TestUnreachableTargetIsLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	run(t, options{log: &log}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		is.NoErr(s.servers[1].Close()) // of the first target
+		is.NoErr(s.servers[1].Close()) // server of the first target
 		for range 20 {
-			s.getConcurrently(6, "r") // at once, so that each target gets work
+			s.getConcurrently(6, "r") // concurrently, so that each target gets requests
 			time.Sleep(100 * time.Millisecond)
 		}
 		lines := eventLines(is, &log, eventUnreachable)
--- a/internal/gateway/cells_test.go
+++ b/internal/gateway/cells_test.go
@@ -15,9 +15,9 @@
 
 const otherDomain = "new-town"
 
-// withCells runs a test on a site with eight shards: the first four have their targets in
-// the gateway's failure domain, the others in another, where a helper stands. Both have
-// wide links.
+// withCells runs a test on a site with eight shards: the first four have their targets in the
+// gateway's failure domain, the others in another domain, which has a helper. Both hosts have wide
+// links.
 func withCells(t *testing.T, fault helperFault, link uint32, test func(t *testing.T, s *site, f *fakeHelpers), without ...gateway.Mechanism) {
 	f := &fakeHelpers{fault: fault}
 	near := member.Host{ID: "n", FailureDomain: domain, State: member.Alive, LinkMbps: wideMbps}
@@ -39,8 +39,8 @@
 	run(t, o, func(t *testing.T, s *site) { test(t, s, f) })
 }
 
-// Each shard is asked from the failure domain of its targets, and the answers of both
-// hosts are one.
+// Each shard is requested from a host in the failure domain of its targets, and the results of both
+// hosts are merged.
 func TestQueryIsDividedOverFailureDomains(t *testing.T) {
 	withCells(t, helperHealthy, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -55,7 +55,7 @@
 	})
 }
 
-// A host with a narrow link leaves every shard to another host, each to one in its domain.
+// A host with a narrow link delegates every shard to a host in the failure domain of its targets.
 func TestNarrowHostDividesItsQuery(t *testing.T) {
 	withCells(t, helperHealthy, narrowMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -65,7 +65,7 @@
 	})
 }
 
-// A straggler in either half is left out in time.
+// Slow shards in either cell are left out in time.
 func TestDividedQueryLeavesOutStragglersInTime(t *testing.T) {
 	withCells(t, helperHealthy, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -78,8 +78,8 @@
 	})
 }
 
-// Parts that the answer cannot do without are waited for past the objective, wherever
-// they are gathered.
+// If the answer lacks parts that it needs, it waits for them past the objective, whichever host
+// gathers them.
 func TestDividedQueryWaitsForMinShare(t *testing.T) {
 	withCells(t, helperHealthy, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -93,18 +93,19 @@
 	}, gateway.BoundedWork, gateway.Hedges)
 }
 
-// A half whose host dies with it is missing, and no shard of it is asked again.
+// If a helper is lost after the go-ahead, the shards of its cell are missing and are not requested
+// again.
 func TestShardsOfDeadHelperAreMissing(t *testing.T) {
 	withCells(t, helperDiesLate, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
 		a := s.get("/all/x", "r1")
-		is.Equal(a.status, http.StatusOK) // half is enough
+		is.Equal(a.status, http.StatusOK) // half of the parts are enough
 		is.Equal(a.header.Get(platform.HeaderMissing), "4")
 		is.Equal(s.runs("r1"), 8)
 	})
 }
 
-// Parts that a helper has told stay when it is lost.
+// Parts that a helper has reported are kept when it is lost.
 func TestPartialResultOfLostHelperIsKept(t *testing.T) {
 	withCells(t, helperDiesDue, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -118,7 +119,7 @@
 	}, gateway.BoundedWork, gateway.Hedges)
 }
 
-// Once too many parts are lost the caller is told at once.
+// The caller is answered as soon as too many parts are lost.
 func TestDividedQueryThatCannotSucceedEndsAtOnce(t *testing.T) {
 	withCells(t, helperHealthy, wideMbps, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -20,14 +20,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// Cold targets of the tests bear eight requests a second from this host.
+// Settings of cold targets in the tests.
 const (
 	permittedPerSecond = 8
 	coldDuration       = 3 * time.Second
-	startupDelay       = 1200 * time.Millisecond // until a process may send to cold targets
+	startupDelay       = 1200 * time.Millisecond // longer than coldStartupDelay
 )
 
-// coldSite is a site whose targets of service s0 are cold for a time from now on. Targets with a permit bear requests of this host.
+// coldSite makes the targets of service s0 cold. This host has permits for the permitted ones.
 func coldSite(s *site, permitted ...string) {
 	s.configureCold(2, s.defaultRoutes(1)...)
 	time.Sleep(startupDelay)
@@ -37,7 +37,7 @@
 	s.makeCold("s0-t0", "s0-t1")
 }
 
-// makeCold makes targets cold, as they and their registrations say.
+// makeCold makes targets cold, in their responses and in their registrations.
 func (s *site) makeCold(ids ...string) {
 	for _, id := range ids {
 		s.targets[id].GoCold(coldDuration)
@@ -45,7 +45,7 @@
 	}
 }
 
-// refuseConnections lets targets refuseConnections connections until back is called.
+// refuseConnections makes targets refuse connections until back is called.
 func (s *site) refuseConnections(addresses ...string) (back func()) {
 	down := true
 	s.setDial(func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
@@ -57,14 +57,15 @@
 	return func() { down = false }
 }
 
-// configureCold is configure where cold targets of each service bear requests.
+// configureCold is configure with a limit on the requests to cold targets of each service.
 func (s *site) configureCold(version uint64, routes ...routing.Route) {
 	s.configureWith(version, func(service *routing.Service) {
 		service.ColdFor, service.ColdPerSecond = coldDuration, 10
 	}, routes...)
 }
 
-// sendConcurrently sends requests at the same moment, and returns how they ended.
+// sendConcurrently sends n requests at the same time, and returns the number of answers by status
+// and the longest latency.
 func (s *site) sendConcurrently(n int, path string) (statuses map[int]int, slowest time.Duration) {
 	var done sync.WaitGroup
 	answers := make([]answer, n)
@@ -80,17 +81,17 @@
 	return statuses, slowest
 }
 
-// Every target of a service is cold, and this host may send to one of them: it gets its part and no more, the most urgent kind first; the
-// others are told at once to come back.
+// All targets of a service are cold, and this host has a permit for one of them. It sends no more
+// than the permit allows, the more urgent requests first, and refuses the others at once.
 func TestColdTargetStaysWithinPermit(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		routes := s.defaultRoutes(1)
-		routes[1].Rank = 3 // /once/ is less urgent than /one/
+		routes[1].Rank = 3 // less urgent than /one/
 		coldSite(s, "s0-t0")
 		s.configureCold(3, routes...)
 		statuses, slowest := s.sendConcurrently(20, "/once/x")
-		is.Equal(statuses[http.StatusOK], 6) // a third is kept for what is more urgent
+		is.Equal(statuses[http.StatusOK], 6) // a third is reserved for more urgent requests
 		is.Equal(statuses[http.StatusServiceUnavailable], 14)
 		is.True(slowest < 100*time.Millisecond)
 		statuses, _ = s.sendConcurrently(20, "/one/x")
@@ -101,11 +102,11 @@
 		time.Sleep(coldDuration)
 		statuses, _ = s.sendConcurrently(permittedPerSecond, "/one/x")
 		statuses2, _ := s.sendConcurrently(permittedPerSecond, "/one/x")
-		is.Equal(statuses[http.StatusOK]+statuses2[http.StatusOK], 2*permittedPerSecond) // warm
+		is.Equal(statuses[http.StatusOK]+statuses2[http.StatusOK], 2*permittedPerSecond) // no longer cold
 	})
 }
 
-// A request whose time allows waits for the next second of a cold target.
+// A request with enough time left waits until the permit allows the next one.
 func TestRequestWaitsForAColdTarget(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -118,7 +119,8 @@
 	})
 }
 
-// A process that has just started sends nothing to cold targets for a second: the one before it may just have.
+// A process sends nothing to cold targets during the first second, as the previous process on the
+// host may just have used the permit.
 func TestColdTargetsGetNothingDuringStartupDelay(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -133,7 +135,8 @@
 	})
 }
 
-// Connections take longer than a second to come, all at once then: what is sent is counted as it is sent.
+// Connections are slow and open all at once. Requests must count against the permit when they are
+// sent, not when they choose the target.
 func TestColdTargetStaysWithinPermitWithSlowConnections(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -152,7 +155,8 @@
 	})
 }
 
-// restartCold lets s0-t0, which this host has a permit for, take no connection for a moment and be cold after it.
+// restartCold makes s0-t0, for which this host has a permit, refuse connections for a moment and be
+// cold after that.
 func restartCold(s *site) {
 	s.configureCold(2, s.defaultRoutes(1)...)
 	s.state.ApplyPermits([]discovery.Permit{{Target: "s0-t0", Hosts: []string{"h"}, Each: permittedPerSecond}})
@@ -163,7 +167,8 @@
 	s.targets["s0-t0"].GoCold(coldDuration)
 }
 
-// A target that took no connection is back under its id before its registration says so: it may be cold.
+// A target that refused connections accepts them again before its new registration arrives. It may
+// be cold.
 func TestUnreachableTargetMayHaveRestartedCold(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -177,7 +182,8 @@
 	})
 }
 
-// A target that has started again tells a host that it is cold before its registration does. What it got until then counts.
+// A restarted target reports to a host that it is cold before its registration does. Requests sent
+// before the registration count against the permit.
 func TestColdTargetStaysWithinPermitWithLateRegistration(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -194,7 +200,8 @@
 	})
 }
 
-// A target that took no connection for a while and says that it is not cold is used at once.
+// A target that refused connections for a while and then reports that it is not cold is used at
+// once.
 func TestUnreachableTargetIsQueriedForWarmup(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -202,7 +209,7 @@
 		back := s.refuseConnections("s0-t0:80", "s0-t1:80")
 		s.sendConcurrently(6, "/one/x")
 		back()
-		time.Sleep(500 * time.Millisecond) // until they are tried again
+		time.Sleep(500 * time.Millisecond) // until connecting is tried again
 		for range 5 {
 			s.sendConcurrently(4, "/one/x")
 		}
@@ -211,7 +218,7 @@
 	})
 }
 
-// Where a service does not say what its cold targets bear they are used at once.
+// If a service has no limit for cold targets, they are used without one.
 func TestColdTargetsWithoutLimitAreUsed(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -221,7 +228,7 @@
 	})
 }
 
-// What is cold and has no permit is named to whoever writes them, with the hosts that work for it.
+// Cold targets without a permit are reported with the hosts that send requests to them.
 func TestColdTargetsWithoutPermitAreReported(t *testing.T) {
 	var log bytes.Buffer
 	run(t, options{log: &log}, func(t *testing.T, s *site) {
--- a/internal/gateway/deliver_test.go
+++ b/internal/gateway/deliver_test.go
@@ -14,8 +14,8 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Each kind of answer must stand in the records as what it was: the route, the
-// outcome, why it was no whole answer, and how much of the data it covered.
+// Each kind of answer is recorded with its route, its outcome, the reason why it is not complete,
+// and its coverage.
 func TestEveryAnswerIsRecorded(t *testing.T) {
 	hang := platformtarget.Faults{Silent: true}
 	cases := map[string]struct {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -14,11 +14,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// domains of the targets under test; hosts may stand in others.
+// testDomains are the failure domains of the targets; hosts may be in others.
 var testDomains = []string{"salt-lake", "new-town", "park-circus"}
 
-// registryOf returns the fleet of one host of a site with one service of three
-// targets, one a domain.
+// registryOf returns the service registry of one host of a site that has one service with a target
+// in each of testDomains.
 func registryOf(host, domain string, hosts, connections int) *serviceRegistry {
 	f := newServiceRegistry(DefaultConfig(), host, domain, func() int { return hosts })
 	v := discovery.View{Table: routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", MaxConnections: connections}}})}
@@ -36,7 +36,7 @@
 	}
 }
 
-// Hosts of a failure domain without targets spread over all targets.
+// Hosts in a failure domain without targets spread over all targets.
 func TestHostsWithoutTargetsInTheirDomainSpread(t *testing.T) {
 	is := is.New(t)
 	const hosts = 30
@@ -56,8 +56,8 @@
 	}
 }
 
-// A target must not be overrun by connections: those that the hosts asking it
-// first keep, and those that died with their hosts, fit in its limit.
+// The connections that preferring hosts keep open to a target, and those left over from hosts that
+// died, must stay within the target's limit.
 func TestConnectionsFitInTheLimitOfATarget(t *testing.T) {
 	for _, site := range []struct{ hosts, connections int }{{7, 26}, {9, 31}, {71, 68}, {75, 70}, {300, 300}} {
 		t.Run(fmt.Sprintf("%d hosts", site.hosts), func(t *testing.T) {
@@ -66,7 +66,7 @@
 			s := f.connectionLimits(f.view, "s", len(testDomains), 1/float64(site.hosts))
 			home := min(s.preferred, 4) * ((site.hosts + 2) / 3) // hosts of one domain
 			is.True(home <= site.connections)
-			if s.idleTimeout == 0 { // then the others keep theirs as well
+			if s.idleTimeout == 0 { // the other hosts keep idle connections as well
 				is.True(home+s.other*(site.hosts-site.hosts/3) <= site.connections*3/2)
 			}
 		})
@@ -83,7 +83,7 @@
 	f.resize()
 	after := f.connectionLimits(f.view, "s", 3, f.weight("s"))
 	is.True(after.other < before.other)
-	hosts = 7 // those that are away may be back at any time
+	hosts = 7 // the limits must not grow, as the other hosts may return at any time
 	is.Equal(f.hostCount(), 70)
 }
 
@@ -93,18 +93,18 @@
 	home := &target{preferred: true, health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
 	other := &target{health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
 	is.True(home.cost(now) < other.cost(now))
-	home.inFlight = 6 // a queue of three times its slots, though, costs more than the way
+	home.inFlight = 6 // a queue of three times its slots outweighs the distance
 	is.True(home.cost(now) > other.cost(now))
 }
 
-// While another attempt is in flight its answer must not wait for a repeat that
-// finds no free target.
+// While another attempt is in flight, its answer must not be delayed by a retry that finds no free
+// target.
 func TestRetryDoesNotDelayAnswerInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := registryOf("h", "salt-lake", 7, 26).service("s")
 		for _, target := range s.targets {
-			target.pool.SetLimit(0) // no connection is free
+			target.pool.SetLimit(0) // no free connection
 		}
 		route := &routing.Route{Idempotent: true, MaxAttempts: 3, Objective: 100 * time.Millisecond}
 		r := (&Gateway{}).newRun(s, &request{deadline: time.Now().Add(time.Second)}, route)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, options{}, func(t *testing.T, s *site) {
 				is := is.New(t)
-				for i := range 40 { // earns the budget of further attempts
+				for i := range 40 { // earns retry budget
 					is.Equal(s.get("/one/x", fmt.Sprintf("w%d", i)).status, http.StatusOK)
 				}
 				s.faults("s0-t0", f)
@@ -80,7 +80,7 @@
 				is := is.New(t)
 				s.faults("s0", f)
 				a := s.get("/once/x", "r1")
-				is.Equal(a.status, http.StatusBadGateway) // nothing is promised
+				is.Equal(a.status, http.StatusBadGateway) // the request may have run
 				is.Equal(a.header.Get("Retry-After"), "")
 				is.Equal(s.runs("r1"), 1)
 			})
@@ -111,14 +111,14 @@
 				is.NoErr(err)
 				is.True(after > 0 && after < 1)
 				is.Equal(s.runs("r1"), 0)
-				is.True(a.took < objective/4) // at once
+				is.True(a.took < objective/4) // without a wait
 			})
 		})
 	}
 }
 
-// TestPromisesUnderFaults sends requests through any mix of faults and holds
-// each answer to what the targets saw.
+// TestPromisesUnderFaults sends requests under random combinations of faults and checks each answer
+// against the requests that the targets ran.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.Custom(func(t *rapid.T) platformtarget.Faults {
@@ -139,14 +139,14 @@
 			for i, path := range paths {
 				id := fmt.Sprintf("r%d", i)
 				a := s.get(path, id)
-				time.Sleep(2 * time.Second) // whatever runs late has run
+				time.Sleep(2 * time.Second) // attempts still in flight have ended
 				s.checkPromises(t, path, id, a)
 			}
 		})
 	})
 }
 
-// checkPromises holds an answer to what the targets saw.
+// checkPromises checks an answer against the requests that the targets ran.
 func (s *site) checkPromises(t *testing.T, path, id string, a answer) {
 	t.Helper()
 	ran := s.runs(id)
@@ -171,7 +171,7 @@
 	}
 }
 
-// checkMerged holds a merged answer to its parts.
+// checkMerged checks a merged answer against its parts.
 func (s *site) checkMerged(t *testing.T, id string, a answer) {
 	t.Helper()
 	var bodies []byte
@@ -207,7 +207,7 @@
 	})
 }
 
-// Extra attempts are bounded by what the first ones earn, whatever fails.
+// Extra attempts stay within the retry budget that first attempts earn, even if all attempts fail.
 func TestExtraAttemptsStayWithinBudget(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -239,7 +239,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, target := range s.targets {
 				for _, r := range target.Runs() {
-					is.True(r.Cancelled) // within half a second
+					is.True(r.Cancelled) // required within half a second, checked after 100 ms
 				}
 			}
 			is.True(s.runs(id) > 0)
@@ -252,14 +252,14 @@
 		is := is.New(t)
 		is.Equal(s.get("/none/x", "r1").status, http.StatusNotFound)
 		time.Sleep(gateway.DefaultConfig().FreshFor.Std() + time.Millisecond)
-		a := s.get("/none/x", "r2") // the configuration may be old
+		a := s.get("/none/x", "r2") // the configuration may be out of date
 		is.Equal(a.status, http.StatusServiceUnavailable)
 		is.True(a.header.Get("Retry-After") != "")
 		is.Equal(s.get("/one/x", "r3").status, http.StatusOK)
 	})
 }
 
-// A target would see the path as it was sent, and so must the choice of route.
+// A target receives the path in its escaped form, so routes must be matched against that form.
 func TestRouteIsChosenByThePathAsItWasSent(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -307,7 +307,7 @@
 	})
 }
 
-// Broken framing reaches the gateway as bytes, past any client library.
+// Malformed requests are sent as raw bytes, since HTTP client libraries refuse to send them.
 func TestBrokenFramingRunsNothing(t *testing.T) {
 	const head = "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r1\r\n"
 	cases := map[string]string{
@@ -367,12 +367,12 @@
 		a := s.get("/one/x", "r1")
 		is.Equal(a.header.Get("Connection"), "")
 		s.life.Advance(kernel.Leaving)
-		a = s.get("/one/x", "r2") // served, but on this connection no more
+		a = s.get("/one/x", "r2") // answered, and then the connection is closed
 		is.Equal(a.status, http.StatusOK)
 	})
 }
 
-// A host that knows routes but no targets would refuse every caller.
+// A host with routes but no targets would refuse every request, so it must not be ready.
 func TestHostIsReadyOnceItKnowsConfigurationAndTargets(t *testing.T) {
 	is := is.New(t)
 	state, life := discovery.NewState(), kernel.NewLifecycle()
@@ -381,9 +381,9 @@
 	is.True(g.Ready() != nil)
 	state.ApplyConfig(discovery.ConfigRead{Config: routing.Config{Version: 1}, Found: true, Revision: at(1)}, time.Now())
 	is.True(g.Ready() != nil)
-	state.ApplyTargets(discovery.TargetList{Revision: at(1)}, time.Now()) // also if there are none
+	state.ApplyTargets(discovery.TargetList{Revision: at(1)}, time.Now()) // an empty list suffices
 	is.NoErr(g.Ready())
 }
 
-// at returns a revision of a store that tells no era.
+// at returns a revision of a store without eras.
 func at(number uint64) revision.Revision { return revision.Revision{Number: number} }
--- a/internal/gateway/gather_bench_test.go
+++ b/internal/gateway/gather_bench_test.go
@@ -21,11 +21,11 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// benchShards is how many shards the query of the benchmark has.
+// benchShards is the number of shards of the benchmark's query.
 const benchShards = 90
 
-// cannedTarget answers every request on a loopback address with the same part, as
-// cheaply as can be, and returns the address.
+// cannedTarget starts a server that answers every request with the same part at minimum cost, and
+// returns its loopback address.
 func cannedTarget(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,8 +60,8 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkGather gathers a query of 90 shards over loopback connections. The targets'
-// own work is in it, about a third.
+// BenchmarkGather gathers a query of 90 shards over loopback connections. The result includes the
+// targets' own work, about a third of it.
 func BenchmarkGather(b *testing.B) {
 	state := discovery.NewState()
 	life := kernel.NewLifecycle()
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -11,8 +11,8 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// answeredAfter returns what callers of paths get, and when, if the machine is suspended for a time
-// 20 ms after they asked.
+// answeredAfter returns the answers to requests for paths, if the machine is suspended for a time
+// 20 ms after they were sent.
 func answeredAfter(s *site, asleep time.Duration, paths ...string) []answer {
 	got := make(chan answer, len(paths))
 	for _, path := range paths {
@@ -27,8 +27,8 @@
 	return all
 }
 
-// The machine is suspended while requests wait for silent targets: their time is over when it goes
-// on, and they are answered at once, though their timers have most of it left.
+// The machine is suspended while requests wait for silent targets, and their deadlines pass. When
+// it resumes they must be answered at once, though most of the time on their timers is left.
 func TestOverdueRequestsAreAnsweredAfterSuspension(t *testing.T) {
 	run(t, options{services: 3}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -36,45 +36,44 @@
 			s.faults(service, platformtarget.Faults{Silent: true})
 		}
 		for _, a := range answeredAfter(s, 5*time.Second, "/one/x", "/once/x", "/all/x") {
-			is.Equal(a.status, http.StatusGatewayTimeout) // they may have run
+			is.Equal(a.status, http.StatusGatewayTimeout) // may have run
 			is.True(a.took < 150*time.Millisecond)
 		}
 	})
 }
 
-// A short suspension ends no request whose time is not over.
+// A short suspension ends no request whose deadline has not passed.
 func TestShortSuspensionEndsNoRequest(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		s.faults("s0", platformtarget.Faults{Slow: 20}) // 200 of 600 ms
+		s.faults("s0", platformtarget.Faults{Slow: 20}) // takes 200 of 600 ms
 		is.Equal(answeredAfter(s, 100*time.Millisecond, "/one/x")[0].status, http.StatusOK)
 	})
 }
 
-// The time of a request goes on while the machine is suspended: what is left of it counts from when it
-// came.
+// The time limit of a request includes the time during which the machine is suspended.
 func TestSuspensionCountsTowardsDeadline(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Silent: true})
-		a := answeredAfter(s, 300*time.Millisecond, "/one/x")[0] // 300 of 600 ms
+		a := answeredAfter(s, 300*time.Millisecond, "/one/x")[0] // of 600 ms
 		is.Equal(a.status, http.StatusGatewayTimeout)
 		is.True(a.took >= 290*time.Millisecond && a.took <= 310*time.Millisecond)
 	})
 }
 
-// A request that comes after the machine has gone on has all of its time.
+// A request that arrives after the machine has resumed has its full time limit.
 func TestRequestAfterSuspensionHasFullTimeout(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Slow: 20})
 		s.suspend(time.Minute)
-		is.Equal(s.get("/one/x", "r1").status, http.StatusOK) // before it was noticed
+		is.Equal(s.get("/one/x", "r1").status, http.StatusOK) // sent before the suspension is noticed
 	})
 }
 
-// What a host believed before a suspension is as old as it is: a route that it does not know may have
-// been added meanwhile.
+// The age of the configuration includes a suspension: a route that it lacks may have been added
+// meanwhile.
 func TestUnknownRouteAfterASuspensionIsRefusedAsNotRun(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -86,7 +85,7 @@
 	})
 }
 
-// A host that gathers for another one ends what it held over a suspension, too.
+// A host that gathers for another one also ends queries whose deadline passed during a suspension.
 func TestHelperEndsOverdueQueryAfterSuspension(t *testing.T) {
 	withHelper(t, helperHealthy, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
--- a/internal/gateway/helper_test.go
+++ b/internal/gateway/helper_test.go
@@ -18,37 +18,37 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// narrowMbps and wideMbps are link rates: the answers of a query of the tests occupy a
-// narrowMbps one for more than a twentieth of the objective.
+// Link rates in Mbit/s. The parts of a query in the tests occupy the narrow link for more than a
+// twentieth of the objective.
 const (
 	narrowMbps = 1
 	wideMbps   = 100
 )
 
-// helperFault is how a helper of the tests fails.
+// helperFault is the way in which a helper fails.
 type helperFault uint8
 
 const (
 	helperHealthy helperFault = iota
 	helperSilent
 	helperRefuses  // the query certainly did not run
-	helperMute     // gathers the query, but nothing that it says arrives
-	helperFreezes  // after it has taken the query
-	helperEmpty    // knows no targets
-	helperDiesLate // takes the query and asks the targets, but never answers
-	helperDiesDue  // tells what it has when the answer is due, and dies
+	helperMute     // gathers the query, but none of its messages arrive
+	helperFreezes  // hangs after it has accepted the query
+	helperEmpty    // has no targets
+	helperDiesLate // accepts the query and sends it to the targets, but never answers
+	helperDiesDue  // reports a partial result when the answer is due, and dies
 )
 
 var errHelper = errors.New("helper failed")
 
-// fakeHelpers calls a gateway directly, with a hop's delay.
+// fakeHelpers calls a gateway directly, with the delay of a network hop.
 type fakeHelpers struct {
 	gateway *gateway.Gateway
 	fault   helperFault
 
 	mu     sync.Mutex
 	calls  int
-	shards int // of the newest query
+	shards int // of the latest query
 }
 
 func (f *fakeHelpers) count(shards int) {
@@ -111,12 +111,12 @@
 	return got, ctx.Err()
 }
 
-// withHelper runs a test on a site whose gateway has a narrow link and one helper.
+// withHelper runs a test on a site with four shards whose gateway has a narrow link and one helper.
 func withHelper(t *testing.T, fault helperFault, test func(t *testing.T, s *site, f *fakeHelpers)) {
 	withHelperOver(t, 4, fault, test)
 }
 
-// withHelperOver is withHelper on a site with a number of shards.
+// withHelperOver is withHelper with a given number of shards.
 func withHelperOver(t *testing.T, shards int, fault helperFault, test func(t *testing.T, s *site, f *fakeHelpers)) {
 	f := &fakeHelpers{fault: fault}
 	helper := member.Host{ID: "w", FailureDomain: domain, State: member.Alive, LinkMbps: wideMbps}
@@ -143,12 +143,12 @@
 		is.Equal(f.calls, 1)
 		is.Equal(s.runs("r1"), 4) // each shard once
 		is.True(a.took < 2*targetLatency)
-		s.get("/one/x", "r2") // one target's answer is left where it is
+		s.get("/one/x", "r2") // single requests are not delegated
 		is.Equal(f.calls, 1)
 	})
 }
 
-// What a helper leaves out for the objective is left out in time for the caller.
+// A helper leaves out a slow shard early enough for the caller's objective.
 func TestHelperLeavesOutTheStragglerInTime(t *testing.T) {
 	withHelper(t, helperHealthy, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -160,8 +160,8 @@
 	})
 }
 
-// A helper that is silent or refuses costs a few milliseconds: this host gathers
-// the query, and sends the helper none for a while.
+// A helper that is silent or refuses costs a few milliseconds: this host gathers the query itself,
+// and delegates nothing to the helper for a while.
 func TestLostHelperCostsLittle(t *testing.T) {
 	for name, fault := range map[string]helperFault{"silent": helperSilent, "refuses": helperRefuses} {
 		t.Run(name, func(t *testing.T) {
@@ -177,25 +177,25 @@
 				f.fault = helperHealthy
 				time.Sleep(2 * time.Second)
 				checkWholeAnswer(is, s.get("/all/x", "r3"))
-				is.Equal(f.calls, 2) // tried again
+				is.Equal(f.calls, 2) // the helper is tried again
 			})
 		})
 	}
 }
 
-// A helper that dies after it was told to go on may have sent all attempts that the
-// route allows, so its query ends, as one that may have run.
+// A helper that dies after the go-ahead may have made all attempts that the route allows. The query
+// ends as one that may have run, and is not gathered again.
 func TestQueryOfDeadHelperIsNotGatheredAgain(t *testing.T) {
 	withHelper(t, helperDiesLate, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
 		is.Equal(s.get("/all/x", "r1").status, http.StatusBadGateway)
 		is.Equal(s.runs("r1"), 4)
-		checkWholeAnswer(is, s.get("/all/x", "r2")) // gathered here
+		checkWholeAnswer(is, s.get("/all/x", "r2")) // gathered by this host
 	})
 }
 
-// A helper whose word is lost gathers beside this host: together they ask no shard
-// more often than the route allows, however late the targets are.
+// If a helper's messages are lost, it gathers the query concurrently with this host. Together they
+// must not exceed the route's maximum attempts per shard, however slow the targets are.
 func TestMuteHelperAndOwnAttemptsRespectMaxAttempts(t *testing.T) {
 	withHelper(t, helperMute, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -204,13 +204,13 @@
 		}
 		s.get("/all/x", "r1")
 		time.Sleep(time.Second)
-		is.True(s.runs("r1") > 4)  // both asked
+		is.True(s.runs("r1") > 4)  // both hosts sent the query
 		is.True(s.runs("r1") <= 8) // two targets of each of four shards
 	})
 }
 
-// A host cut off after it got the query may have run it: that the own attempts were
-// all refused does not make it one that has not run.
+// A helper that is cut off after it received the query may have run it. That all attempts of this
+// host were rejected must not turn the answer into "did not run".
 func TestQueryPossiblyRunByMuteHelperIsNotReportedAsNotRun(t *testing.T) {
 	withHelperOver(t, 1, helperMute, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -225,19 +225,19 @@
 	})
 }
 
-// A helper that freezes after it took a query answers never: the caller is told when
-// its time is over.
+// A helper that freezes after it accepted a query never answers: the caller is answered at the
+// deadline.
 func TestQueryOfAFrozenHelperEndsInTime(t *testing.T) {
 	withHelper(t, helperFreezes, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
 		a := s.get("/all/x", "r1")
 		is.Equal(a.status, http.StatusGatewayTimeout)
 		is.Equal(a.took, timeout)
-		checkWholeAnswer(is, s.get("/all/x", "r2")) // the helper is set aside
+		checkWholeAnswer(is, s.get("/all/x", "r2")) // the helper gets no queries for a while
 	})
 }
 
-// A helper that has just started and knows no targets leaves the query to this host.
+// A query is gathered by this host if the helper has just started and has no targets.
 func TestQueryOfAHelperWithoutTargetsIsGatheredHere(t *testing.T) {
 	withHelper(t, helperEmpty, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
@@ -246,7 +246,7 @@
 	})
 }
 
-// The caller's leave ends the attempts of the helper.
+// A disconnect of the caller cancels the helper's attempts.
 func TestCallerDisconnectReachesHelper(t *testing.T) {
 	withHelper(t, helperHealthy, func(t *testing.T, s *site, f *fakeHelpers) {
 		is := is.New(t)
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -15,11 +15,11 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Failure domains and regions of the tests of homes: each service has one target here, one elsewhere, and one in a domain whose region
-// nobody knows.
+// testRegions are the regions of the failure domains: each service has one target in region "here",
+// one in "elsewhere", and one in a domain without a region.
 var testRegions = map[string]string{domain: "here", otherDomain: "elsewhere"}
 
-// withHomes runs a test on a site of four services whose routes have homes.
+// withHomes runs a test on a site of four services whose routes have home regions.
 func withHomes(t *testing.T, o options, homes []string, test func(t *testing.T, s *site)) {
 	o.services, o.regions = 4, testRegions
 	run(t, o, func(t *testing.T, s *site) {
@@ -40,12 +40,13 @@
 	return routes
 }
 
-// moveTarget registers a target anew in another failure domain.
+// moveTarget registers a target in another failure domain.
 func (s *site) moveTarget(id, service, to string) {
 	s.register(discovery.Target{ID: id, Service: service, Address: id + ":80", Domain: to, Slots: 4})
 }
 
-// arrivedAt returns the requests that came to the target of each service with a number.
+// arrivedAt returns the number of requests received by the targets with a number, over all
+// services.
 func (s *site) arrivedAt(number int) int {
 	n := 0
 	for i := range 4 {
@@ -54,8 +55,8 @@
 	return n
 }
 
-// Requests of a route with homes reach no target outside them: first, further and second attempts, of single requests and of
-// parts, however bad the targets at home are.
+// Requests of a route with home regions reach no target outside them: first attempts, retries and
+// hedges, of single requests and of parts, whatever the faults of the targets in the home regions.
 func TestRequestsStayInTheirHomes(t *testing.T) {
 	for name, home := range map[string]int{"here": 0, "elsewhere": 1} {
 		for fault, f := range map[string]platformtarget.Faults{
@@ -80,7 +81,7 @@
 	}
 }
 
-// Routes without homes use all targets, those of unknown regions too.
+// Routes without home regions use all targets, including those of domains without a region.
 func TestRoutesWithoutHomesUseAllTargets(t *testing.T) {
 	withHomes(t, options{}, nil, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -95,7 +96,7 @@
 	})
 }
 
-// Where no target is left at home, the caller is told at once that the request has not run.
+// If no target is left in the home regions, the request is refused at once as not run.
 func TestRequestWithoutATargetAtHomeIsRefused(t *testing.T) {
 	withHomes(t, options{}, []string{"nowhere"}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -109,7 +110,8 @@
 	})
 }
 
-// A query's body goes to no host outside its homes but the one that its caller reached, which gathers it alone if need be.
+// A query is not delegated to a host outside its home regions. The host that the caller reached may
+// be outside, and then gathers the query itself if necessary.
 func TestNoHelperOutsideTheHomes(t *testing.T) {
 	for name, want := range map[string]int{"here": 0, "elsewhere": 1} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -15,24 +15,24 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// born is when a target of the tests started, at first and again.
+// Start times of a target: the first start and a restart.
 const (
 	firstBornMs   = 1_764_720_000_000
 	restartBornMs = firstBornMs + 5000
 )
 
-// registerBorn registers a target again under the id that it had.
+// registerBorn registers a target under its id with a start time.
 func (s *site) registerBorn(id string, born int64) {
 	s.register(discovery.Target{ID: id, Service: id[:len(id)-len("-t0")], Address: id + ":80", Domain: domain, Slots: 4, Born: born})
 }
 
-// onlySelf is the membership of a host that is alone.
+// onlySelf is a membership view with this host only.
 type onlySelf struct{ member.View }
 
 // Self implements member.View.
 func (onlySelf) Self() member.Host { return member.Host{ID: "h"} }
 
-// receiveFinding lets the host hear what another one found of a target.
+// receiveFinding delivers another host's finding that a target is bad.
 func (s *site) receiveFinding(target string, born int64) {
 	spread := discovery.NewSpread(discovery.DefaultConfig(), onlySelf{}, nil, s.state)
 	_, err := spread.Tell(s.t.Context(), &peerpb.Findings{Findings: []*peerpb.Finding{{
@@ -43,7 +43,7 @@
 	}
 }
 
-// getConcurrently sends n requests at the same moment.
+// getConcurrently sends n requests at the same time.
 func (s *site) getConcurrently(n int, id string) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -52,14 +52,14 @@
 	all.Wait()
 }
 
-// A target that was set aside for its failures starts again under its id: what was known of the
-// one before does not keep work from it.
+// A target that was ejected for its failures starts again under the same id. The health of the
+// previous incarnation must not keep requests from it.
 func TestRestartedTargetStartsWithFreshHealth(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.registerBorn("s0-t0", firstBornMs)
 		s.faults("s0-t0", platformtarget.Faults{Fail: 1})
-		for i := range 40 { // at once, so that it gets work though the other one is well
+		for i := range 40 { // concurrently, so that it gets requests though the other target is healthy
 			s.getConcurrently(4, fmt.Sprintf("bad%d-", i))
 		}
 		s.faults("s0-t0", platformtarget.Faults{})
@@ -67,7 +67,7 @@
 		for range 4 {
 			s.getConcurrently(4, "aside")
 		}
-		is.True(s.targets["s0-t0"].Arrived() <= arrived+1) // it is set aside, but for a probe
+		is.True(s.targets["s0-t0"].Arrived() <= arrived+1) // ejected, except for a probe
 		arrived = s.targets["s0-t0"].Arrived()
 		s.registerBorn("s0-t0", restartBornMs)
 		for range 4 {
@@ -77,22 +77,22 @@
 	})
 }
 
-// What other hosts found of an incarnation is not held against the next, whichever comes first.
+// Findings about one incarnation do not apply to another, whether older or newer.
 func TestFindingsOfAnotherIncarnationDoNotCount(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.registerBorn("s0-t0", restartBornMs)
 		s.registerBorn("s0-t1", firstBornMs)
-		s.receiveFinding("s0-t0", firstBornMs)   // of the one before
-		s.receiveFinding("s0-t1", restartBornMs) // of one that this host has not heard of
+		s.receiveFinding("s0-t0", firstBornMs)   // about the previous one
+		s.receiveFinding("s0-t1", restartBornMs) // about one that is not registered here yet
 		s.getConcurrently(4, "r")
 		is.True(s.targets["s0-t0"].Arrived() > 0)
 		is.True(s.targets["s0-t1"].Arrived() > 0)
 	})
 }
 
-// A target falls silent with a request and starts again: the request ended with it. It is sent to
-// another one, unless it must not run twice.
+// A target hangs with a request and starts again, which ends the request. It is retried at another
+// target if it is idempotent.
 func TestRequestEndsWithTheIncarnationThatHasIt(t *testing.T) {
 	for path, want := range map[string]int{"/one/x": http.StatusOK, "/once/x": http.StatusBadGateway} {
 		t.Run(path, func(t *testing.T) {
@@ -112,13 +112,14 @@
 				}
 				a := <-got
 				is.Equal(a.status, want)
-				is.True(a.took < 50*time.Millisecond) // not when its time is over
+				is.True(a.took < 50*time.Millisecond) // does not wait for the deadline
 			})
 		})
 	}
 }
 
-// A registration that is written again, as for its sequence, changes nothing.
+// A registration that is written again without a restart, as when its sequence number changes,
+// keeps the target's health.
 func TestSameIncarnationKeepsHealth(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -14,19 +14,19 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// load is queries that come evenly for some seconds.
+// The load of the tests: queries at a fixed interval.
 const (
 	loadInterval = 10 * time.Millisecond
 	loadRequests = 300
 )
 
-// loadResult is what callers got of a load.
+// loadResult counts the answers to a load.
 type loadResult struct {
-	whole  int // in time, with all parts
-	inTime int // successful within the objective
+	whole  int // complete and in time
+	inTime int // successful and in time
 }
 
-// sendLoad sends the load and returns what its callers got.
+// sendLoad sends the load and counts its answers.
 func (s *site) sendLoad(name string) loadResult {
 	var (
 		mu  sync.Mutex
@@ -52,8 +52,8 @@
 	return got
 }
 
-// One target of each of six shards sheds three of five requests. Asked last, it
-// costs hardly a query; asked like the other, it uses up the further attempts.
+// One target of each of six shards sheds three of five requests. With ShedPenalty it is chosen last
+// and hardly any query lacks a part; without, it uses up the retry budget.
 func TestLoadWhileHalfOfTheTargetsShed(t *testing.T) {
 	play := func(t *testing.T, without ...gateway.Mechanism) (got loadResult) {
 		run(t, options{services: 6, without: without}, func(t *testing.T, s *site) {
@@ -70,8 +70,7 @@
 	is.True(without.whole < loadRequests*80/100)
 }
 
-// All targets of one of six shards are silent: every answer leaves that part out and
-// is in time.
+// All targets of one of six shards are silent: every answer leaves out that part and is in time.
 func TestLoadWhileShardIsSilent(t *testing.T) {
 	run(t, options{services: 6}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -82,8 +81,7 @@
 	})
 }
 
-// One target of each shard is ten times slower: it is found out, and the other ones
-// carry the load.
+// One target of each shard is ten times slower: it is ejected, and the others carry the load.
 func TestLoadWhileHalfOfTheTargetsAreSlow(t *testing.T) {
 	run(t, options{services: 6}, func(t *testing.T, s *site) {
 		is := is.New(t)
--- a/internal/gateway/mechanism_test.go
+++ b/internal/gateway/mechanism_test.go
@@ -15,7 +15,7 @@
 	cfg.Without = []Mechanism{Hedges, "hedge"}
 	err := cfg.Validate()
 	is.True(strings.Contains(err.Error(), `"hedge"`))
-	is.True(strings.Contains(err.Error(), string(LateRetryYield))) // the error names those there are
+	is.True(strings.Contains(err.Error(), string(LateRetryYield))) // the error lists the valid names
 }
 
 func TestMechanismIsOffOnlyIfNamed(t *testing.T) {
--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -11,8 +11,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// pausingSite runs a test on a site of six shards, each with a target here and one in another failure domain, that all pause each at its own
-// time.
+// pausingSite runs a test on a site of six shards, each with a target in this failure domain and
+// one in another. All targets pause periodically, each with a different phase.
 func pausingSite(t *testing.T, pause, every time.Duration, tellLoad bool, test func(t *testing.T, s *site)) {
 	o := options{services: 6, changeTarget: func(c *platformtarget.Config) {
 		c.Pause, c.PauseEvery, c.TellLoad = pause, every, tellLoad
@@ -21,15 +21,15 @@
 		for i := range 6 {
 			service := fmt.Sprintf("s%d", i)
 			s.moveTarget(service+"-t1", service, otherDomain)
-			s.targets[service+"-t0"].Elapse(time.Duration(2*i) * every / 12) // each pauses at its own time
+			s.targets[service+"-t0"].Elapse(time.Duration(2*i) * every / 12) // different phases
 			s.targets[service+"-t1"].Elapse(time.Duration(2*i+1) * every / 12)
 		}
 		test(t, s)
 	})
 }
 
-// crossDomainShare sends 100 queries a second for some seconds and returns the share of requests that came to targets in the other failure
-// domain.
+// crossDomainShare sends 100 queries per second for some seconds and returns the share of requests
+// that reach targets in the other failure domain.
 func crossDomainShare(s *site, seconds int) float64 {
 	var all sync.WaitGroup
 	for i := range seconds * 100 {
@@ -45,8 +45,8 @@
 	return float64(other) / float64(here+other)
 }
 
-// Targets pause for 150 ms each 3 s, a twentieth of the time. Requests go to the other failure domain for as long, and for no more than as long
-// again until the pause is known to be over.
+// Targets pause for 150 ms every 3 s, a twentieth of the time. Requests go to the other failure
+// domain during the pause and for at most as long again, until its end is noticed.
 func TestPausesSendLittleToOtherDomains(t *testing.T) {
 	pausingSite(t, 150*time.Millisecond, 3*time.Second, false, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -54,8 +54,8 @@
 	})
 }
 
-// The same with pauses of 250 ms, longer than a run of slow attempts that sets a target aside: targets that tell their load say that they work
-// as usual.
+// The same with pauses of 250 ms, long enough for the slow attempts to eject a target, if targets
+// report their load: the reports show that they work as usual.
 func TestLongPausesSendLittleToOtherDomainsWhereTargetsTellTheirLoad(t *testing.T) {
 	pausingSite(t, 250*time.Millisecond, 6*time.Second, true, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -63,8 +63,8 @@
 	})
 }
 
-// The own target of each shard turns eight times slower for two seconds, and says so: it is asked no more at once, and again once it
-// is well.
+// The target of each shard in this failure domain becomes eight times slower and reports it. It is
+// avoided at once, and used again after it has recovered.
 func TestTargetReportingSlownessIsAvoided(t *testing.T) {
 	pausingSite(t, 0, 0, true, func(t *testing.T, s *site) {
 		is := is.New(t)
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -9,8 +9,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/discovery"
 )
 
-// One target of a service is left, and requests come at the same moment: more than it may have connections. Those that it has no place for
-// wait for one, and none is refused.
+// Only one target of a service is left, and more requests arrive at the same time than it may have
+// connections. The excess requests must wait, and none is refused.
 func TestConcurrentRequestsWaitForConnections(t *testing.T) {
 	for range 20 {
 		run(t, options{}, func(t *testing.T, s *site) {
--- a/internal/gateway/scatter_test.go
+++ b/internal/gateway/scatter_test.go
@@ -48,8 +48,7 @@
 	})
 }
 
-// Too few shards have a target: nothing is sent, and the caller is told when to
-// come back.
+// If too few shards have a target nothing is sent, and the answer has a retry time.
 func TestQueryThatTooFewShardsCanAnswerDoesNotRun(t *testing.T) {
 	run(t, options{services: 4}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -66,8 +65,8 @@
 	})
 }
 
-// A route that names no objective: every shard is asked once, and parts that are
-// missing are waited for nearly as long as the caller waits.
+// If a route has no objective every shard gets one attempt, and missing parts are waited for almost
+// until the caller's deadline.
 func TestQueryWithoutAnObjective(t *testing.T) {
 	run(t, options{services: 4}, func(t *testing.T, s *site) {
 		is := is.New(t)
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -10,8 +10,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// One of two targets sheds three of five requests: the other one gets nearly all
-// the work, as it has places for it.
+// One of two targets sheds three of five requests: the other one, which has capacity, gets nearly
+// all requests.
 func TestSheddingTargetIsUsedLast(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -25,8 +25,7 @@
 	})
 }
 
-// Both targets shed three of five requests: none is set aside, as what one takes
-// it serves.
+// Both targets shed three of five requests: neither is ejected, as they serve what they accept.
 func TestSheddingTargetsAreNotEjected(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -36,12 +35,11 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		less := min(s.targets["s0-t0"].Arrived(), s.targets["s0-t1"].Arrived())
-		is.True(less > 50) // each bears its part
+		is.True(less > 50) // each gets its share
 	})
 }
 
-// A part that comes after the answer has left is of no use, so no target is given
-// longer than that.
+// A part that arrives after the answer has left is useless, so targets get no more time than that.
 func TestTargetTimeoutEndsWhenAnswerLeaves(t *testing.T) {
 	run(t, options{services: 3}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -52,15 +50,15 @@
 				if r.RequestID == "r1" {
 					is.True(r.Left < objective)
 				} else {
-					is.True(r.Left > objective) // the whole answer of one target is worth waiting for
+					is.True(r.Left > objective) // the answer to a single request is useful until the deadline
 				}
 			}
 		}
 	})
 }
 
-// Targets that stop work when the time they were given is over are late; they
-// are not set aside as failing.
+// Targets that stop work at the end of the time they were given are slow; they must not be ejected
+// as failing.
 func TestTargetTimeoutIsNotCountedAsFailure(t *testing.T) {
 	run(t, options{services: 2}, func(t *testing.T, s *site) {
 		is := is.New(t)
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -44,7 +44,7 @@
 	timeout       = 600 * time.Millisecond
 )
 
-// site is a gateway and its targets in virtual time.
+// site is a gateway and its targets, in virtual time.
 type site struct {
 	t       *testing.T
 	network *standin.Network
@@ -54,11 +54,11 @@
 	servers []*http.Server
 	caller  *http.Transport
 	stop    func()
-	// recorded is what the gateway told the delivery records.
+	// recorded has the delivery records of the gateway.
 	recorded *recorder
 	log      *event.Log
 	requests *quarantine.Table
-	suspend  func(time.Duration) // of the machine
+	suspend  func(time.Duration) // suspends the machine
 	dial     dialFunc            // opens the connections to targets
 
 	gateways     []*gateway.Gateway
@@ -68,36 +68,36 @@
 	revision uint64
 }
 
-// options tell how a site differs from the usual one.
+// options are the deviations of a site from the default.
 type options struct {
-	services int // with two targets each; 0: one
-	records  int // in each answer
-	// unconfigured leaves the gateway without a configuration.
+	services int // number, with two targets each; 0: one
+	records  int // in each target's response
+	// unconfigured starts the gateway without a configuration.
 	unconfigured bool
-	// link is the rate of the gateway's network link, in Mbit/s; help returns what
-	// lets hosts gather for it.
+	// link is the rate of the gateway's network link in Mbit/s; hosts and helpers are the other
+	// hosts and the client that delegates queries to them.
 	link    uint32
 	hosts   []member.Host
 	helpers func(*site) gateway.Helpers
-	// without is what is switched off.
+	// without has the disabled mechanisms.
 	without []gateway.Mechanism
-	// log takes the log lines; nil: they are dropped.
+	// log receives the log lines; nil: they are discarded.
 	log io.Writer
-	// dial opens the connections to targets; nil: the network does at once.
+	// dial opens the connections to targets; nil: the in-memory network does, without delay.
 	dial dialFunc
 	// domainOf returns the failure domain of a service's targets; nil: domain.
 	domainOf func(service int) string
 	// regions of failure domains.
 	regions map[string]string
-	// changeTarget changes what targets are started with; nil: nothing.
+	// changeTarget modifies the settings of each target; nil: none.
 	changeTarget func(*platformtarget.Config)
 }
 
-// dialFunc opens a connection from a gateway of the site to a target.
+// dialFunc opens a connection from a gateway to a target.
 type dialFunc func(s *site, ctx context.Context, network, address string) (net.Conn, error)
 
-// setDial makes the gateways of the site open connections to targets with dial; nil: the network does
-// at once.
+// setDial sets the function that opens connections to targets; nil: the in-memory network, without
+// delay.
 func (s *site) setDial(dial dialFunc) {
 	if dial == nil {
 		dial = func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
@@ -107,7 +107,7 @@
 	s.dial = dial
 }
 
-// run runs a test on a site in virtual time.
+// run runs a test on a site, in virtual time.
 func run(t *testing.T, o options, test func(t *testing.T, s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -153,12 +153,12 @@
 	return s
 }
 
-// emptyQuarantine returns a table in which nothing is held against any request.
+// emptyQuarantine returns a quarantine table without records.
 func emptyQuarantine() *quarantine.Table {
 	return quarantine.NewTable(quarantine.DefaultConfig(), event.Discard())
 }
 
-// gateway starts a gateway of the site.
+// gateway adds a gateway to the site and starts it.
 func (s *site) gateway(self member.Host, without ...gateway.Mechanism) *gateway.Gateway {
 	cfg := gateway.DefaultConfig()
 	cfg.Without = without
@@ -178,17 +178,17 @@
 }
 
 func (s *site) serve(address string, h http.Handler) {
-	ln, _ := s.network.Listen(address) // never fails in memory
+	ln, _ := s.network.Listen(address) // in-memory listeners never fail
 	server := &http.Server{Handler: h}
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(ln) }()
 }
 
-// close ends everything, so that no goroutine is left in the bubble.
+// close stops everything, so that no goroutine is left in the synctest bubble.
 func (s *site) close() {
 	s.stop()
 	s.caller.CloseIdleConnections()
-	time.Sleep(time.Minute) // every attempt in flight has ended
+	time.Sleep(time.Minute) // until every attempt in flight has ended
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
@@ -215,8 +215,8 @@
 	s.state.ApplyChanges(change, time.Now())
 }
 
-// defaultRoutes is /one/ to service s0, /once/ the same but not idempotent, and
-// /all/ to every service.
+// defaultRoutes returns three routes: /one/ to service s0, /once/ the same but not idempotent, and
+// /all/ to every service as a shard.
 func (s *site) defaultRoutes(services int) []routing.Route {
 	one := routing.Route{
 		Name: "one", Host: caseHost, Prefix: "/one/", Idempotent: true, Timeout: timeout, Objective: objective,
@@ -233,12 +233,12 @@
 	return []routing.Route{one, once, all}
 }
 
-// configure puts a version of the configuration in force.
+// configure applies a version of the configuration with the given routes.
 func (s *site) configure(version uint64, routes ...routing.Route) {
 	s.configureWith(version, func(*routing.Service) {}, routes...)
 }
 
-// configureWith is configure where the services are changed.
+// configureWith is configure with a change to each service.
 func (s *site) configureWith(version uint64, change func(*routing.Service), routes ...routing.Route) {
 	c := routing.Config{Version: version, Routes: routes, Limits: routing.Limits{BodyBytes: 1 << 10, HeaderBytes: 4 << 10}}
 	for i := range 20 {
@@ -250,15 +250,15 @@
 	s.state.ApplyConfig(discovery.ConfigRead{Config: c, Found: true, Revision: at(s.revision)}, time.Now())
 }
 
-// answer is what a caller got.
+// answer is the response to a caller.
 type answer struct {
-	status int // 0: none
+	status int // 0: no response
 	header http.Header
 	body   []byte
 	took   time.Duration
 }
 
-// send sends a request with an id and the usual time.
+// send sends a request with an id and the default time limit.
 func (s *site) send(method, path, id, body string) answer {
 	return s.sendWith(s.t.Context(), method, path, body, http.Header{
 		platform.HeaderRequestID: {id}, platform.HeaderDeadline: {"600"},
@@ -288,8 +288,7 @@
 	return a
 }
 
-// faults puts the faults in force at every target of a service, or at one
-// target.
+// faults sets the faults of a target, or of all targets of a service.
 func (s *site) faults(name string, f platformtarget.Faults) {
 	for id, t := range s.targets {
 		if id == name || id[:len(id)-len("-t0")] == name {
@@ -298,7 +297,7 @@
 	}
 }
 
-// runs counts how often a request ran.
+// runs returns how often targets ran a request.
 func (s *site) runs(id string) int {
 	n := 0
 	for _, t := range s.targets {
@@ -311,7 +310,7 @@
 	return n
 }
 
-// recorder keeps deliveries.
+// recorder stores delivery records.
 type recorder struct {
 	mu  sync.Mutex
 	all []delivery.Delivery
@@ -324,7 +323,7 @@
 	r.all = append(r.all, d)
 }
 
-// last returns the newest delivery.
+// last returns the latest record.
 func (r *recorder) last() delivery.Delivery {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/top_test.go
+++ b/internal/gateway/top_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// mergeBySorting is Merge by sorting everything.
+// mergeBySorting implements Merge by sorting all records.
 func mergeBySorting(bodies [][]byte, most int) []byte {
 	var records [][]byte
 	for _, b := range bodies {
@@ -24,7 +24,7 @@
 func TestMergeKeepsTheGreatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.Custom(func(t *rapid.T) []byte {
-			few := rapid.ByteRange(0, 2) // so that records are often equal
+			few := rapid.ByteRange(0, 2) // makes equal records likely
 			return rapid.SliceOfN(few, 0, 70).Draw(t, "body")
 		})
 		bodies := rapid.SliceOfN(body, 0, 8).Draw(t, "bodies")
@@ -35,7 +35,7 @@
 	})
 }
 
-// BenchmarkMerge merges the parts of one query of 90 shards.
+// BenchmarkMerge merges the parts of a query of 90 shards.
 func BenchmarkMerge(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	bodies := make([][]byte, 90)
