--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -122,7 +122,7 @@
 	return s.checkPath
 }
 
-// cheaper returns the one of two targets with the lower cost first.
+// cheaper returns two targets in the order of their cost.
 func (s *service) cheaper(a, b *target) (better, other *target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,7 +52,7 @@
 	headErr     error
 }
 
-// result is the result of one attempt.
+// result describes how one attempt ended.
 type result struct {
 	target          *target
 	outcome         outcome.Outcome
@@ -158,7 +158,7 @@
 	began := time.Now()
 	answer, sent, err := conn.Exchange(ctx, r.deadline, &targetconn.Request{
 		Method: r.method, Head: head, Header: own, Body: r.body,
-		Mine:  func(h http.Header) bool { return g.answers(h, r) },
+		Mine:  func(h http.Header) bool { return g.answersRequest(h, r) },
 		Limit: g.cfg.MaxAnswer,
 	})
 	if err != nil {
@@ -195,7 +195,7 @@
 
 // answersRequest reports whether a response belongs to the request. A response without a request id
 // is accepted.
-func (g *Gateway) answers(h http.Header, r *request) bool {
+func (g *Gateway) answersRequest(h http.Header, r *request) bool {
 	id := g.messages.Answer(http.StatusOK, h).RequestID
 	return id == "" || id == r.call.RequestID
 }
@@ -250,9 +250,9 @@
 		t.health.Reported(now, load.report())
 	}
 	g.noteReachable(t, res)
-	before := t.health.SetAsideUntil()
+	ejectedUntil := t.health.SetAsideUntil()
 	t.health.ObserveScaled(now, res.took, r.latencyScale, g.signal(res), medianScaledLatency)
-	g.reportHealthChange(now, t, before)
+	g.reportHealthChange(now, t, ejectedUntil)
 	s.wake()
 }
 
--- a/internal/gateway/broken.go
+++ b/internal/gateway/broken.go
@@ -4,7 +4,7 @@
 // request.
 func (g *Gateway) noteConnectionLost(t *target, r *request, res result) {
 	g.metrics.brokenAttempts.Inc()
-	if !g.logLimits.brokeOff.Allow() {
+	if !g.logLimits.attempts.Allow() {
 		return
 	}
 	g.log.Event(evConnectionLost).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).
@@ -25,7 +25,7 @@
 }
 
 // noteUnreachable records that the target refuses connections, which may mean a restart. The caller
-// holds the lock of its service.
+// holds the lock of the target's service.
 func (t *target) noteUnreachable() {
 	t.unreachable = true
 	t.cold.restartSigns++
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -23,7 +23,7 @@
 var (
 	errNoTarget  = errors.New("the service has no usable target")
 	errQueueFull = errors.New("all targets of the service are busy and too many requests are waiting")
-	errDeadline  = errors.New("no connection slot at a target became available in time")
+	errDeadline  = errors.New("no target became available in time")
 	errColdLimit = errors.New("the target is cold and has got as much as it bears")
 )
 
@@ -227,8 +227,8 @@
 	s.budget.First(time.Now())
 }
 
-// takeExtraAttempt takes an extra attempt from the retry budget, and reports false if it is used
-// up.
+// takeExtraAttempt takes an extra attempt from the retry budget. It reports false if the budget is
+// used up.
 func (s *service) takeExtraAttempt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -32,9 +32,9 @@
 type coldState struct {
 	until        time.Time // cold until then
 	permit       discovery.Permit
-	maxPerSecond int // requests that this host may send within any second while the target is cold
-	window       *policy.ColdWindow
-	reserved     int // attempts with a connection slot that have not been sent yet
+	maxPerSecond int                // requests that this host may send within any second while the target is cold
+	window       *policy.ColdWindow // requests that this host sent within the last second
+	reserved     int                // attempts with a connection slot that have not been sent yet
 	// restartSigns counts the events that may mean a restart: the target refused a connection, or
 	// closed one before its time. While it exceeds handledSigns, the target is queried for its
 	// warm-up time before anything is sent.
@@ -43,34 +43,34 @@
 }
 
 // extend prolongs the time during which the target counts as cold.
-func (w *coldState) extend(until time.Time) {
-	if until.After(w.until) {
-		w.until = until
+func (c *coldState) extend(until time.Time) {
+	if until.After(c.until) {
+		c.until = until
 	}
 }
 
 // inherit copies the send window and the cold time of the previous incarnation: the new one may
 // have got some of its requests before it registered.
-func (w *coldState) inherit(before *target) {
-	w.window = before.cold.window
-	w.until = before.cold.until
+func (c *coldState) inherit(previous *target) {
+	c.window = previous.cold.window
+	c.until = previous.cold.until
 }
 
 // apply updates the state from a view of the cluster. now is the local time of the view.
-func (w *coldState) apply(f *serviceRegistry, conf discovery.Target, v discovery.View, bound coldLimit, now time.Time) {
-	if bound.perSecond <= 0 {
+func (c *coldState) apply(reg *serviceRegistry, conf discovery.Target, v discovery.View, limit coldLimit, now time.Time) {
+	if limit.perSecond <= 0 {
 		return
 	}
 	if conf.ColdUntil.After(v.Now) {
-		w.extend(now.Add(conf.ColdUntil.Sub(v.Now)))
+		c.extend(now.Add(conf.ColdUntil.Sub(v.Now)))
 	}
 	if ended, ok := v.EvacuationEnds[conf.Domain]; ok {
 		// The targets may have become cold shortly before, which their registrations show only at
 		// the next heartbeat.
-		w.extend(now.Add(ended.Sub(v.Now) + bound.duration))
+		c.extend(now.Add(ended.Sub(v.Now) + limit.duration))
 	}
-	w.permit = v.Permits[conf.ID]
-	w.maxPerSecond = w.permit.Of(f.hostID)
+	c.permit = v.Permits[conf.ID]
+	c.maxPerSecond = c.permit.Of(reg.hostID)
 }
 
 // cold reports whether a target counts as cold. The caller holds the lock.
@@ -214,9 +214,9 @@
 
 // ColdTargets returns the cold targets without a permit.
 func (g *Gateway) ColdTargets() []ColdTarget {
-	f := g.registry
+	reg := g.registry
 	var all []ColdTarget
-	for _, s := range f.allServices() {
+	for _, s := range reg.allServices() {
 		s.mu.Lock()
 		now := time.Now()
 		var cold []*target
@@ -228,7 +228,7 @@
 		bound := s.coldLimit.perSecond
 		s.mu.Unlock()
 		for _, t := range cold {
-			all = append(all, ColdTarget{ID: t.conf.ID, Bound: bound, Hosts: f.hostsServing(s.name, t.conf.Domain)})
+			all = append(all, ColdTarget{ID: t.conf.ID, Bound: bound, Hosts: reg.hostsServing(s.name, t.conf.Domain)})
 		}
 	}
 	return all
@@ -237,13 +237,13 @@
 // hostsServing returns the hosts that send requests to the targets of a service in a failure
 // domain: those that gather its route if the service is a shard, all hosts otherwise. Only the
 // hosts in that domain are returned if there are any.
-func (f *serviceRegistry) hostsServing(service, domain string) []string {
-	f.mu.Lock()
-	route := f.routeByShard[service]
-	f.mu.Unlock()
-	all := f.gatherers.all()
+func (reg *serviceRegistry) hostsServing(service, domain string) []string {
+	reg.mu.Lock()
+	route := reg.routeByShard[service]
+	reg.mu.Unlock()
+	all := reg.gatherers.all()
 	if route != nil {
-		all = f.gatherers.forRoute(f, route).all(f.gatherers.self)
+		all = reg.gatherers.forRoute(reg, route).all(reg.gatherers.self)
 	}
 	var near, any []string
 	for _, h := range all {
@@ -259,10 +259,10 @@
 }
 
 // all returns the live hosts, including this one.
-func (r *gathererIndex) all() []member.Host {
-	all := []member.Host{r.self}
-	for _, h := range r.hosts() {
-		if h.ID != r.self.ID && h.State == member.Alive {
+func (index *gathererIndex) all() []member.Host {
+	all := []member.Host{index.self}
+	for _, h := range index.hosts() {
+		if h.ID != index.self.ID && h.State == member.Alive {
 			all = append(all, h)
 		}
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -49,7 +49,7 @@
 const (
 	defaultMaxBudget      = 30 * time.Second
 	defaultConnectTimeout = 300 * time.Millisecond // connecting takes about 10 ms on the known deployments
-	defaultMaxAnswer      = 8 << 20
+	defaultMaxAnswerBytes = 8 << 20
 	defaultRetryRatio     = 0.2
 	defaultRetrySlack     = 50
 	defaultRetryWindow    = 10 * time.Second
@@ -63,7 +63,7 @@
 	return Config{
 		MaxBudget:      unit.Duration(defaultMaxBudget),
 		ConnectTimeout: unit.Duration(defaultConnectTimeout),
-		MaxAnswer:      defaultMaxAnswer,
+		MaxAnswer:      defaultMaxAnswerBytes,
 		RetryRatio:     defaultRetryRatio,
 		RetrySlack:     defaultRetrySlack,
 		RetryWindow:    unit.Duration(defaultRetryWindow),
--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -45,23 +45,23 @@
 	ctx, giveUp := context.WithCancel(ctx)
 	defer giveUp()
 	gatherers := g.registry.gatherers.forRoute(g.registry, route)
-	least := minPartsForShare(len(route.Shards), route.MinShare)
-	if gatherers.answerable < least {
+	minParts := minPartsForShare(len(route.Shards), route.MinShare)
+	if gatherers.answerable < minParts {
 		return Gathered{Outcome: outcome.NotSent, Reason: errNoTarget.Error()}
 	}
 	cells := g.planCells(r, route, gatherers)
-	q := &dividedQuery{route: route, minParts: least, cells: make([]cellResult, len(cells))}
-	maxLost := len(route.Shards) - least
-	may := Missing{Most: maxLost, Untold: maxLost / len(cells)}
+	q := &dividedQuery{route: route, minParts: minParts, cells: make([]cellResult, len(cells))}
+	maxLost := len(route.Shards) - minParts
+	lossLimits := Missing{Most: maxLost, Untold: maxLost / len(cells)}
 	updates := make(chan cellResult, 2*len(route.Shards)+2*len(cells)) // sending never blocks
 	for i, cell := range cells {
 		n := len(cell.Shards)
-		request := &cellRequest{
+		cellReq := &cellRequest{
 			request: r, route: cellRoute(route, cell.Cell), gatherers: gatherers, plan: cell,
-			lossLimits: may,
+			lossLimits: lossLimits,
 			report:     func(got Gathered) { updates <- cellResult{cell: i, shards: n, got: got} },
 		}
-		go func() { updates <- cellResult{cell: i, shards: n, got: g.gatherCell(ctx, request), ended: true} }()
+		go func() { updates <- cellResult{cell: i, shards: n, got: g.gatherCell(ctx, cellReq), ended: true} }()
 	}
 	q.collect(ctx, r, updates)
 	if q.answered() < q.minParts && r.ctx.Err() == nil {
@@ -78,13 +78,13 @@
 // collectFinal collects the outcomes of the cells of an abandoned query, so that one that has not
 // run is answered so.
 func (q *dividedQuery) collectFinal(updates <-chan cellResult) {
-	bound := time.NewTimer(finalOutcomeTimeout)
-	defer bound.Stop()
+	timer := time.NewTimer(finalOutcomeTimeout)
+	defer timer.Stop()
 	for q.openCells() > 0 && q.nothingHasRun() {
 		select {
 		case p := <-updates:
 			q.cells[p.cell] = p
-		case <-bound.C:
+		case <-timer.C:
 			return
 		}
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -24,7 +24,7 @@
 	cfg           Config
 	hostID        string     // of this host
 	failureDomain string     // of this host
-	hosts         func() int // number of hosts, this one included
+	knownHosts    func() int // number of hosts, this one included
 	dial          netdial.Func
 	gatherers     *gathererIndex // hosts that gather queries
 	generation    atomic.Uint64  // incremented with each view
@@ -46,7 +46,7 @@
 func newServiceRegistry(cfg Config, host, domain string, hosts func() int) *serviceRegistry {
 	dialer := netdial.New(0) // no timeout of its own: the pool limits the time
 	return &serviceRegistry{
-		cfg: cfg, hostID: host, failureDomain: domain, hosts: hosts, dial: dialer.DialContext, services: map[string]*service{},
+		cfg: cfg, hostID: host, failureDomain: domain, knownHosts: hosts, dial: dialer.DialContext, services: map[string]*service{},
 		coldSignal: make(chan struct{}, 1), startedAt: time.Now(),
 		gatherers: newGathererIndex(member.Host{ID: host, FailureDomain: domain}, func() []member.Host { return nil }),
 	}
@@ -55,9 +55,9 @@
 // hostCount returns the number of hosts that share targets and budgets. It never decreases during
 // the life of the process: hosts that are gone may return at any time, and their connections may
 // still be open at the targets.
-func (f *serviceRegistry) hostCount() int {
-	f.maxHosts = max(f.maxHosts, f.hosts(), f.cfg.FleetSize)
-	return f.maxHosts
+func (reg *serviceRegistry) hostCount() int {
+	reg.maxHosts = max(reg.maxHosts, reg.knownHosts(), reg.cfg.FleetSize)
+	return reg.maxHosts
 }
 
 // DialWith sets the function that opens connections to targets. It must be called before Start.
@@ -65,41 +65,41 @@
 func (g *Gateway) DialWith(dial netdial.Func) { g.registry.dial = dial }
 
 // service returns the service of a name, creating one without targets if necessary.
-func (f *serviceRegistry) service(name string) *service {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s, ok := f.services[name]
+func (reg *serviceRegistry) service(name string) *service {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s, ok := reg.services[name]
 	if !ok {
 		s = &service{
 			name: name, byID: map[string]*target{}, changed: make(chan struct{}),
-			budget: policy.NewShare(f.cfg.retryAllowance(), f.equalWeight(), f.hostDraw(name)), ejectionOff: f.cfg.disabled(Ejection),
-			coldSendsFrom: f.startedAt.Add(coldStartupDelay), permitsValid: f.permitsValid, coldSignal: f.coldSignal, regions: f.cfg.Regions,
+			budget: policy.NewShare(reg.cfg.retryAllowance(), reg.equalWeight(), reg.hostDraw(name)), ejectionOff: reg.cfg.disabled(Ejection),
+			coldSendsFrom: reg.startedAt.Add(coldStartupDelay), permitsValid: reg.permitsValid, coldSignal: reg.coldSignal, regions: reg.cfg.Regions,
 		}
-		f.services[name] = s
+		reg.services[name] = s
 	}
 	return s
 }
 
 // apply applies the targets and the configuration of a view.
-func (f *serviceRegistry) apply(v discovery.View) {
+func (reg *serviceRegistry) apply(v discovery.View) {
 	byService := map[string][]discovery.Target{}
-	owners := make(map[string]*service, len(v.Targets))
+	serviceOf := make(map[string]*service, len(v.Targets))
 	for _, t := range v.Targets {
 		byService[t.Service] = append(byService[t.Service], t)
-		owners[t.ID] = f.service(t.Service)
+		serviceOf[t.ID] = reg.service(t.Service)
 	}
-	f.mu.Lock()
-	f.serviceOf = owners
-	f.view = v
-	f.routeByShard = routesByShard(v.Table)
+	reg.mu.Lock()
+	reg.serviceOf = serviceOf
+	reg.view = v
+	reg.routeByShard = routesByShard(v.Table)
 	ranks := urgentRanks(v.Table)
-	services := slices.Collect(maps.Values(f.services)) // including those that lost all targets
-	f.mu.Unlock()
+	services := slices.Collect(maps.Values(reg.services)) // including those that lost all targets
+	reg.mu.Unlock()
 	for _, s := range services {
-		s.apply(f, byService[s.name], v, ranks[s.name])
+		s.apply(reg, byService[s.name], v, ranks[s.name])
 	}
-	f.generation.Add(1)
-	f.distribute(services)
+	reg.generation.Add(1)
+	reg.distribute(services)
 }
 
 // routesByShard returns, for each service that is a shard, a route that it is a shard of.
@@ -134,39 +134,39 @@
 }
 
 // distribute divides connections and budgets among the hosts again.
-func (f *serviceRegistry) distribute(services []*service) {
+func (reg *serviceRegistry) distribute(services []*service) {
 	for _, s := range services {
-		s.resize(f, f.weight(s.name))
+		s.resize(reg, reg.weight(s.name))
 	}
 }
 
 // weight returns this host's share of the connections and extra attempts of a service.
-func (f *serviceRegistry) weight(service string) float64 {
-	f.mu.Lock()
-	route, hosts := f.routeByShard[service], f.hostCount()
-	f.mu.Unlock()
-	if route == nil || f.cfg.disabled(GathererWeights) {
+func (reg *serviceRegistry) weight(service string) float64 {
+	reg.mu.Lock()
+	route, hosts := reg.routeByShard[service], reg.hostCount()
+	reg.mu.Unlock()
+	if route == nil || reg.cfg.disabled(GathererWeights) {
 		return 1 / float64(hosts)
 	}
-	g := f.gatherers.forRoute(f, route)
+	g := reg.gatherers.forRoute(reg, route)
 	// A host that does not know all others yet takes no more than its share of a fleet of the
 	// minimum size.
-	return policy.Weight(g.counted, max(g.count, min(f.cfg.FleetSize, hosts)), hosts)
+	return policy.Weight(g.counted, max(g.count, min(reg.cfg.FleetSize, hosts)), hosts)
 }
 
 // equalWeight returns the share of each host if all are equal. The caller holds the lock.
-func (f *serviceRegistry) equalWeight() float64 { return 1 / float64(f.hostCount()) }
+func (reg *serviceRegistry) equalWeight() float64 { return 1 / float64(reg.hostCount()) }
 
 // hostDraw returns a pseudo-random number in [0, 1) that is fixed for this host and a service.
-func (f *serviceRegistry) hostDraw(service string) float64 {
-	return float64(xxhash.Sum64String(f.hostID+"/"+service)>>11) / (1 << 53)
+func (reg *serviceRegistry) hostDraw(service string) float64 {
+	return float64(xxhash.Sum64String(reg.hostID+"/"+service)>>11) / (1 << 53)
 }
 
 // find returns a target and its service, nil if the target is unknown.
-func (f *serviceRegistry) find(id string) (*service, *target) {
-	f.mu.Lock()
-	s := f.serviceOf[id]
-	f.mu.Unlock()
+func (reg *serviceRegistry) find(id string) (*service, *target) {
+	reg.mu.Lock()
+	s := reg.serviceOf[id]
+	reg.mu.Unlock()
 	if s == nil {
 		return nil, nil
 	}
@@ -193,7 +193,7 @@
 
 // connectionLimits returns the limits for a service with a number of targets, by this host's
 // weight.
-func (f *serviceRegistry) connectionLimits(v discovery.View, name string, targets int, weight float64) connectionLimits {
+func (reg *serviceRegistry) connectionLimits(v discovery.View, name string, targets int, weight float64) connectionLimits {
 	if v.Table == nil {
 		return connectionLimits{preferred: 1, other: 1}
 	}
@@ -209,25 +209,25 @@
 	return out
 }
 
-func (f *serviceRegistry) newTarget(t discovery.Target) *target {
+func (reg *serviceRegistry) newTarget(t discovery.Target) *target {
 	return &target{
 		conf:   t,
-		pool:   targetconn.NewPool(t.Address, 1, f.cfg.ConnectTimeout.Std(), f.dial),
+		pool:   targetconn.NewPool(t.Address, 1, reg.cfg.ConnectTimeout.Std(), reg.dial),
 		health: policy.NewQuickOutlier(),
 		cold:   coldState{window: &policy.ColdWindow{}},
 	}
 }
 
 // allServices returns all services.
-func (f *serviceRegistry) allServices() []*service {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Collect(maps.Values(f.services))
+func (reg *serviceRegistry) allServices() []*service {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return slices.Collect(maps.Values(reg.services))
 }
 
 // trim closes the idle connections that targets are about to close.
-func (f *serviceRegistry) trim(now time.Time) {
-	for _, s := range f.allServices() {
+func (reg *serviceRegistry) trim(now time.Time) {
+	for _, s := range reg.allServices() {
 		s.mu.Lock()
 		targets := s.targets
 		s.mu.Unlock()
@@ -238,16 +238,16 @@
 }
 
 // resize divides connections and budgets again if the hosts have changed.
-func (f *serviceRegistry) resize() {
-	f.mu.Lock()
-	before, divided := f.maxHosts, f.dividedAmong
-	hosts := f.hostCount()
-	f.dividedAmong = f.gatherers.hosts()
-	same := hosts == before && sameSlice(divided, f.dividedAmong)
-	services := slices.Collect(maps.Values(f.services))
-	f.mu.Unlock()
+func (reg *serviceRegistry) resize() {
+	reg.mu.Lock()
+	before, divided := reg.maxHosts, reg.dividedAmong
+	hosts := reg.hostCount()
+	reg.dividedAmong = reg.gatherers.hosts()
+	same := hosts == before && sameSlice(divided, reg.dividedAmong)
+	services := slices.Collect(maps.Values(reg.services))
+	reg.mu.Unlock()
 	if !same {
-		f.distribute(services)
+		reg.distribute(services)
 	}
 }
 
@@ -255,14 +255,14 @@
 const trimInterval = time.Second
 
 // maintainConnections trims idle connections and follows changes of the hosts until ctx is done.
-func (f *serviceRegistry) maintainConnections(ctx context.Context) {
+func (reg *serviceRegistry) maintainConnections(ctx context.Context) {
 	tick := time.NewTicker(trimInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			f.trim(now)
-			f.resize()
+			reg.trim(now)
+			reg.resize()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -20,13 +20,13 @@
 // registryOf returns the service registry of one host of a site that has one service with a target
 // in each of testDomains.
 func registryOf(host, domain string, hosts, connections int) *serviceRegistry {
-	f := newServiceRegistry(DefaultConfig(), host, domain, func() int { return hosts })
+	reg := newServiceRegistry(DefaultConfig(), host, domain, func() int { return hosts })
 	v := discovery.View{Table: routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", MaxConnections: connections}}})}
 	for _, d := range testDomains {
 		v.Targets = append(v.Targets, discovery.Target{ID: "t-" + d, Service: "s", Address: d + ":80", Domain: d, Slots: 4})
 	}
-	f.apply(v)
-	return f
+	reg.apply(v)
+	return reg
 }
 
 func TestHostPrefersItsFailureDomain(t *testing.T) {
@@ -62,12 +62,12 @@
 	for _, site := range []struct{ hosts, connections int }{{7, 26}, {9, 31}, {71, 68}, {75, 70}, {300, 300}} {
 		t.Run(fmt.Sprintf("%d hosts", site.hosts), func(t *testing.T) {
 			is := is.New(t)
-			f := registryOf("h", "salt-lake", site.hosts, site.connections)
-			s := f.connectionLimits(f.view, "s", len(testDomains), 1/float64(site.hosts))
-			home := min(s.preferred, 4) * ((site.hosts + 2) / 3) // hosts of one domain
-			is.True(home <= site.connections)
+			reg := registryOf("h", "salt-lake", site.hosts, site.connections)
+			s := reg.connectionLimits(reg.view, "s", len(testDomains), 1/float64(site.hosts))
+			preferred := min(s.preferred, 4) * ((site.hosts + 2) / 3) // hosts of one domain
+			is.True(preferred <= site.connections)
 			if s.idleTimeout == 0 { // the other hosts keep idle connections as well
-				is.True(home+s.other*(site.hosts-site.hosts/3) <= site.connections*3/2)
+				is.True(preferred+s.other*(site.hosts-site.hosts/3) <= site.connections*3/2)
 			}
 		})
 	}
@@ -76,25 +76,25 @@
 func TestConnectionLimitsFollowMembership(t *testing.T) {
 	is := is.New(t)
 	hosts := 7
-	f := newServiceRegistry(DefaultConfig(), "h", "salt-lake", func() int { return hosts })
-	f.apply(registryOf("h", "salt-lake", 7, 260).view)
-	before := f.connectionLimits(f.view, "s", 3, f.weight("s"))
+	reg := newServiceRegistry(DefaultConfig(), "h", "salt-lake", func() int { return hosts })
+	reg.apply(registryOf("h", "salt-lake", 7, 260).view)
+	before := reg.connectionLimits(reg.view, "s", 3, reg.weight("s"))
 	hosts = 70
-	f.resize()
-	after := f.connectionLimits(f.view, "s", 3, f.weight("s"))
+	reg.resize()
+	after := reg.connectionLimits(reg.view, "s", 3, reg.weight("s"))
 	is.True(after.other < before.other)
 	hosts = 7 // the limits must not grow, as the other hosts may return at any time
-	is.Equal(f.hostCount(), 70)
+	is.Equal(reg.hostCount(), 70)
 }
 
 func TestCostOfATarget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	home := &target{preferred: true, health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
+	preferred := &target{preferred: true, health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
 	other := &target{health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
-	is.True(home.cost(now) < other.cost(now))
-	home.inFlight = 6 // a queue of three times its slots outweighs the distance
-	is.True(home.cost(now) > other.cost(now))
+	is.True(preferred.cost(now) < other.cost(now))
+	preferred.inFlight = 6 // a queue of three times its slots outweighs the distance
+	is.True(preferred.cost(now) > other.cost(now))
 }
 
 // While another attempt is in flight, its answer must not be delayed by a retry that finds no free
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,17 +36,17 @@
 
 // Gateway forwards requests. It is the http.Handler of the callers' listener.
 type Gateway struct {
-	cfg      Config
-	state    *discovery.State
-	messages Messages
-	recorder delivery.Recorder
-	self     member.Host
-	hosts    func() int  // number of hosts, this one included
-	helpers  *helperPool // nil: this host gathers every query itself
+	cfg       Config
+	state     *discovery.State
+	messages  Messages
+	recorder  delivery.Recorder
+	self      member.Host
+	hostCount func() int  // number of hosts, this one included
+	helpers   *helperPool // nil: this host gathers every query itself
 	// queriesForOthers is the number of queries that this host is gathering for other hosts.
 	queriesForOthers atomic.Int32
 	routeStats       routeStatsTable
-	requests         *quarantine.Table // quarantine records of requests
+	quarantineTable  *quarantine.Table // quarantine records of requests
 	pending          pendingRequests
 	registry         *serviceRegistry
 	life             *kernel.Lifecycle
@@ -64,7 +64,7 @@
 func New(cfg Config, self member.Host, hosts func() int, state *discovery.State, requests *quarantine.Table, messages Messages, recorder delivery.Recorder,
 	life *kernel.Lifecycle, log *event.Log, reg prometheus.Registerer) *Gateway {
 	g := &Gateway{
-		cfg: cfg, state: state, requests: requests, messages: messages, recorder: recorder, life: life, log: log, self: self, hosts: hosts,
+		cfg: cfg, state: state, quarantineTable: requests, messages: messages, recorder: recorder, life: life, log: log, self: self, hostCount: hosts,
 		registry: newServiceRegistry(cfg, self.ID, self.FailureDomain, hosts), metrics: newMetrics(reg), logLimits: newLogLimits(), pending: newPendingRequests(),
 	}
 	g.attemptHeader = http.Header{}
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -111,39 +111,39 @@
 	return runs
 }
 
-func (g *partCollector) add(p part) {
+func (c *partCollector) add(p part) {
 	if !p.ok {
-		g.failed++
-		g.outcomes = outcome.Combine(g.outcomes, p.run.sends.outcome())
+		c.failed++
+		c.outcomes = outcome.Combine(c.outcomes, p.run.sends.outcome())
 		return
 	}
-	g.answered++
-	g.hasPart[p.shard] = true
-	g.signatures = append(g.signatures, p.res.verdict.Signature)
-	g.top.add(p.res.answer.Body)
-	g.partBytes += len(p.res.answer.Body)
-	g.outcomes = outcome.Combine(g.outcomes, outcome.Done)
+	c.answered++
+	c.hasPart[p.shard] = true
+	c.signatures = append(c.signatures, p.res.verdict.Signature)
+	c.top.add(p.res.answer.Body)
+	c.partBytes += len(p.res.answer.Body)
+	c.outcomes = outcome.Combine(c.outcomes, outcome.Done)
 }
 
 // ended reports whether every shard has ended.
-func (g *partCollector) ended() bool { return g.answered+g.failed == len(g.route.Shards) }
+func (c *partCollector) ended() bool { return c.answered+c.failed == len(c.route.Shards) }
 
 // giveUp abandons the runs of the shards that have not ended, which settles whether they ran.
-func (g *partCollector) giveUp(runs []*run) {
+func (c *partCollector) giveUp(runs []*run) {
 	for _, run := range runs {
-		g.outcomes = outcome.Combine(g.outcomes, run.sends.giveUp())
+		c.outcomes = outcome.Combine(c.outcomes, run.sends.giveUp())
 	}
-	g.abandoned = true
+	c.abandoned = true
 }
 
 // result returns the current result. Shards that have not ended may be running, so a query that is
 // not abandoned can't have the outcome that it did not run.
-func (g *partCollector) result(runs []*run, attempts int) Gathered {
+func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
-		Signatures: append([]string(nil), g.signatures...), Records: g.top.joined(), PartBytes: g.partBytes,
-		Outcome: g.outcomes, Lacking: g.missingShards(runs), Attempts: attempts, Cut: !g.ended(), Failed: g.failed,
+		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
+		Outcome: c.outcomes, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
 	}
-	if !g.ended() && !g.abandoned {
+	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
 	}
 	return out
@@ -153,9 +153,9 @@
 const maxLoggedMissing = 4
 
 // missingShards returns some of the missing shards with the targets tried, for the log.
-func (g *partCollector) missingShards(runs []*run) string {
+func (c *partCollector) missingShards(runs []*run) string {
 	var names []string
-	for i, ok := range g.hasPart {
+	for i, ok := range c.hasPart {
 		if !ok && len(names) < maxLoggedMissing {
 			names = append(names, runs[i].triedTargets())
 		}
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -23,41 +23,41 @@
 }
 
 // add registers a request and the function that ends the wait for its answer. release must follow.
-func (h *pendingRequests) add(r *request, end func()) (release func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	one := &pendingRequest{cancel: end}
-	h.byRequest[r] = one
+func (pending *pendingRequests) add(r *request, end func()) (release func()) {
+	pending.mu.Lock()
+	defer pending.mu.Unlock()
+	p := &pendingRequest{cancel: end}
+	pending.byRequest[r] = p
 	return func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		delete(h.byRequest, r)
-		one.stopTimer()
+		pending.mu.Lock()
+		defer pending.mu.Unlock()
+		delete(pending.byRequest, r)
+		p.stopTimer()
 	}
 }
 
 // stopTimer stops the timer of an earlier suspension.
-func (h *pendingRequest) stopTimer() {
-	if h.timer != nil {
-		h.timer.Stop()
+func (p *pendingRequest) stopTimer() {
+	if p.timer != nil {
+		p.timer.Stop()
 	}
 }
 
 // expireOverdue ends the requests whose deadline has passed at now on the clock that includes
 // suspensions, and returns how many. The others get a timer, as their own fire too late by the
 // length of the suspension.
-func (h *pendingRequests) expireOverdue(now time.Time) (over int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for r, one := range h.byRequest {
-		one.stopTimer()
+func (pending *pendingRequests) expireOverdue(now time.Time) (over int) {
+	pending.mu.Lock()
+	defer pending.mu.Unlock()
+	for r, p := range pending.byRequest {
+		p.stopTimer()
 		left := r.deadline.Sub(r.arrived) - now.Sub(r.arrivedClock)
 		if left <= 0 {
-			r.expire(one.cancel)
+			r.expire(p.cancel)
 			over++
 			continue
 		}
-		one.timer = time.AfterFunc(left, func() { r.expire(one.cancel) })
+		p.timer = time.AfterFunc(left, func() { r.expire(p.cancel) })
 	}
 	return over
 }
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -56,7 +56,7 @@
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Silent: true})
-		a := answeredAfter(s, 300*time.Millisecond, "/one/x")[0] // of 600 ms
+		a := answeredAfter(s, 300*time.Millisecond, "/one/x")[0] // 300 of 600 ms
 		is.Equal(a.status, http.StatusGatewayTimeout)
 		is.True(a.took >= 290*time.Millisecond && a.took <= 310*time.Millisecond)
 	})
--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -71,10 +71,10 @@
 }
 
 // HelpWith enables the delegation of queries to other hosts. It must be called before Start.
-func (g *Gateway) HelpWith(call Helpers, hosts func() []member.Host) {
+func (g *Gateway) HelpWith(client Helpers, hosts func() []member.Host) {
 	g.registry.gatherers = newGathererIndex(g.self, hosts)
 	g.helpers = &helperPool{
-		self: g.self, client: call, byHost: map[string]*policy.Helper{},
+		self: g.self, client: client, byHost: map[string]*policy.Helper{},
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), helping: policy.NewHelping(),
 	}
 }
@@ -133,12 +133,12 @@
 
 // get returns the state of a host, creating it if necessary. The caller holds the lock.
 func (h *helperPool) get(id string) *policy.Helper {
-	one, ok := h.byHost[id]
+	helper, ok := h.byHost[id]
 	if !ok {
-		one = &policy.Helper{}
-		h.byHost[id] = one
+		helper = &policy.Helper{}
+		h.byHost[id] = helper
 	}
-	return one
+	return helper
 }
 
 // patience calls policy.Helping.Patience under the lock.
@@ -179,7 +179,7 @@
 // planCells divides a query into cells for the hosts that gather it.
 func (g *Gateway) planCells(r *request, route *routing.Route, p *gatherers) []plannedCell {
 	h := g.helpers
-	if stance, _ := g.quarantineMode(r); stance != quarantine.Free {
+	if mode, _ := g.quarantineMode(r); mode != quarantine.Free {
 		// Its attempts run alone, one at a time, so a single host has to make them.
 		return []plannedCell{{policy.WholeCell(len(route.Shards)), true}}
 	}
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -20,12 +20,12 @@
 			target.reserve(time.Now(), 1) // at each target one slot of two is taken
 		}
 		now := time.Now()
-		late := &request{lateRetry: true, arrived: now, deadline: now.Add(400 * time.Millisecond), latencyScale: 1}
+		lateRetry := &request{lateRetry: true, arrived: now, deadline: now.Add(400 * time.Millisecond), latencyScale: 1}
 		fresh := &request{arrived: now, deadline: now.Add(600 * time.Millisecond), latencyScale: 1}
 		_, err := s.acquire(t.Context(), fresh, nil)
 		is.NoErr(err)
 		is.Equal(time.Since(now), time.Duration(0))
-		_, err = s.acquire(t.Context(), late, nil)
+		_, err = s.acquire(t.Context(), lateRetry, nil)
 		is.NoErr(err)
 		is.Equal(time.Since(now), 100*time.Millisecond)
 	})
--- a/internal/gateway/learn.go
+++ b/internal/gateway/learn.go
@@ -14,7 +14,7 @@
 // drawProbeDelay returns after what time this host probes a target that some host ejected. Each
 // host draws its own exponentially distributed delay, so that one of them probes soon.
 func (g *Gateway) drawProbeDelay() time.Duration {
-	return time.Duration(rand.ExpFloat64() * float64(g.hosts()) * float64(meanProbeInterval))
+	return time.Duration(rand.ExpFloat64() * float64(g.hostCount()) * float64(meanProbeInterval))
 }
 
 // applyFindings applies other hosts' findings about targets.
@@ -64,10 +64,10 @@
 }
 
 // reportHealthChange publishes to the other hosts that this one ejected, ejected again or
-// readmitted a target.
-func (g *Gateway) reportHealthChange(now time.Time, t *target, before time.Time) {
+// readmitted a target. ejectedUntil is the end of the ejection before the last observation.
+func (g *Gateway) reportHealthChange(now time.Time, t *target, ejectedUntil time.Time) {
 	until := t.health.SetAsideUntil()
-	if until.Equal(before) {
+	if until.Equal(ejectedUntil) {
 		return
 	}
 	bad := !until.IsZero()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -78,7 +78,7 @@
 type logLimits struct {
 	failures        *rate.Limiter
 	others          *rate.Limiter
-	brokeOff        *rate.Limiter // lines about single attempts
+	attempts        *rate.Limiter // lines about single attempts
 	suppressed      atomic.Uint64 // lines dropped since the last suppression notice
 	completeAnswers atomic.Uint64
 }
@@ -87,7 +87,7 @@
 	return &logLimits{
 		failures: rate.NewLimiter(failureLinesPerSecond, lineBurstSeconds*failureLinesPerSecond),
 		others:   rate.NewLimiter(otherLinesPerSecond, lineBurstSeconds*otherLinesPerSecond),
-		brokeOff: rate.NewLimiter(otherLinesPerSecond, lineBurstSeconds*otherLinesPerSecond),
+		attempts: rate.NewLimiter(otherLinesPerSecond, lineBurstSeconds*otherLinesPerSecond),
 	}
 }
 
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -120,10 +120,10 @@
 	if p.byRoute == nil {
 		p.byRoute = map[string]*routeStats{}
 	}
-	one, ok := p.byRoute[route]
+	stats, ok := p.byRoute[route]
 	if !ok {
-		one = &routeStats{callers: policy.NewCallers()}
-		p.byRoute[route] = one
+		stats = &routeStats{callers: policy.NewCallers()}
+		p.byRoute[route] = stats
 	}
-	return one
+	return stats
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -45,20 +45,20 @@
 }
 
 // forRoute returns the hosts that gather the queries of a route.
-func (r *gathererIndex) forRoute(f *serviceRegistry, route *routing.Route) *gatherers {
-	hosts, serial := r.hosts(), f.generation.Load()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if serial != r.generation || !sameSlice(hosts, r.builtFrom) {
-		r.builtFrom, r.generation = hosts, serial
-		clear(r.byRoute)
+func (index *gathererIndex) forRoute(reg *serviceRegistry, route *routing.Route) *gatherers {
+	hosts, generation := index.hosts(), reg.generation.Load()
+	index.mu.Lock()
+	defer index.mu.Unlock()
+	if generation != index.generation || !sameSlice(hosts, index.builtFrom) {
+		index.builtFrom, index.generation = hosts, generation
+		clear(index.byRoute)
 	}
-	g, ok := r.byRoute[route.Name]
+	g, ok := index.byRoute[route.Name]
 	if !ok {
-		g = r.build(f.cfg.Regions.hostsAtHome(route, hosts), f.placement(route), f.cfg.disabled(Locality))
-		r.maxCounts[route.Name] = max(r.maxCounts[route.Name], g.count)
-		g.count = r.maxCounts[route.Name]
-		r.byRoute[route.Name] = g
+		g = index.build(reg.cfg.Regions.hostsAtHome(route, hosts), reg.placement(route), reg.cfg.disabled(Locality))
+		index.maxCounts[route.Name] = max(index.maxCounts[route.Name], g.count)
+		g.count = index.maxCounts[route.Name]
+		index.byRoute[route.Name] = g
 	}
 	return g
 }
@@ -71,16 +71,16 @@
 
 // build selects the hosts that gather queries over shards with the given placement. The caller
 // holds the lock.
-func (r *gathererIndex) build(hosts []member.Host, p placement, ignoreLocality bool) *gatherers {
+func (index *gathererIndex) build(hosts []member.Host, p placement, ignoreLocality bool) *gatherers {
 	nearest := 0
 	for _, n := range p.shardCounts {
 		nearest = max(nearest, n)
 	}
-	widest := r.self.LinkMbps
+	widest := index.self.LinkMbps
 	for _, h := range hosts {
 		widest = max(widest, h.LinkMbps)
 	}
-	r.maxLinkMbps = max(r.maxLinkMbps, widest)
+	index.maxLinkMbps = max(index.maxLinkMbps, widest)
 	gathers := func(h member.Host, widest uint32) bool {
 		near := nearest
 		if !ignoreLocality {
@@ -89,21 +89,21 @@
 		return policy.Gathers(float64(h.LinkMbps), float64(widest), near, nearest)
 	}
 	g := &gatherers{
-		shardDomains: p.shardDomains, answerable: p.answerable, ownDomain: p.domain(r.self.FailureDomain), widestLinkMbps: float64(widest),
-		selfGathers: gathers(r.self, widest), counted: gathers(r.self, r.maxLinkMbps),
+		shardDomains: p.shardDomains, answerable: p.answerable, ownDomain: p.domain(index.self.FailureDomain), widestLinkMbps: float64(widest),
+		selfGathers: gathers(index.self, widest), counted: gathers(index.self, index.maxLinkMbps),
 	}
 	if g.counted {
 		g.count++
 	}
 	for _, h := range hosts {
-		if h.ID == r.self.ID {
+		if h.ID == index.self.ID {
 			continue
 		}
 		if h.State == member.Alive && gathers(h, widest) {
 			g.hosts = append(g.hosts, h)
 			g.hostDomains = append(g.hostDomains, p.domain(h.FailureDomain))
 		}
-		if gathers(h, r.maxLinkMbps) {
+		if gathers(h, index.maxLinkMbps) {
 			g.count++
 		}
 	}
@@ -119,10 +119,10 @@
 }
 
 // placement returns the placement of a route's shards on targets that may get its requests.
-func (f *serviceRegistry) placement(route *routing.Route) placement {
+func (reg *serviceRegistry) placement(route *routing.Route) placement {
 	p := placement{shardDomains: make([]policy.Domains, len(route.Shards))}
 	for i, name := range route.Shards {
-		domains := f.cfg.Regions.domainsAtHome(route, f.service(name).domains())
+		domains := reg.cfg.Regions.domainsAtHome(route, reg.service(name).domains())
 		if len(domains) > 0 {
 			p.answerable++
 		}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -20,9 +20,9 @@
 	mu      sync.Mutex
 	targets []*target
 	byID    map[string]*target
-	budget  *policy.Budget
-	changed chan struct{} // closed and replaced when a target or a connection slot becomes available
-	waiting int           // requests waiting for a connection slot
+	budget  *policy.Budget // of extra attempts: retries and hedges
+	changed chan struct{}  // closed and replaced when a target or a connection slot becomes available
+	waiting int            // requests waiting for a connection slot
 	// ejectionOff is set if the Ejection mechanism is disabled.
 	ejectionOff bool
 
@@ -32,7 +32,7 @@
 	urgentRank    int    // lowest rank of the routes to the service
 	coldLimit     coldLimit
 	coldSendsFrom time.Time // no requests are sent to cold targets before
-	// permitsValid reports whether this host may act on its permits. It takes no lock.
+	// permitsValid reports whether this host may use its permits for cold targets. It takes no lock.
 	permitsValid func() bool
 	coldSignal   chan<- struct{}
 }
@@ -42,7 +42,7 @@
 	conf discovery.Target
 	// replaced is set once another incarnation has registered in the target's place.
 	replaced  atomic.Bool
-	preferred bool // chosen before others at equal cost; see choosePreferred
+	preferred bool // exempt from nonPreferredCostFactor; see choosePreferred
 	pool      *targetconn.Pool
 
 	// The fields below are guarded by the service's lock.
@@ -64,57 +64,57 @@
 
 // apply replaces the targets of the service and the set of evacuated failure domains by those of a
 // view. Requests in flight at a removed target are left to end by themselves.
-func (s *service) apply(f *serviceRegistry, list []discovery.Target, v discovery.View, urgentRank int) {
+func (s *service) apply(reg *serviceRegistry, list []discovery.Target, v discovery.View, urgentRank int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.urgentRank = urgentRank
 	if v.Table != nil {
 		conf, _ := v.Table.Service(s.name) // the zero Service has no limit
-		s.coldLimit = f.cfg.coldLimit(conf)
+		s.coldLimit = reg.cfg.coldLimit(conf)
 		s.checkPath = conf.HealthPath
 	}
-	known := s.byID
+	previous := s.byID
 	s.byID = map[string]*target{}
 	s.targets = s.targets[:0:0]
 	for _, conf := range list {
-		t, ok := known[conf.ID]
+		t, ok := previous[conf.ID]
 		if !ok || t.conf.Address != conf.Address || t.conf.Born != conf.Born {
-			t = f.newTarget(conf)
+			t = reg.newTarget(conf)
 			if ok {
-				t.cold.inherit(known[conf.ID])
+				t.cold.inherit(previous[conf.ID])
 			}
 		}
 		t.conf = conf
 		t.evacuated = v.EvacuationsUnknown || v.Evacuated[conf.Domain]
 		t.draining = conf.Draining || t.evacuated
-		t.cold.apply(f, conf, v, s.coldLimit, now)
+		t.cold.apply(reg, conf, v, s.coldLimit, now)
 		if s.cold(now, t) {
 			s.signalCold(t)
 		}
 		s.byID[conf.ID] = t
 		s.targets = append(s.targets, t)
 	}
-	for id, t := range known {
-		if now := s.byID[id]; now != t {
-			t.retire(now)
+	for id, t := range previous {
+		if successor := s.byID[id]; successor != t {
+			t.retire(successor)
 		}
 	}
-	if f.cfg.disabled(PreferLocal) {
+	if reg.cfg.disabled(PreferLocal) {
 		s.preferAll()
 	} else {
-		s.choosePreferred(f.failureDomain, f.hostID)
+		s.choosePreferred(reg.failureDomain, reg.hostID)
 	}
 	s.wake()
 }
 
-// retire closes the pool of a target whose registration was removed, or replaced by that of another
-// incarnation now. A removed target may still answer requests in flight; after a restart these are
-// lost, so they are aborted. The caller holds the lock.
-func (t *target) retire(now *target) {
+// retire closes the pool of a target whose registration was removed, or replaced by that of a
+// successor. A removed target may still answer requests in flight; after a restart these are lost, so
+// they are aborted. The caller holds the lock.
+func (t *target) retire(successor *target) {
 	t.draining = true
 	t.pool.Close()
-	if now != nil && now.conf.Born != t.conf.Born {
+	if successor != nil && successor.conf.Born != t.conf.Born {
 		t.replaced.Store(true)
 		t.pool.Abort()
 	}
@@ -147,19 +147,19 @@
 }
 
 // resize sets this host's share of the connections and of the retry budget by its weight.
-func (s *service) resize(f *serviceRegistry, weight float64) {
+func (s *service) resize(reg *serviceRegistry, weight float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := f.connectionLimits(f.view, s.name, len(s.targets), weight)
-	s.budget.SetShare(f.cfg.retryAllowance(), weight, f.hostDraw(s.name))
+	limits := reg.connectionLimits(reg.view, s.name, len(s.targets), weight)
+	s.budget.SetShare(reg.cfg.retryAllowance(), weight, reg.hostDraw(s.name))
 	for _, t := range s.targets {
 		if t.preferred {
-			t.pool.SetLimit(min(share.preferred, max(t.conf.Slots, 1)))
+			t.pool.SetLimit(min(limits.preferred, max(t.conf.Slots, 1)))
 			t.pool.SetKeep(0)
 			continue
 		}
-		t.pool.SetLimit(share.other)
-		t.pool.SetKeep(share.idleTimeout)
+		t.pool.SetLimit(limits.other)
+		t.pool.SetKeep(limits.idleTimeout)
 	}
 }
 
--- a/internal/gateway/single.go
+++ b/internal/gateway/single.go
@@ -197,7 +197,7 @@
 // launchConcurrent starts an attempt next to one in flight, if it needs no wait. free means that it
 // is not charged to the retry budget.
 func (r *run) launchConcurrent(free bool) {
-	if stance, _ := r.gateway.quarantineMode(r.request); stance != quarantine.Free {
+	if mode, _ := r.gateway.quarantineMode(r.request); mode != quarantine.Free {
 		return
 	}
 	if !free && !r.service.takeExtraAttempt() {
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -25,7 +25,9 @@
 }
 
 // hasSuspects reports whether any request has a quarantine record, so that a lookup can find one.
-func (g *Gateway) hasSuspects() bool { return !g.requests.Empty() && !g.cfg.disabled(Quarantine) }
+func (g *Gateway) hasSuspects() bool {
+	return !g.quarantineTable.Empty() && !g.cfg.disabled(Quarantine)
+}
 
 // quarantineMode returns how attempts of a request may be made, and for how much longer it is
 // quarantined.
@@ -33,7 +35,7 @@
 	if !g.hasSuspects() {
 		return quarantine.Free, 0
 	}
-	return g.requests.Stance(r.quarantineKeys())
+	return g.quarantineTable.Stance(r.quarantineKeys())
 }
 
 // quarantined reports whether a request is quarantined.
@@ -50,13 +52,13 @@
 		return false, nil
 	}
 	a := quarantine.Attempt{Request: r.request.quarantineKeys(), Service: r.service.name, Among: r.route.Shards}
-	return g.requests.Admit(ctx, a, r.request.acquireDeadline())
+	return g.quarantineTable.Admit(ctx, a, r.request.acquireDeadline())
 }
 
 // releaseAdmission ends an attempt that admit let through.
 func (r *run) releaseAdmission(alone bool) {
 	if alone {
-		r.gateway.requests.Left(r.request.quarantineKeys())
+		r.gateway.quarantineTable.Left(r.request.quarantineKeys())
 	}
 }
 
@@ -69,13 +71,13 @@
 func (g *Gateway) refusesConnections(ctx context.Context, s *service, t *target) bool {
 	ctx, cancel := context.WithTimeout(ctx, reconnectCheckTimeout)
 	defer cancel()
-	ended := targetconn.Refused(t.pool.Check(ctx))
-	if ended {
+	refused := targetconn.Refused(t.pool.Check(ctx))
+	if refused {
 		s.mu.Lock()
 		t.noteUnreachable()
 		s.mu.Unlock()
 	}
-	return ended
+	return refused
 }
 
 // updateQuarantine adds a strike to the request's quarantine record or clears it, by the result of
@@ -86,12 +88,12 @@
 	}
 	switch {
 	case res.outcome == outcome.Done:
-		if g.hasSuspects() && g.requests.Answered(r.quarantineKeys(), t.conf.Service) {
+		if g.hasSuspects() && g.quarantineTable.Answered(r.quarantineKeys(), t.conf.Service) {
 			g.log.Event(evCleared).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.conf.ID).Msg("")
 		}
 	case res.targetRestarted, res.connectionLost && g.refusesConnections(r.ctx, s, t):
 		g.recordStrike(r, t, alone)
-	case alone && unresolved(res) && g.requests.Strikes(r.quarantineKeys()) >= unresolvedStrikeThreshold:
+	case alone && unresolved(res) && g.quarantineTable.Strikes(r.quarantineKeys()) >= unresolvedStrikeThreshold:
 		// Targets have ended twice under the request, and this attempt is inconclusive: its target
 		// may end later, or the time that it was given passed first.
 		g.recordStrike(r, t, alone)
@@ -105,19 +107,19 @@
 // unresolved reports whether an attempt may have run and the state of its target is unknown since.
 func unresolved(res result) bool { return res.outcome == outcome.Unknown || res.targetTimedOut }
 
-// recordStrike records that a target ended under a request. Targets that end at the same time, as
-// when all parts of a query were sent, count as one strike on all hosts that gather a part:
-// otherwise requests that happened to be in flight there would collect as many.
+// recordStrike records that a target ended under a request. Targets that end together when all parts
+// of a query are sent count as one strike, on all hosts that gather a part: requests that were in
+// flight there by chance get that strike too.
 func (g *Gateway) recordStrike(r *request, t *target, alone bool) {
 	id := xxhash.Sum64String(r.call.RequestID)
 	if alone {
 		id = xxhash.Sum64String(r.call.RequestID + "/" + t.conf.ID)
 	}
-	quarantined := g.requests.Ended(r.quarantineKeys(), id, t.conf.Service)
+	quarantined := g.quarantineTable.Ended(r.quarantineKeys(), id, t.conf.Service)
 	g.metrics.targetsEnded.Inc()
-	if g.logLimits.brokeOff.Allow() {
+	if g.logLimits.attempts.Allow() {
 		g.log.Event(evTargetEnded).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.conf.ID).
-			Str("service", t.conf.Service).Bool("alone", alone).Int("strikes", g.requests.Strikes(r.quarantineKeys())).
+			Str("service", t.conf.Service).Bool("alone", alone).Int("strikes", g.quarantineTable.Strikes(r.quarantineKeys())).
 			Bool("quarantined", quarantined).Msg("")
 	}
 }
@@ -125,7 +127,7 @@
 // mergeQuarantineRecords merges the quarantine records that came with the result of a helper.
 func (g *Gateway) mergeQuarantineRecords(got Gathered) {
 	if len(got.Known) > 0 && !g.cfg.disabled(Quarantine) {
-		g.requests.Merge(got.Known)
+		g.quarantineTable.Merge(got.Known)
 	}
 }
 
@@ -134,5 +136,5 @@
 	if !g.hasSuspects() {
 		return nil
 	}
-	return g.requests.Known(r.quarantineKeys())
+	return g.quarantineTable.Known(r.quarantineKeys())
 }
--- a/tools/soak_twins.sh
+++ b/tools/soak_twins.sh
@@ -46,7 +46,7 @@
   internal/gateway/service.go 's/t.draining = conf.Draining \|\| t.evacuated/t.draining = t.evacuated/'
 
 twin "a request that ends its targets is sent on" "a request that ends its targets is kept from them" \
-  internal/gateway/trial.go 's/return !g.requests.Empty\(\) \&\& /return false \&\& /'
+  internal/gateway/trial.go 's/return !g.quarantineTable.Empty\(\) \&\& /return false \&\& /'
 twin "one foreign entry fails the whole list, or watch" "a leaving target gets no new work" \
   platform/registry.go 's/list.Unusable = append\(.*$/return discovery.TargetList{}, err/; s/gone := discovery.TargetChange\{.*$/return discovery.TargetChanges{}, err\n\t\t\tvar gone discovery.TargetChange/'
 twin "a host that has just read the registry tells peers no removals from before" "a leaving target gets no new work" \
