--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 	// objective is the latency within which the answer counts as in time: the route's, or the time
 	// limit if the route has none.
 	objective time.Duration
-	answerBy  time.Time // when an answer with missing parts must leave to be in time
+	answerBy  time.Time // when an answer with missing parts must be sent to be in time
 	deadline  time.Time // end of the time limit of the caller, the route and the settings
 	// goAhead is set once the host that delegated the query has confirmed that it does not gather
 	// the query itself; nil: this host received the query from the caller.
@@ -59,7 +59,7 @@
 	verdict         Verdict
 	answer          targetconn.Answer
 	err             error
-	took            time.Duration
+	latency         time.Duration
 	shed            bool // the target rejected the request as overloaded
 	targetTimedOut  bool // the target gave up when the time it was given had passed
 	abandoned       bool // canceled before an answer came
@@ -94,7 +94,7 @@
 	began := time.Now()
 	res := g.attempt(ctx, s, t, r, sends, alone)
 	res.target = t
-	res.took = time.Since(began)
+	res.latency = time.Since(began)
 	if res.connectionLost {
 		g.noteConnectionLost(t, r, res)
 	}
@@ -154,7 +154,7 @@
 		timeout = r.usefulTime(left)
 	}
 	own := http.Header{}
-	g.messages.Attempt(own, t.conf.ID, timeout)
+	g.messages.Attempt(own, t.info.ID, timeout)
 	began := time.Now()
 	answer, sent, err := conn.Exchange(ctx, r.deadline, &targetconn.Request{
 		Method: r.method, Head: head, Header: own, Body: r.body,
@@ -184,7 +184,7 @@
 const targetTimeoutMargin = 2 * time.Millisecond
 
 // usefulTime returns how much of the remaining time an attempt can contribute to the answer: a part
-// that arrives after the answer has left is discarded. A target that is overloaded drops such work
+// that arrives after the answer was sent is discarded. A target that is overloaded drops such work
 // from its queue instead of delaying all other requests.
 func (r *request) usefulTime(left time.Duration) time.Duration {
 	if until := time.Until(r.answerBy); r.sharded && until > 0 {
@@ -218,7 +218,7 @@
 		res.outcome = outcome.Rejected
 	default:
 		res.outcome = outcome.Unknown
-		res.err = Error.New("target %s answered with status %d and no signature", t.conf.ID, a.Status)
+		res.err = Error.New("target %s answered with status %d and no signature", t.info.ID, a.Status)
 	}
 	return res
 }
@@ -227,7 +227,7 @@
 func (g *Gateway) finishAttempt(s *service, t *target, r *request, res result) {
 	now := time.Now()
 	if res.outcome == outcome.Done {
-		r.stats.observe(res.took)
+		r.stats.observe(res.latency)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +238,7 @@
 	s.observeWarmup(now, t, res.verdict.Warmup)
 	if res.verdict.Kind == WrongTarget {
 		t.addressReused = true
-		g.log.Event(evWrongTarget).Str("target", t.conf.ID).Str("service", s.name).Str("address", t.conf.Address).Msg("")
+		g.log.Event(evWrongTarget).Str("target", t.info.ID).Str("service", s.name).Str("address", t.info.Address).Msg("")
 	}
 	if t.evacuated {
 		t.health.Unsent(now) // attempts at an evacuated target do not count for its health
@@ -251,7 +251,7 @@
 	}
 	g.noteReachable(t, res)
 	ejectedUntil := t.health.SetAsideUntil()
-	t.health.ObserveScaled(now, res.took, r.latencyScale, g.signal(res), medianScaledLatency)
+	t.health.ObserveScaled(now, res.latency, r.latencyScale, g.signal(res), medianScaledLatency)
 	g.reportHealthChange(now, t, ejectedUntil)
 	s.wake()
 }
--- a/internal/gateway/broken.go
+++ b/internal/gateway/broken.go
@@ -8,7 +8,7 @@
 		return
 	}
 	g.log.Event(evConnectionLost).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).
-		Str("target", t.conf.ID).Str("service", t.conf.Service).Dur("after", res.took).Err(res.err).Msg("")
+		Str("target", t.info.ID).Str("service", t.info.Service).Dur("after", res.latency).Err(res.err).Msg("")
 }
 
 // noteReachable updates whether the target accepts connections, and logs when it begins to refuse
@@ -17,8 +17,8 @@
 	switch {
 	case res.unreachable && !t.unreachable:
 		t.noteUnreachable()
-		g.log.Event(evUnreachable).Str("target", t.conf.ID).Str("service", t.conf.Service).
-			Str("address", t.conf.Address).Err(res.err).Msg("")
+		g.log.Event(evUnreachable).Str("target", t.info.ID).Str("service", t.info.Service).
+			Str("address", t.info.Address).Err(res.err).Msg("")
 	case !res.unreachable && !res.abandoned:
 		t.unreachable = false
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -51,14 +51,14 @@
 		if !now.Before(until) {
 			return nil, Error.Wrap(errDeadline)
 		}
-		if c.target == nil && !c.busy && !c.next.Before(until) {
+		if c.target == nil && !c.busy && !c.retryAt.Before(until) {
 			return nil, Error.Wrap(errColdLimit) // the cold target admits the request only after its deadline
 		}
 		if yields {
 			until = yieldUntil
 		}
-		if !c.next.IsZero() && c.next.Before(until) {
-			until = c.next
+		if !c.retryAt.IsZero() && c.retryAt.Before(until) {
+			until = c.retryAt
 		}
 		if err := s.waitForChange(ctx, until); err != nil {
 			return nil, err
@@ -82,7 +82,7 @@
 }
 
 // acquireDeadline returns until when a request may wait for a connection slot. A part of a query
-// that is sent after the answer has left is useless and takes the slot of one that is not, which
+// that is sent later than the answer is useless and takes the slot of one that is not, which
 // matters most where the only target left of a shard is overloaded.
 func (r *request) acquireDeadline() time.Time {
 	if r.sharded && r.answerBy.Before(r.deadline) {
@@ -139,10 +139,10 @@
 
 // choice is the target to use next, and what to wait for if there is none.
 type choice struct {
-	target *target
-	usable bool      // some target may be used, now or later
-	busy   bool      // one of the usable targets has no free connection slot
-	next   time.Time // when a cold target may next be used; zero: no cold target to wait for
+	target  *target
+	usable  bool      // some target may be used, now or later
+	busy    bool      // one of the usable targets has no free connection slot
+	retryAt time.Time // when a cold target may next be used; zero: no cold target to wait for
 }
 
 // bestTarget returns the target with the lowest cost that has a free connection slot.
@@ -153,7 +153,7 @@
 	var bestEjected *target // used only if no other target is available
 	var leastEjected float64
 	for _, t := range s.targets {
-		if t.draining || t.addressReused || contains(tried, t) || !s.regions.inHomeRegions(r.homeRegions, t.conf.Domain) {
+		if t.draining || t.addressReused || contains(tried, t) || !s.regions.inHomeRegions(r.homeRegions, t.info.Domain) {
 			continue
 		}
 		cold := s.cold(now, t)
@@ -167,7 +167,7 @@
 		}
 		if cold {
 			if ok, at := s.admitCold(now, t, s.urgent(r)); !ok {
-				c.noteNext(at)
+				c.noteRetryAt(at)
 				continue
 			}
 		}
@@ -188,16 +188,16 @@
 	return c
 }
 
-// noteNext records when a cold target may be used.
-func (c *choice) noteNext(at time.Time) {
-	if c.next.IsZero() || at.Before(c.next) {
-		c.next = at
+// noteRetryAt records when a cold target may be used.
+func (c *choice) noteRetryAt(at time.Time) {
+	if c.retryAt.IsZero() || at.Before(c.retryAt) {
+		c.retryAt = at
 	}
 }
 
 // cost returns the expected latency at the target, multiplied if this host does not prefer it.
 func (t *target) cost(now time.Time) float64 {
-	cost := t.health.Expected(now, t.inFlight, float64(t.conf.Slots), meanScaledLatency)
+	cost := t.health.Expected(now, t.inFlight, float64(t.info.Slots), meanScaledLatency)
 	if !t.preferred {
 		cost *= nonPreferredCostFactor
 	}
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -142,7 +142,7 @@
 // needsWarmupQuery reports whether a target must be queried for its warm-up time before anything is
 // sent to it, and the current count of restart signs. A target whose health path is unknown can't
 // be queried, and counts as cold.
-func (s *service) needsWarmupQuery(t *target) (signs int, ask bool) {
+func (s *service) needsWarmupQuery(t *target) (signs int, needed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := &t.cold
@@ -228,7 +228,7 @@
 		bound := s.coldLimit.perSecond
 		s.mu.Unlock()
 		for _, t := range cold {
-			all = append(all, ColdTarget{ID: t.conf.ID, Bound: bound, Hosts: reg.hostsServing(s.name, t.conf.Domain)})
+			all = append(all, ColdTarget{ID: t.info.ID, Bound: bound, Hosts: reg.hostsServing(s.name, t.info.Domain)})
 		}
 	}
 	return all
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -18,13 +18,13 @@
 	d := delivery.Delivery{
 		RequestID: r.call.RequestID, Caller: addressOf(r.caller), Service: w.route,
 		Outcome: w.outcome, Reason: w.reasonCode, Snapshot: w.configVersion, Latency: took,
-		Attempts: int(r.attempts.Load()), Needed: w.wantParts,
+		Attempts: int(r.attempts.Load()), Needed: w.totalParts,
 	}
 	if d.Service == "" {
 		d.Service = noRouteService
 	}
-	if w.outcome == outcome.Done && w.wantParts > 0 {
-		d.Coverage = float64(w.wantParts-w.missingParts) / float64(w.wantParts)
+	if w.outcome == outcome.Done && w.totalParts > 0 {
+		d.Coverage = float64(w.totalParts-w.missingParts) / float64(w.totalParts)
 	}
 	return d
 }
--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -12,13 +12,14 @@
 
 // cellResult is the latest result of one cell of a query.
 type cellResult struct {
-	cell   int
-	shards int // number of shards of the cell
-	got    Gathered
-	ended  bool
+	cell     int
+	shards   int // number of shards of the cell
+	gathered Gathered
+	ended    bool
 }
 
-// dividedQuery collects the results of a query whose cells are gathered by one host each.
+// dividedQuery collects the results of a query that is divided into cells: groups of shards that are
+// gathered by one host each.
 type dividedQuery struct {
 	route    *routing.Route
 	minParts int // parts that a successful answer needs
@@ -37,7 +38,7 @@
 }
 
 // gather answers a query over shards. Each cell is gathered by one host, this one or another. It
-// waits for all parts until the answer must leave, and then for the minimum number of them. A query
+// waits for all parts until the answer must be sent, and then for the minimum number of them. A query
 // that too few shards can answer is not sent at all: while registrations are missing after a
 // restart it would run on the few known targets in vain, and be answered as possibly run. After
 // gather returns nothing more is sent.
@@ -59,9 +60,9 @@
 		cellReq := &cellRequest{
 			request: r, route: cellRoute(route, cell.Cell), gatherers: gatherers, plan: cell,
 			lossLimits: lossLimits,
-			report:     func(got Gathered) { updates <- cellResult{cell: i, shards: n, got: got} },
+			report:     func(got Gathered) { updates <- cellResult{cell: i, shards: n, gathered: got} },
 		}
-		go func() { updates <- cellResult{cell: i, shards: n, got: g.gatherCell(ctx, cellReq), ended: true} }()
+		go func() { updates <- cellResult{cell: i, shards: n, gathered: g.gatherCell(ctx, cellReq), ended: true} }()
 	}
 	q.collect(ctx, r, updates)
 	if q.answered() < q.minParts && r.ctx.Err() == nil {
@@ -93,7 +94,7 @@
 // nothingHasRun reports whether no cell that has ended may have run.
 func (q *dividedQuery) nothingHasRun() bool {
 	for _, p := range q.cells {
-		if p.ended && !p.got.Outcome.NotRun() {
+		if p.ended && !p.gathered.Outcome.NotRun() {
 			return false
 		}
 	}
@@ -124,7 +125,7 @@
 	return &part
 }
 
-// collect collects cell results until the answer should leave or can't succeed any more.
+// collect collects cell results until the answer should be sent or can't succeed any more.
 func (q *dividedQuery) collect(ctx context.Context, r *request, updates <-chan cellResult) {
 	answerTimer := time.NewTimer(time.Until(r.answerBy))
 	defer answerTimer.Stop()
@@ -150,7 +151,7 @@
 func (q *dividedQuery) answered() int {
 	n := 0
 	for _, p := range q.cells {
-		n += len(p.got.Signatures)
+		n += len(p.gathered.Signatures)
 	}
 	return n
 }
@@ -165,9 +166,9 @@
 	lost := 0
 	for _, p := range q.cells {
 		if p.ended {
-			lost += p.shards - len(p.got.Signatures)
+			lost += p.shards - len(p.gathered.Signatures)
 		} else {
-			lost += p.got.Failed
+			lost += p.gathered.Failed
 		}
 	}
 	return len(q.route.Shards)-lost < q.minParts
@@ -179,18 +180,18 @@
 	top := topRecords{limit: q.route.TopK}
 	var lacking, reasons, helpers []string
 	for _, p := range q.cells {
-		if !p.ended && len(p.got.Signatures) == 0 {
-			p.got.Outcome = outcome.Unknown // may still be running
+		if !p.ended && len(p.gathered.Signatures) == 0 {
+			p.gathered.Outcome = outcome.Unknown // may still be running
 		}
-		out.Signatures = append(out.Signatures, p.got.Signatures...)
-		top.add(p.got.Records)
-		out.Outcome = outcome.Combine(out.Outcome, p.got.Outcome)
-		if p.got.Helper != "" {
-			out.Attempts += p.got.Attempts // attempts of this host are counted when they are made
+		out.Signatures = append(out.Signatures, p.gathered.Signatures...)
+		top.add(p.gathered.Records)
+		out.Outcome = outcome.Combine(out.Outcome, p.gathered.Outcome)
+		if p.gathered.Helper != "" {
+			out.Attempts += p.gathered.Attempts // attempts of this host are counted when they are made
 		}
-		out.PartBytes += p.got.PartBytes
-		lacking, reasons = appendText(lacking, p.got.Lacking), appendText(reasons, p.got.Reason)
-		helpers = appendText(helpers, p.got.Helper)
+		out.PartBytes += p.gathered.PartBytes
+		lacking, reasons = appendText(lacking, p.gathered.Lacking), appendText(reasons, p.gathered.Reason)
+		helpers = appendText(helpers, p.gathered.Helper)
 	}
 	out.Lacking, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
 	if len(out.Signatures) >= q.minParts {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -14,7 +14,7 @@
 	evAttempts = event.Define(11004, "request_attempts", plog.InfoLevel,
 		"The attempts made for the request of the preceding 11001 line: the targets tried (of a query over shards, those of some missing shards) and the age of the configuration.",
 		"Look for log lines about these targets, on the helper host if one is named.", "request", "attempts", "asked", "budget", "age", "helper", "content", "caller")
-	evWithout = event.Define(11007, "mechanisms_off", plog.WarnLevel,
+	evMechanismsOff = event.Define(11007, "mechanisms_off", plog.WarnLevel,
 		"Mechanisms of the gateway are disabled in the settings.", "Enable them again after the incident.", "mechanisms")
 	evHelperLost = event.Define(11006, "helper_lost", plog.WarnLevel,
 		"A host that was to gather a part of a query did not take it in time, or the connection to it broke. It gets no queries for a while. Unless it had taken the part, another host, or this one, gathers it.",
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,7 +7,7 @@
 // when a target is ejected (policy), or know the names of headers: these come through Messages. The
 // listeners are in package gatewayhost.
 //
-// Begin reading at Gateway.ServeHTTP. From there Gateway.single and run.do handle single requests,
+// Begin reading at Gateway.ServeHTTP. From there Gateway.single and run.execute handle single requests,
 // and Gateway.scatter, Gateway.gather and Gateway.gatherLocally handle queries over shards.
 // service.acquire chooses the target of an attempt, and Gateway.send makes the attempt.
 package gateway
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	if off := g.cfg.Without; len(off) > 0 {
-		g.log.Event(evWithout).Str("mechanisms", joinMechanisms(off)).Msg("")
+		g.log.Event(evMechanismsOff).Str("mechanisms", joinMechanisms(off)).Msg("")
 	}
 	go g.registry.maintainConnections(ctx)
 	go g.state.Clock().Watch(ctx, g.onResume)
@@ -143,7 +143,7 @@
 		g.unknownRoute(w)
 		return
 	}
-	w.route, w.objective, w.wantParts = route.Name, route.Objective, max(len(route.Shards), 1)
+	w.route, w.objective, w.totalParts = route.Name, route.Objective, max(len(route.Shards), 1)
 	if limit := table.Config.Limits.HeaderBytes; limit > 0 && headerSize(hr) > limit {
 		w.invalid(http.StatusRequestHeaderFieldsTooLarge, "the header is longer than the configuration allows")
 		return
--- a/internal/gateway/gatherers.go
+++ b/internal/gateway/gatherers.go
@@ -169,8 +169,8 @@
 	defer s.mu.Unlock()
 	var all []string
 	for _, t := range s.targets {
-		if !t.draining && !slices.Contains(all, t.conf.Domain) {
-			all = append(all, t.conf.Domain)
+		if !t.draining && !slices.Contains(all, t.info.Domain) {
+			all = append(all, t.info.Domain)
 		}
 	}
 	return all
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -49,7 +49,7 @@
 	signatures []string
 	top        topRecords
 	partBytes  int
-	outcomes   outcome.Outcome
+	combined   outcome.Outcome
 	abandoned  bool // no shard gets further attempts
 }
 
@@ -68,7 +68,7 @@
 	parts := make(chan part, len(runs))
 	for i, run := range runs {
 		go func() {
-			res, ok := run.do(ctx)
+			res, ok := run.execute(ctx)
 			parts <- part{shard: i, ok: ok, res: res, run: run}
 		}()
 	}
@@ -114,7 +114,7 @@
 func (c *partCollector) add(p part) {
 	if !p.ok {
 		c.failed++
-		c.outcomes = outcome.Combine(c.outcomes, p.run.sends.outcome())
+		c.combined = outcome.Combine(c.combined, p.run.sends.outcome())
 		return
 	}
 	c.answered++
@@ -122,7 +122,7 @@
 	c.signatures = append(c.signatures, p.res.verdict.Signature)
 	c.top.add(p.res.answer.Body)
 	c.partBytes += len(p.res.answer.Body)
-	c.outcomes = outcome.Combine(c.outcomes, outcome.Done)
+	c.combined = outcome.Combine(c.combined, outcome.Done)
 }
 
 // ended reports whether every shard has ended.
@@ -131,7 +131,7 @@
 // giveUp abandons the runs of the shards that have not ended, which settles whether they ran.
 func (c *partCollector) giveUp(runs []*run) {
 	for _, run := range runs {
-		c.outcomes = outcome.Combine(c.outcomes, run.sends.giveUp())
+		c.combined = outcome.Combine(c.combined, run.sends.giveUp())
 	}
 	c.abandoned = true
 }
@@ -141,7 +141,7 @@
 func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
 		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
-		Outcome: c.outcomes, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
+		Outcome: c.combined, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
 	}
 	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -30,7 +30,7 @@
 	Route     routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
 	May       Missing
 	Objective time.Duration // latency within which the answer counts as in time
-	AnswerIn  time.Duration // time until the answer leaves without the missing parts
+	AnswerIn  time.Duration // time until the answer is sent without the missing parts
 	Budget    time.Duration // time until the caller's deadline
 	Late      bool          // the request is a late retry
 	Asked     int           // how often other hosts may have sent the query to each shard
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// A part of a query waits for a connection slot only until the answer leaves: after that it is
+// A part of a query waits for a connection slot only until the answer is sent: after that it is
 // useless and would take the slot of another part.
 func TestPartWaitsNoLongerThanItsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 		_, err := s.acquire(t.Context(), part, nil)
 		is.True(errors.Is(err, errDeadline))
 		is.Equal(time.Since(now), 90*time.Millisecond)
-		_, err = s.acquire(t.Context(), part, nil) // after the answer has left
+		_, err = s.acquire(t.Context(), part, nil) // after the answer was sent
 		is.True(errors.Is(err, errDeadline))
 		is.Equal(time.Since(now), 90*time.Millisecond)
 		whole := &request{arrived: now, answerBy: part.answerBy, deadline: part.deadline, latencyScale: 1}
--- a/internal/gateway/learn.go
+++ b/internal/gateway/learn.go
@@ -22,7 +22,7 @@
 	now := time.Now()
 	for _, f := range all {
 		s, t := g.registry.find(f.Target)
-		if t == nil || f.Born != t.conf.Born { // another incarnation
+		if t == nil || f.Born != t.info.Born { // another incarnation
 			continue
 		}
 		s.mu.Lock()
@@ -42,7 +42,7 @@
 // logHealth logs that a target was ejected or readmitted. from is the failure domain of the host
 // that found so, or "this host".
 func (g *Gateway) logHealth(now time.Time, t *target, from string) {
-	g.log.Event(evTargetHealth).Str("target", t.conf.ID).Str("service", t.conf.Service).
+	g.log.Event(evTargetHealth).Str("target", t.info.ID).Str("service", t.info.Service).
 		Bool("set_aside", t.health.Ejected(now)).Dur("latency", t.health.Latency()).
 		Float64("failures", t.health.FailureRatio()).Str("from", from).Msg("")
 }
@@ -79,6 +79,6 @@
 		return
 	}
 	g.state.ReportFinding(discovery.Finding{
-		Target: t.conf.ID, Born: t.conf.Born, Bad: bad, Ended: bad && t.unreachable, Latency: t.health.Latency(), Failures: t.health.FailureRatio(), Domain: g.self.FailureDomain,
+		Target: t.info.ID, Born: t.info.Born, Bad: bad, Ended: bad && t.unreachable, Latency: t.health.Latency(), Failures: t.health.FailureRatio(), Domain: g.self.FailureDomain,
 	})
 }
--- a/internal/gateway/mechanism.go
+++ b/internal/gateway/mechanism.go
@@ -14,7 +14,7 @@
 	// CallerDistance reserves the observed time for the answer's way back to the caller. Without it
 	// a fixed prior is reserved.
 	CallerDistance Mechanism = "caller_distance"
-	// BoundedWork limits the time given to targets to the moment at which the answer leaves.
+	// BoundedWork limits the time given to targets to the moment at which the answer is sent.
 	BoundedWork Mechanism = "bounded_work"
 	// ShedPenalty raises the cost of targets that shed requests, so that they are chosen last.
 	ShedPenalty Mechanism = "shed_cost"
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,15 +11,15 @@
 )
 
 type metrics struct {
-	requests          *prometheus.CounterVec
-	duration          *prometheus.HistogramVec
-	attempts          *prometheus.CounterVec
-	partial           prometheus.Counter
-	brokenAttempts    prometheus.Counter
-	unreadableReports prometheus.Counter
-	loadQueries       *prometheus.CounterVec
-	targetsEnded      prometheus.Counter
-	quarantined       prometheus.Counter
+	requests            *prometheus.CounterVec
+	duration            *prometheus.HistogramVec
+	attempts            *prometheus.CounterVec
+	partialAnswers      prometheus.Counter
+	brokenAttempts      prometheus.Counter
+	unreadableReports   prometheus.Counter
+	loadQueries         *prometheus.CounterVec
+	targetsEnded        prometheus.Counter
+	quarantinedRequests prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -38,7 +38,7 @@
 			Name: "rhubarbwood_gateway_attempts_total",
 			Help: "Attempts at targets by outcome.",
 		}, []string{"outcome"}),
-		partial: f.NewCounter(prometheus.CounterOpts{
+		partialAnswers: f.NewCounter(prometheus.CounterOpts{
 			Name: "rhubarbwood_gateway_partial_answers_total",
 			Help: "Answers that lack parts.",
 		}),
@@ -46,7 +46,7 @@
 			Name: "rhubarbwood_gateway_targets_ended_total",
 			Help: "Attempts under which their target ended.",
 		}),
-		quarantined: f.NewCounter(prometheus.CounterOpts{
+		quarantinedRequests: f.NewCounter(prometheus.CounterOpts{
 			Name: "rhubarbwood_gateway_quarantined_requests_total",
 			Help: "Requests refused as targets end under them.",
 		}),
@@ -116,7 +116,7 @@
 		g.metrics.duration.WithLabelValues(w.route).Observe(took.Seconds())
 	}
 	if w.missingParts > 0 {
-		g.metrics.partial.Inc()
+		g.metrics.partialAnswers.Inc()
 	}
 	g.recorder.Record(w.delivery(took))
 	if !g.logLimits.shouldLog(w) {
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -46,7 +46,7 @@
 // expireOverdue ends the requests whose deadline has passed at now on the clock that includes
 // suspensions, and returns how many. The others get a timer, as their own fire too late by the
 // length of the suspension.
-func (pending *pendingRequests) expireOverdue(now time.Time) (over int) {
+func (pending *pendingRequests) expireOverdue(now time.Time) (expired int) {
 	pending.mu.Lock()
 	defer pending.mu.Unlock()
 	for r, p := range pending.byRequest {
@@ -54,12 +54,12 @@
 		left := r.deadline.Sub(r.arrived) - now.Sub(r.arrivedClock)
 		if left <= 0 {
 			r.expire(p.cancel)
-			over++
+			expired++
 			continue
 		}
 		p.timer = time.AfterFunc(left, func() { r.expire(p.cancel) })
 	}
-	return over
+	return expired
 }
 
 // expire marks the request as past its deadline and ends the wait for its answer.
@@ -73,6 +73,6 @@
 
 // onResume answers the requests whose deadline passed while the machine was suspended.
 func (g *Gateway) onResume(asleep time.Duration) {
-	over := g.pending.expireOverdue(g.state.Clock().Now())
-	g.log.Event(evResumed).Dur("asleep", asleep).Int("expired", over).Msg("")
+	expired := g.pending.expireOverdue(g.state.Clock().Now())
+	g.log.Event(evResumed).Dur("asleep", asleep).Int("expired", expired).Msg("")
 }
--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -136,7 +136,7 @@
 // distribute divides connections and budgets among the hosts again.
 func (reg *serviceRegistry) distribute(services []*service) {
 	for _, s := range services {
-		s.resize(reg, reg.weight(s.name))
+		s.setShare(reg, reg.weight(s.name))
 	}
 }
 
@@ -211,7 +211,7 @@
 
 func (reg *serviceRegistry) newTarget(t discovery.Target) *target {
 	return &target{
-		conf:   t,
+		info:   t,
 		pool:   targetconn.NewPool(t.Address, 1, reg.cfg.ConnectTimeout.Std(), reg.dial),
 		health: policy.NewQuickOutlier(),
 		cold:   coldState{window: &policy.ColdWindow{}},
@@ -237,8 +237,8 @@
 	}
 }
 
-// resize divides connections and budgets again if the hosts have changed.
-func (reg *serviceRegistry) resize() {
+// redistribute divides connections and budgets again if the hosts have changed.
+func (reg *serviceRegistry) redistribute() {
 	reg.mu.Lock()
 	before, divided := reg.maxHosts, reg.dividedAmong
 	hosts := reg.hostCount()
@@ -262,7 +262,7 @@
 		select {
 		case now := <-tick.C:
 			reg.trim(now)
-			reg.resize()
+			reg.redistribute()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/gateway/registry_test.go
+++ b/internal/gateway/registry_test.go
@@ -32,7 +32,7 @@
 func TestHostPrefersItsFailureDomain(t *testing.T) {
 	is := is.New(t)
 	for _, target := range registryOf("h", "new-town", 7, 26).service("s").targets {
-		is.Equal(target.preferred, target.conf.Domain == "new-town")
+		is.Equal(target.preferred, target.info.Domain == "new-town")
 	}
 }
 
@@ -45,7 +45,7 @@
 		n := 0
 		for _, target := range registryOf(fmt.Sprintf("natal-%d", i), "natal", hosts, 70).service("s").targets {
 			if target.preferred {
-				preferredCount[target.conf.ID]++
+				preferredCount[target.info.ID]++
 				n++
 			}
 		}
@@ -80,7 +80,7 @@
 	reg.apply(registryOf("h", "salt-lake", 7, 260).view)
 	before := reg.connectionLimits(reg.view, "s", 3, reg.weight("s"))
 	hosts = 70
-	reg.resize()
+	reg.redistribute()
 	after := reg.connectionLimits(reg.view, "s", 3, reg.weight("s"))
 	is.True(after.other < before.other)
 	hosts = 7 // the limits must not grow, as the other hosts may return at any time
@@ -90,8 +90,8 @@
 func TestCostOfATarget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	preferred := &target{preferred: true, health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
-	other := &target{health: policy.NewQuickOutlier(), conf: discovery.Target{Slots: 2}}
+	preferred := &target{preferred: true, health: policy.NewQuickOutlier(), info: discovery.Target{Slots: 2}}
+	other := &target{health: policy.NewQuickOutlier(), info: discovery.Target{Slots: 2}}
 	is.True(preferred.cost(now) < other.cost(now))
 	preferred.inFlight = 6 // a queue of three times its slots outweighs the distance
 	is.True(preferred.cost(now) > other.cost(now))
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -29,7 +29,7 @@
 	refusalBusy        = refusal{"targets are busy", query.ReasonOverload, 60 * time.Millisecond}
 	refusalCold        = refusal{"targets are cold", query.ReasonOverload, 500 * time.Millisecond}
 	refusalQuarantined = refusal{"targets end under this request", query.ReasonQuarantined, time.Minute}
-	refusalLate        = refusal{"no target came free in time", query.ReasonBudget, 60 * time.Millisecond}
+	refusalTimeout     = refusal{"no target came free in time", query.ReasonBudget, 60 * time.Millisecond}
 )
 
 // reply writes the answer to a request and collects what is recorded of it.
@@ -40,7 +40,7 @@
 	route        string
 	status       int
 	outcome      outcome.Outcome
-	wantParts    int // parts of a complete answer: the shards of a query, else 1
+	totalParts   int // parts of a complete answer: the shards of a query, else 1
 	missingParts int // parts that the answer lacks
 	// reason is why the answer is not complete, for the log, and reasonCode the same for the
 	// delivery records.
@@ -88,7 +88,7 @@
 // quarantined answers that the request did not run, as it is quarantined, and when it may be
 // retried.
 func (w *reply) quarantined(left time.Duration) {
-	w.gateway.metrics.quarantined.Inc()
+	w.gateway.metrics.quarantinedRequests.Inc()
 	w.outcome, w.reasonCode = outcome.NotSent, refusalQuarantined.reason
 	w.problem(http.StatusServiceUnavailable, left, refusalQuarantined.name)
 }
@@ -102,7 +102,7 @@
 // unknown answers that the request may have run.
 func (w *reply) unknown(cause error) {
 	w.outcome, w.reasonCode = outcome.Unknown, query.ReasonConnection
-	if w.wantParts > 1 {
+	if w.totalParts > 1 {
 		w.reasonCode = query.ReasonCoverage
 	}
 	reason := "no valid answer; the request may have run"
--- a/internal/gateway/routestats.go
+++ b/internal/gateway/routestats.go
@@ -22,8 +22,8 @@
 // of its attempts, its callers' timing and the size of its parts.
 type routeStats struct {
 	mu            sync.Mutex
-	median        time.Duration
-	slow          time.Duration
+	medianLatency time.Duration
+	slowLatency   time.Duration
 	callers       policy.Callers
 	meanPartBytes float64 // of a part's records
 }
@@ -59,7 +59,7 @@
 }
 
 // observeArrival records the arrival of a request. It returns when an answer with missing parts
-// must leave, and whether the request is a late retry.
+// must be sent, and whether the request is a late retry.
 func (p *routeStats) observeArrival(a policy.Arrival, objective time.Duration) (answerBy time.Time, late bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +67,7 @@
 	return p.callers.AnswerBy(a, objective), p.callers.Late(a, objective)
 }
 
-// observeWriteLag records how long after it was due an answer with missing parts had left.
+// observeWriteLag records how long after it was due an answer with missing parts was sent.
 func (p *routeStats) observeWriteLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,19 +78,19 @@
 func (p *routeStats) observe(latency time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.median == 0 {
-		p.median, p.slow = latency, latency
+	if p.medianLatency == 0 {
+		p.medianLatency, p.slowLatency = latency, latency
 		return
 	}
-	p.median = policy.TowardsQuantile(p.median, latency, 0.5)
-	p.slow = policy.TowardsQuantile(p.slow, latency, slowQuantile)
+	p.medianLatency = policy.TowardsQuantile(p.medianLatency, latency, 0.5)
+	p.slowLatency = policy.TowardsQuantile(p.slowLatency, latency, slowQuantile)
 }
 
-// lateAfter returns the latency above which an attempt is slow, 0 if no latency was observed.
-func (p *routeStats) lateAfter() time.Duration {
+// slowThreshold returns the latency above which an attempt is slow, 0 if no latency was observed.
+func (p *routeStats) slowThreshold() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.slow
+	return p.slowLatency
 }
 
 // latencyScale returns the factor that scales the route's median latency to medianScaledLatency.
@@ -98,7 +98,7 @@
 func (p *routeStats) latencyScale(objective time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	median := p.median
+	median := p.medianLatency
 	if median <= 0 {
 		median = objective / 10
 	}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -39,7 +39,7 @@
 
 // target is one incarnation (id and start time) of a target, as seen by this host.
 type target struct {
-	conf discovery.Target
+	info discovery.Target // the registration
 	// replaced is set once another incarnation has registered in the target's place.
 	replaced  atomic.Bool
 	preferred bool // exempt from nonPreferredCostFactor; see choosePreferred
@@ -79,13 +79,13 @@
 	s.targets = s.targets[:0:0]
 	for _, conf := range list {
 		t, ok := previous[conf.ID]
-		if !ok || t.conf.Address != conf.Address || t.conf.Born != conf.Born {
+		if !ok || t.info.Address != conf.Address || t.info.Born != conf.Born {
 			t = reg.newTarget(conf)
 			if ok {
 				t.cold.inherit(previous[conf.ID])
 			}
 		}
-		t.conf = conf
+		t.info = conf
 		t.evacuated = v.EvacuationsUnknown || v.Evacuated[conf.Domain]
 		t.draining = conf.Draining || t.evacuated
 		t.cold.apply(reg, conf, v, s.coldLimit, now)
@@ -114,7 +114,7 @@
 func (t *target) retire(successor *target) {
 	t.draining = true
 	t.pool.Close()
-	if successor != nil && successor.conf.Born != t.conf.Born {
+	if successor != nil && successor.info.Born != t.info.Born {
 		t.replaced.Store(true)
 		t.pool.Abort()
 	}
@@ -128,9 +128,9 @@
 	var highest uint64
 	local := false
 	for _, t := range s.targets {
-		t.preferred = t.conf.Domain == domain && !t.evacuated
+		t.preferred = t.info.Domain == domain && !t.evacuated
 		local = local || t.preferred
-		if h := xxhash.Sum64String(host + "/" + t.conf.ID); !t.draining && (picked == nil || h > highest) {
+		if h := xxhash.Sum64String(host + "/" + t.info.ID); !t.draining && (picked == nil || h > highest) {
 			picked, highest = t, h
 		}
 	}
@@ -146,15 +146,15 @@
 	}
 }
 
-// resize sets this host's share of the connections and of the retry budget by its weight.
-func (s *service) resize(reg *serviceRegistry, weight float64) {
+// setShare sets this host's share of the connections and of the retry budget by its weight.
+func (s *service) setShare(reg *serviceRegistry, weight float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limits := reg.connectionLimits(reg.view, s.name, len(s.targets), weight)
 	s.budget.SetShare(reg.cfg.retryAllowance(), weight, reg.hostDraw(s.name))
 	for _, t := range s.targets {
 		if t.preferred {
-			t.pool.SetLimit(min(limits.preferred, max(t.conf.Slots, 1)))
+			t.pool.SetLimit(min(limits.preferred, max(t.info.Slots, 1)))
 			t.pool.SetKeep(0)
 			continue
 		}
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// A part that arrives after the answer has left is useless, so targets get no more time than that.
-func TestTargetTimeoutEndsWhenAnswerLeaves(t *testing.T) {
+// A part that arrives after the answer was sent is useless, so targets get no more time than that.
+func TestTargetTimeoutEndsWhenAnswerIsSent(t *testing.T) {
 	run(t, options{services: 3}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.get("/all/x", "r1")
--- a/internal/gateway/single.go
+++ b/internal/gateway/single.go
@@ -33,7 +33,7 @@
 	sent              int // attempts that may have reached a target, including those of other hosts
 	otherHostAttempts int // attempts of other hosts, included in sent
 	sends             sendTracker
-	last              result // latest result that is not a success
+	lastFailure       result // latest result that is not a success
 	admitErr          error  // why no target was acquired
 }
 
@@ -48,10 +48,10 @@
 // provably nothing was sent.
 const maxUnsentRetries = 3
 
-// do makes attempts until one succeeds, no further one is allowed, or ctx is done. It returns the
+// execute makes attempts until one succeeds, no further one is allowed, or ctx is done. It returns the
 // successful result, or false. Attempts still in flight continue, so that their connections can be
 // reused; they are canceled only when the caller disconnects.
-func (r *run) do(ctx context.Context) (result, bool) {
+func (r *run) execute(ctx context.Context) (result, bool) {
 	if !r.start(ctx) {
 		return result{}, false
 	}
@@ -102,7 +102,7 @@
 	defer r.mu.Unlock()
 	ids := make([]string, 0, len(r.tried))
 	for _, t := range r.tried {
-		ids = append(ids, t.conf.ID)
+		ids = append(ids, t.info.ID)
 	}
 	return r.service.name + "(" + strings.Join(ids, ",") + ")"
 }
@@ -151,8 +151,8 @@
 		r.sent--
 	}
 	// An error response of a target says more than a broken connection.
-	if r.last.outcome != outcome.Failed {
-		r.last = res
+	if r.lastFailure.outcome != outcome.Failed {
+		r.lastFailure = res
 	}
 }
 
@@ -227,13 +227,13 @@
 func (r *run) hedgeDelay() time.Duration {
 	earliest := time.Duration(minHedgeFraction * float64(r.request.objective))
 	latest := time.Duration(maxHedgeFraction * float64(r.request.objective))
-	return min(max(earliest, r.request.stats.lateAfter()), latest)
+	return min(max(earliest, r.request.stats.slowThreshold()), latest)
 }
 
 // single forwards a request to a target of one service and writes the answer.
 func (g *Gateway) single(ctx context.Context, w *reply, r *request, route *routing.Route, service string) {
 	run := g.newRun(g.registry.service(service), r, route)
-	res, ok := run.do(ctx)
+	res, ok := run.execute(ctx)
 	w.triedTargets = run.triedTargets()
 	switch {
 	case ok:
@@ -242,12 +242,12 @@
 		w.gone()
 	case run.sends.outcome().NotRun():
 		w.refuse(run.refusal())
-	case run.last.outcome == outcome.Failed:
-		w.whole(run.last)
+	case run.lastFailure.outcome == outcome.Failed:
+		w.whole(run.lastFailure)
 	case r.overdue():
 		w.timeout()
 	default:
-		w.unknown(run.last.err)
+		w.unknown(run.lastFailure.err)
 	}
 }
 
@@ -261,7 +261,7 @@
 	case errors.Is(r.admitErr, errColdLimit):
 		return refusalCold
 	case errors.Is(r.admitErr, errDeadline), errors.Is(r.admitErr, quarantine.ErrBusy):
-		return refusalLate
+		return refusalTimeout
 	}
 	return refusalBusy
 }
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -11,9 +11,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetconn"
 )
 
-// A request can make each target that runs it end. It is told apart from a bad target by two signs:
-// connections of its attempts break at targets that refuse connections afterwards, and that happens
-// again at another target where the request ran alone. Then no host sends it to a target.
+// A request can make each target that runs it end, that is, crash or exit. Two signs distinguish it
+// from a bad target: connections of its attempts break at targets that refuse connections
+// afterwards, and that happens again at another target where the request ran alone. Then no host
+// sends it to a target.
 
 // quarantineKeys returns the keys of the request's content and caller, which are the same on all
 // hosts. They are computed on first use, as most requests need none.
@@ -88,8 +89,8 @@
 	}
 	switch {
 	case res.outcome == outcome.Done:
-		if g.hasSuspects() && g.quarantineTable.Answered(r.quarantineKeys(), t.conf.Service) {
-			g.log.Event(evCleared).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.conf.ID).Msg("")
+		if g.hasSuspects() && g.quarantineTable.Answered(r.quarantineKeys(), t.info.Service) {
+			g.log.Event(evCleared).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.info.ID).Msg("")
 		}
 	case res.targetRestarted, res.connectionLost && g.refusesConnections(r.ctx, s, t):
 		g.recordStrike(r, t, alone)
@@ -113,13 +114,13 @@
 func (g *Gateway) recordStrike(r *request, t *target, alone bool) {
 	id := xxhash.Sum64String(r.call.RequestID)
 	if alone {
-		id = xxhash.Sum64String(r.call.RequestID + "/" + t.conf.ID)
+		id = xxhash.Sum64String(r.call.RequestID + "/" + t.info.ID)
 	}
-	quarantined := g.quarantineTable.Ended(r.quarantineKeys(), id, t.conf.Service)
+	quarantined := g.quarantineTable.Ended(r.quarantineKeys(), id, t.info.Service)
 	g.metrics.targetsEnded.Inc()
 	if g.logLimits.attempts.Allow() {
-		g.log.Event(evTargetEnded).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.conf.ID).
-			Str("service", t.conf.Service).Bool("alone", alone).Int("strikes", g.quarantineTable.Strikes(r.quarantineKeys())).
+		g.log.Event(evTargetEnded).Str("request", r.call.RequestID).Str("content", r.quarantineKeys().Content()).Str("target", t.info.ID).
+			Str("service", t.info.Service).Bool("alone", alone).Int("strikes", g.quarantineTable.Strikes(r.quarantineKeys())).
 			Bool("quarantined", quarantined).Msg("")
 	}
 }
--- a/tools/soak_twins.sh
+++ b/tools/soak_twins.sh
@@ -37,7 +37,7 @@
 twin "reservations are repeated like any other request" "at most once" \
   internal/gateway/single.go 's/!\(r.route.Idempotent \&\& r.request.soleGatherer\(\)\)/!r.request.soleGatherer()/'
 twin "what may have run is told as not run" "refused as not run" \
-  internal/gateway/single.go 's/case run.sends.outcome\(\).NotRun\(\):/case run.sends.outcome().NotRun() || run.last.outcome == outcome.Unknown:/'
+  internal/gateway/single.go 's/case run.sends.outcome\(\).NotRun\(\):/case run.sends.outcome().NotRun() || run.lastFailure.outcome == outcome.Unknown:/'
 twin "an answer that is cut is taken as whole" "whole and true answer" \
   internal/targetconn/conn.go 's/_, err := io.ReadFull\(resp.Body, body\)/_, err := io.ReadFull(resp.Body, body); err = nil/'
 twin "a stop does not wait for requests" "a planned stop cuts off nothing" \
