--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -29,7 +29,7 @@
 // Missing limits the parts of a query that may be lost.
 type Missing struct {
 	Most   int // of the whole query; once more are lost it is abandoned
-	Untold int // of one cell before the delegating host is notified; the cells' Untold together are at most Most
+	Untold int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
 
 // part is the final result of one shard.
@@ -59,7 +59,7 @@
 
 // gatherLocally sends a query to one target of each of the route's shards and merges the parts. It
 // reports a partial result when the answer is due and with each shard that ends after that, or
-// earlier once more than lossLimits.Untold shards are lost. It returns when all shards have ended,
+// earlier once more shards are lost than need not be reported. It returns when all shards have ended,
 // when more are lost than the whole answer may lack, at the deadline, or when ctx is done.
 // otherHostAttempts is how often other hosts may have sent the query to each shard.
 func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits Missing, otherHostAttempts int, report func(Gathered)) Gathered {
