--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -8,46 +8,46 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetconn"
 )
 
-// A single request is sent to one target, and one that is not idempotent to no other once it may have run. A host
-// sees few of them, and what its targets told with the last ones says nothing of this moment. Where targets tell
-// their load, two of them are asked for it first, which they answer at once, and the request goes to the one
-// that is expected to be done first.
+// A single request goes to one target, and, if it is not idempotent, to no other once it may have
+// run. A host sees few such requests, so the load that its targets reported last says little about
+// the present. Where targets report their load, two of them are queried for it first, which they
+// answer at once, and the request goes to the one that is expected to complete it first.
 
 const (
-	// askPart is the part of the objective for which the answers are waited for, at most askLongest: a few round
-	// trips between failure domains.
-	askPart    = 0.02
-	askLongest = 20 * time.Millisecond
-	// mostHealthAnswer is the longest body of an answer to the question, in bytes.
-	mostHealthAnswer = 64 << 10
+	// loadQueryFraction is the fraction of the objective for which load queries are waited for,
+	// limited by maxLoadQueryTime: a few round trips between failure domains.
+	loadQueryFraction = 0.02
+	maxLoadQueryTime  = 20 * time.Millisecond
+	// maxHealthAnswerBytes is the maximum body size of a health check's response.
+	maxHealthAnswerBytes = 64 << 10
 )
 
-// place takes a place for a run's first attempt; see acquire. For a single request it is that of the
-// better one of two targets.
-func (r *run) place(ctx context.Context) (*target, error) {
+// acquireFirst reserves a connection slot for the first attempt of a run; see acquire. For a single
+// request it picks the better of two targets by their current load.
+func (r *run) acquireFirst(ctx context.Context) (*target, error) {
 	first, err := r.service.acquire(ctx, r.request, r.tried)
-	if err != nil || r.request.gathers || r.gateway.cfg.off(Asking) || !r.service.tellsLoad() {
+	if err != nil || r.request.sharded || r.gateway.cfg.disabled(LoadQueries) || !r.service.canQueryLoad() {
 		return first, err
 	}
 	second := r.service.tryAcquire(r.request, append(r.tried[:len(r.tried):len(r.tried)], first))
 	if second == nil {
 		return first, nil
 	}
-	r.gateway.askLoads(ctx, r, first, second)
-	better, other := r.service.better(first, second)
-	r.service.giveBack(other)
+	r.gateway.queryLoads(ctx, r, first, second)
+	better, other := r.service.cheaper(first, second)
+	r.service.releaseUnused(other)
 	return better, nil
 }
 
-// askLoads asks targets for their load, and waits a little for the answers.
-func (g *Gateway) askLoads(ctx context.Context, r *run, targets ...*target) {
-	within := min(time.Duration(askPart*float64(r.request.objective)), askLongest)
-	ctx, cancel := context.WithTimeout(ctx, within)
+// queryLoads queries targets for their load and waits a short time for the answers.
+func (g *Gateway) queryLoads(ctx context.Context, r *run, targets ...*target) {
+	timeout := min(time.Duration(loadQueryFraction*float64(r.request.objective)), maxLoadQueryTime)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answered := make(chan struct{}, len(targets))
 	for _, t := range targets {
 		go func() {
-			g.askLoad(ctx, r, t)
+			g.queryLoad(ctx, r, t)
 			answered <- struct{}{}
 		}()
 	}
@@ -60,69 +60,70 @@
 	}
 }
 
-// askLoad asks one target, over a connection that is then ready for the request.
-func (g *Gateway) askLoad(ctx context.Context, r *run, t *target) {
+// queryLoad queries one target, over a connection that is then ready for the request.
+func (g *Gateway) queryLoad(ctx context.Context, r *run, t *target) {
 	s := r.service
 	deadline, _ := ctx.Deadline()
-	if !t.pool.TryReserve() { // a connection beside that of the request
-		g.metrics.asked.WithLabelValues("no connection").Inc()
+	if !t.pool.TryReserve() { // a connection in addition to that of the request
+		g.metrics.loadQueries.WithLabelValues("no connection").Inc()
 		return
 	}
 	conn, err := t.pool.Get(ctx, deadline)
 	if err != nil {
-		g.metrics.asked.WithLabelValues("no connection").Inc()
+		g.metrics.loadQueries.WithLabelValues("no connection").Inc()
 		return
 	}
-	v, err := g.askHealth(ctx, deadline, conn, s, r.request)
+	v, err := g.queryHealth(ctx, deadline, conn, s, r.request)
 	if err != nil {
-		g.metrics.asked.WithLabelValues("no answer").Inc()
+		g.metrics.loadQueries.WithLabelValues("no answer").Inc()
 		return
 	}
 	if v.Load == nil {
-		g.metrics.asked.WithLabelValues("not told").Inc()
+		g.metrics.loadQueries.WithLabelValues("not told").Inc()
 		return
 	}
-	g.metrics.asked.WithLabelValues("told").Inc()
+	g.metrics.loadQueries.WithLabelValues("told").Inc()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.toldWarmup(now, t, v.Warmup)
+	s.observeWarmup(now, t, v.Warmup)
 	t.health.Reported(now, v.Load.report())
 }
 
-// askHealth asks a target for its health over a connection, with what it then tells of itself.
-func (g *Gateway) askHealth(ctx context.Context, deadline time.Time, conn *targetconn.Conn, s *service, r *request) (Verdict, error) {
+// queryHealth sends a health check over a connection and returns what the target reports.
+func (g *Gateway) queryHealth(ctx context.Context, deadline time.Time, conn *targetconn.Conn, s *service, r *request) (Verdict, error) {
 	head, err := targetconn.NewHead(http.MethodGet, s.healthPath(), r.host, http.Header{}, 0)
 	if err != nil {
 		conn.Release()
 		return Verdict{}, Error.Wrap(err)
 	}
 	answer, _, err := conn.Exchange(ctx, deadline, &targetconn.Request{
-		Method: http.MethodGet, Head: head, Limit: mostHealthAnswer,
+		Method: http.MethodGet, Head: head, Limit: maxHealthAnswerBytes,
 		Mine: func(h http.Header) bool { return g.messages.Answer(http.StatusOK, h).RequestID == "" },
 	})
 	if err != nil {
-		return Verdict{}, Error.New("ask the target for its health: %w", err)
+		return Verdict{}, Error.New("query the target's health: %w", err)
 	}
 	return g.messages.Answer(answer.Status, answer.Header), nil
 }
 
-// tellsLoad reports whether a target of the service has told its load, and where to ask for it is known.
-func (s *service) tellsLoad() bool {
+// canQueryLoad reports whether a target of the service has reported its load and the health path is
+// known.
+func (s *service) canQueryLoad() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.toldLoad && s.health != ""
+	return s.reportsLoad && s.checkPath != ""
 }
 
-// healthPath is where the service's targets tell their health and load.
+// healthPath returns the path of the service's health check, which also reports load.
 func (s *service) healthPath() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health
+	return s.checkPath
 }
 
-// better returns which of two targets is expected to answer first.
-func (s *service) better(a, b *target) (better, other *target) {
+// cheaper returns two targets in the order of their cost.
+func (s *service) cheaper(a, b *target) (better, other *target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -16,15 +16,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// fewSingles runs a test on a host that sees a single request each three seconds, which may be sent once; one of its five targets is
-// slow, another one in each ten seconds.
-func fewSingles(t *testing.T, tellLoad bool, without ...gateway.Mechanism) (inTime int) {
-	o := options{without: without, target: func(c *platformtarget.Config) { c.TellLoad = tellLoad }}
+// sparseLoad runs a test on a host that gets one single, non-idempotent request every three seconds
+// and returns how many were answered in time. One of its five targets is slow, a different one
+// every ten seconds.
+func sparseLoad(t *testing.T, tellLoad bool, without ...gateway.Mechanism) (inTime int) {
+	o := options{without: without, changeTarget: func(c *platformtarget.Config) { c.TellLoad = tellLoad }}
 	run(t, o, func(t *testing.T, s *site) {
 		for i := range 3 {
 			s.addTarget("s0", fmt.Sprintf("s0-t%d", 2+i), domain, 1)
 		}
-		for i := range singles {
+		for i := range sparseRequests {
 			for j := range 5 {
 				slow := platformtarget.Faults{}
 				if j == i/3%5 {
@@ -32,7 +33,7 @@
 				}
 				s.faults(fmt.Sprintf("s0-t%d", j), slow)
 			}
-			a := s.ask(http.MethodPost, "/once/x", fmt.Sprintf("r%d", i), "")
+			a := s.send(http.MethodPost, "/once/x", fmt.Sprintf("r%d", i), "")
 			if a.status == http.StatusOK && a.took <= objective {
 				inTime++
 			}
@@ -42,22 +43,23 @@
 	return inTime
 }
 
-const singles = 90
+const sparseRequests = 90
 
-// A host that sees few requests knows nothing of the load of targets at this moment: it asks two of them, and the slow one gets the
-// request only if it knows of no other.
-func TestFewRequestsMeetNoSlowTarget(t *testing.T) {
+// A host with few requests has no current data on its targets' load. It queries two targets, so a
+// request gets to the slow one only if nothing better is known. Without load queries the slow
+// target gets requests at random.
+func TestLoadQueryAvoidsSlowTarget(t *testing.T) {
 	is := is.New(t)
-	is.True(fewSingles(t, true) >= singles*97/100)
-	is.True(fewSingles(t, true, gateway.Asking) < singles*90/100)
-	is.True(fewSingles(t, false) < singles*90/100) // nothing is told, so nothing is asked
+	is.True(sparseLoad(t, true) >= sparseRequests*97/100)
+	is.True(sparseLoad(t, true, gateway.LoadQueries) < sparseRequests*90/100)
+	is.True(sparseLoad(t, false) < sparseRequests*90/100) // without load reports nothing is queried
 }
 
-// Targets that don't answer the question hold the request up for a moment only.
-func TestQuestionThatIsNotAnsweredHoldsNothingUp(t *testing.T) {
-	run(t, options{target: func(c *platformtarget.Config) { c.TellLoad = true }}, func(t *testing.T, s *site) {
+// Targets that don't answer load queries delay the request by the query's timeout at most.
+func TestUnansweredLoadQueryBarelyDelaysRequest(t *testing.T) {
+	run(t, options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // its answer tells the load
+		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
 			target.SilenceHealth(true)
 		}
@@ -69,12 +71,13 @@
 	})
 }
 
-// Where the connection of a request is the only one to its target, no question is sent over it: one that is not answered
-// would end the connection as the request takes it, and the request would be refused as "targets are busy".
-func TestQuestionLeavesTheLastConnectionToARequest(t *testing.T) {
-	const connections = 1 // of the host to each target
+// If the only connection to a target is reserved for a request, no load query is sent over it. An
+// unanswered query would close the connection just as the request takes it, and the request would
+// be refused as "targets are busy".
+func TestLoadQueryLeavesLastConnectionToRequest(t *testing.T) {
+	const connections = 1 // per target
 	var dialed atomic.Int32
-	o := options{target: func(c *platformtarget.Config) { c.TellLoad = true }}
+	o := options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}
 	o.dial = func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
 		dialed.Add(1)
 		return s.network.Dial(ctx, network, address)
@@ -82,15 +85,15 @@
 	run(t, o, func(t *testing.T, s *site) {
 		is := is.New(t)
 		few := func(service *routing.Service) { service.MaxConnections = connections }
-		s.configureWith(2, few, s.usualRoutes(1)...)
-		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // its answer tells the load
+		s.configureWith(2, few, s.defaultRoutes(1)...)
+		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
 			target.SilenceHealth(true)
 		}
 		for round := range 20 {
 			answers := make(chan int)
 			for i := range connections * len(s.targets) {
-				go func() { answers <- s.ask(http.MethodPost, "/once/x", fmt.Sprintf("r%d-%d", round, i), "").status }()
+				go func() { answers <- s.send(http.MethodPost, "/once/x", fmt.Sprintf("r%d-%d", round, i), "").status }()
 			}
 			statuses := map[int]int{}
 			for range connections * len(s.targets) {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -7,120 +7,119 @@
 	"time"
 )
 
-// otherFactor is how many times longer a target that is not a home of this host
-// is taken to answer: most stand in other failure domains, bytes between domains
-// are paid for, and a link may be cut.
-const otherFactor = 3.5
+// nonPreferredCostFactor multiplies the expected latency of targets that this host does not prefer:
+// most are in other failure domains, traffic between domains is charged, and a link may be cut.
+const nonPreferredCostFactor = 3.5
 
-// drawnCost is up to which part of its cost a target's is raised by a random draw: of targets that are alike the
-// same one would be asked first by all hosts.
-const drawnCost = 0.1
+// maxCostJitter is the maximum fraction by which a target's cost is randomly raised. Without jitter
+// all hosts would choose the same one of several equal targets.
+const maxCostJitter = 0.1
 
-// mostWaiting is how many requests may wait for a place at a service's
-// targets, per target. More are refused at once.
-const mostWaiting = 8
+// maxWaitingPerTarget is the number of requests, per target of a service, that may wait for a
+// connection slot. Any beyond that are refused at once.
+const maxWaitingPerTarget = 8
 
-// Errors of choosing a target. Nothing was sent.
+// Errors of choosing a target; nothing was sent.
 var (
-	errNoTarget = errors.New("the service has no target that may be asked")
-	errFull     = errors.New("every target of the service is busy and too many requests wait")
-	errLate     = errors.New("no target came free in time")
-	errCold     = errors.New("the target is cold and has got as much as it bears")
+	errNoTarget  = errors.New("the service has no usable target")
+	errQueueFull = errors.New("all targets of the service are busy and too many requests are waiting")
+	errDeadline  = errors.New("no target became available in time")
+	errColdLimit = errors.New("the target is cold and has got as much as it bears")
 )
 
-// acquire takes a place at the target that is expected to answer first, among
-// those not in tried. It waits for one while all are busy. release must follow.
+// acquire reserves a connection slot at the target with the lowest cost among those not in tried.
+// It waits while all are busy. finishAttempt or releaseUnused must follow.
 func (s *service) acquire(ctx context.Context, r *request, tried []*target) (*target, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	yieldUntil := r.yieldUntil(time.Now())
 	for {
 		now := time.Now()
-		c := s.best(now, r, tried)
+		c := s.bestTarget(now, r, tried)
 		yields := c.target != nil && c.target.inFlight > 0 && now.Before(yieldUntil)
 		if c.target != nil && !yields {
-			c.target.take(now, r.scale)
+			c.target.reserve(now, r.latencyScale)
 			return c.target, nil
 		}
 		if !c.usable {
 			return nil, Error.Wrap(errNoTarget)
 		}
-		if s.waiting >= mostWaiting*len(s.targets) {
-			return nil, Error.Wrap(errFull)
+		if s.waiting >= maxWaitingPerTarget*len(s.targets) {
+			return nil, Error.Wrap(errQueueFull)
 		}
-		until := r.waitUntil()
+		until := r.acquireDeadline()
 		if !now.Before(until) {
-			return nil, Error.Wrap(errLate)
+			return nil, Error.Wrap(errDeadline)
 		}
-		if c.target == nil && !c.busy && !c.next.Before(until) {
-			return nil, Error.Wrap(errCold) // what may be sent then comes too late
+		if c.target == nil && !c.busy && !c.retryAt.Before(until) {
+			return nil, Error.Wrap(errColdLimit) // the cold target admits the request only after its deadline
 		}
 		if yields {
 			until = yieldUntil
 		}
-		if !c.next.IsZero() && c.next.Before(until) {
-			until = c.next
+		if !c.retryAt.IsZero() && c.retryAt.Before(until) {
+			until = c.retryAt
 		}
-		if err := s.wait(ctx, until); err != nil {
+		if err := s.waitForChange(ctx, until); err != nil {
 			return nil, err
 		}
-		if !time.Now().Before(r.waitUntil()) {
-			return nil, Error.Wrap(errLate)
+		if !time.Now().Before(r.acquireDeadline()) {
+			return nil, Error.Wrap(errDeadline)
 		}
 	}
 }
 
-// tryAcquire is acquire without the wait.
+// tryAcquire is acquire without waiting.
 func (s *service) tryAcquire(r *request, tried []*target) *target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	t := s.best(now, r, tried).target
+	t := s.bestTarget(now, r, tried).target
 	if t != nil {
-		t.take(now, r.scale)
+		t.reserve(now, r.latencyScale)
 	}
 	return t
 }
 
-// waitUntil returns until when a request may wait for a place: a part that is asked
-// for after the answer has left is of no use, and takes the place of one that is,
-// most of all where one target of a shard is left for more work than it can do.
-func (r *request) waitUntil() time.Time {
-	if r.gathers && r.answerBy.Before(r.deadline) {
+// acquireDeadline returns until when a request may wait for a connection slot. A part of a query
+// that is sent later than the answer is useless and takes the slot of one that is not, which
+// matters most where the only target left of a shard is overloaded.
+func (r *request) acquireDeadline() time.Time {
+	if r.sharded && r.answerBy.Before(r.deadline) {
 		return r.answerBy
 	}
 	return r.deadline
 }
 
-// giveBack gives a place back that was not used.
-func (s *service) giveBack(t *target) {
+// releaseUnused releases a connection slot for which no attempt was made.
+func (s *service) releaseUnused(t *target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.inFlight--
 	t.pool.Unreserve()
-	t.notSent()
+	t.unreserveSend()
 	t.health.Unsent(time.Now())
 	s.wake()
 }
 
-// isEvacuated reports whether the failure domain of a target is evacuated.
-func (s *service) isEvacuated(t *target) bool {
+// inEvacuatedDomain reports whether the target's failure domain is evacuated.
+func (s *service) inEvacuatedDomain(t *target) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return t.evacuated
 }
 
-// take takes a place for one attempt.
-func (t *target) take(now time.Time, scale float64) {
+// reserve reserves a connection slot for one attempt.
+func (t *target) reserve(now time.Time, scale float64) {
 	t.inFlight++
 	t.pool.Reserve()
-	t.warmth.unsent++
+	t.cold.reserved++
 	t.health.SentScaled(now, scale)
 }
 
-// wait returns when something has changed, or at a time. The lock is held before
-// and after.
-func (s *service) wait(ctx context.Context, until time.Time) error {
+// waitForChange returns when the service has changed, or at a given time. The lock is held on entry
+// and on return, and released while it waits.
+func (s *service) waitForChange(ctx context.Context, until time.Time) error {
 	changed := s.changed
 	s.waiting++
 	s.mu.Unlock()
@@ -138,27 +137,27 @@
 	return err
 }
 
-// choice is the target to ask next, and what to wait for if there is none.
+// choice is the target to use next, and what to wait for if there is none.
 type choice struct {
-	target *target
-	usable bool      // there is a target that may be asked, now or later
-	busy   bool      // one of these has no connection to spare
-	next   time.Time // when one that is cold may be asked; zero: none is waited for
+	target  *target
+	usable  bool      // some target may be used, now or later
+	busy    bool      // one of the usable targets has no free connection slot
+	retryAt time.Time // when a cold target may next be used; zero: no cold target to wait for
 }
 
-// best returns the target with the lowest cost that has a connection to spare.
-func (s *service) best(now time.Time, r *request, tried []*target) choice {
+// bestTarget returns the target with the lowest cost that has a free connection slot.
+func (s *service) bestTarget(now time.Time, r *request, tried []*target) choice {
 	var c choice
 	var best *target
-	var least float64
-	var barred *target // set aside, but better than none
-	var leastBarred float64
+	var leastCost float64
+	var bestEjected *target // used only if no other target is available
+	var leastEjected float64
 	for _, t := range s.targets {
-		if t.leaving || t.strange || contains(tried, t) || !s.regions.inHomes(r.homes, t.conf.Domain) {
+		if t.draining || t.addressReused || contains(tried, t) || !s.regions.inHomeRegions(r.homeRegions, t.info.Domain) {
 			continue
 		}
 		cold := s.cold(now, t)
-		if cold && !s.mayWarm(t) {
+		if cold && !s.hasPermit(t) {
 			continue
 		}
 		c.usable = true
@@ -167,40 +166,40 @@
 			continue
 		}
 		if cold {
-			if ok, at := s.coldRoom(now, t, s.urgent(r)); !ok {
-				c.waitUntil(at)
+			if ok, at := s.admitCold(now, t, s.urgent(r)); !ok {
+				c.noteRetryAt(at)
 				continue
 			}
 		}
-		cost := t.cost(now) * (1 + drawnCost*rand.Float64())
+		cost := t.cost(now) * (1 + maxCostJitter*rand.Float64())
 		switch {
-		case t.health.Ejected(now) && !t.health.ProbeDue(now) && !s.neverAside:
-			if barred == nil || cost < leastBarred {
-				barred, leastBarred = t, cost
+		case t.health.Ejected(now) && !t.health.ProbeDue(now) && !s.ejectionOff:
+			if bestEjected == nil || cost < leastEjected {
+				bestEjected, leastEjected = t, cost
 			}
-		case best == nil || cost < least:
-			best, least = t, cost
+		case best == nil || cost < leastCost:
+			best, leastCost = t, cost
 		}
 	}
 	c.target = best
 	if best == nil {
-		c.target = barred
+		c.target = bestEjected
 	}
 	return c
 }
 
-// waitUntil notes when a cold target may be asked.
-func (c *choice) waitUntil(at time.Time) {
-	if c.next.IsZero() || at.Before(c.next) {
-		c.next = at
+// noteRetryAt records when a cold target may be used.
+func (c *choice) noteRetryAt(at time.Time) {
+	if c.retryAt.IsZero() || at.Before(c.retryAt) {
+		c.retryAt = at
 	}
 }
 
-// cost is the expected time to an answer, more for a target that is not a home.
+// cost returns the expected latency at the target, multiplied if this host does not prefer it.
 func (t *target) cost(now time.Time) float64 {
-	cost := t.health.Expected(now, t.inFlight, float64(t.conf.Slots), expectedLatency)
-	if !t.home {
-		cost *= otherFactor
+	cost := t.health.Expected(now, t.inFlight, float64(t.info.Slots), meanScaledLatency)
+	if !t.preferred {
+		cost *= nonPreferredCostFactor
 	}
 	return cost
 }
@@ -214,22 +213,23 @@
 	return false
 }
 
-// hasTarget reports whether a target could be asked.
+// hasTarget reports whether there is a usable target other than those in tried.
 func (s *service) hasTarget(r *request, tried []*target) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.best(time.Now(), r, tried).usable
+	return s.bestTarget(time.Now(), r, tried).usable
 }
 
-// first counts a first attempt in the budget.
-func (s *service) first() {
+// countFirstAttempt counts a first attempt in the retry budget.
+func (s *service) countFirstAttempt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.First(time.Now())
 }
 
-// another asks the budget for a further attempt.
-func (s *service) another() bool {
+// takeExtraAttempt takes an extra attempt from the retry budget. It reports false if the budget is
+// used up.
+func (s *service) takeExtraAttempt() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.Take(time.Now())
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -8,24 +8,23 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// noRoute stands for the route of a request that has none: one entry for all
-// paths that callers may think of.
-const noRoute = "(no route)"
+// noRouteService is the service in the delivery records of requests without a route: one entry for
+// all paths that callers may send.
+const noRouteService = "(no route)"
 
-// delivery returns what the caller got, for the records. A caller is known by
-// the address that it comes from.
+// delivery returns the delivery record of the answer. Callers are identified by their IP address.
 func (w *reply) delivery(took time.Duration) delivery.Delivery {
 	r := w.request
 	d := delivery.Delivery{
 		RequestID: r.call.RequestID, Caller: addressOf(r.caller), Service: w.route,
-		Outcome: w.outcome, Reason: w.code, Snapshot: w.version, Latency: took,
-		Attempts: int(r.attempts.Load()), Needed: w.parts,
+		Outcome: w.outcome, Reason: w.reasonCode, Snapshot: w.configVersion, Latency: took,
+		Attempts: int(r.attempts.Load()), Needed: w.totalParts,
 	}
 	if d.Service == "" {
-		d.Service = noRoute
+		d.Service = noRouteService
 	}
-	if w.outcome == outcome.Done && w.parts > 0 {
-		d.Coverage = float64(w.parts-w.missing) / float64(w.parts)
+	if w.outcome == outcome.Done && w.totalParts > 0 {
+		d.Coverage = float64(w.totalParts-w.missingParts) / float64(w.totalParts)
 	}
 	return d
 }
@@ -34,7 +33,7 @@
 func addressOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return address // as connections in memory have it
+		return address // in-memory connections have no port
 	}
 	return host
 }
--- a/internal/gateway/deliver_test.go
+++ b/internal/gateway/deliver_test.go
@@ -14,8 +14,8 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Each kind of answer must stand in the records as what it was: the route, the
-// outcome, why it was no whole answer, and how much of the data it covered.
+// Each kind of answer is recorded with its route, its outcome, the reason why it is not complete,
+// and its coverage.
 func TestEveryAnswerIsRecorded(t *testing.T) {
 	hang := platformtarget.Faults{Silent: true}
 	cases := map[string]struct {
@@ -63,7 +63,7 @@
 		s.faults("s0", platformtarget.Faults{Silent: true})
 		ctx, leave := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer leave()
-		s.askWith(ctx, http.MethodGet, "/once/x", "", http.Header{platform.HeaderRequestID: {"r-1"}})
+		s.sendWith(ctx, http.MethodGet, "/once/x", "", http.Header{platform.HeaderRequestID: {"r-1"}})
 		time.Sleep(time.Second)
 		is.Equal(s.recorded.last().Reason, query.ReasonCallerLeft)
 		is.Equal(s.recorded.last().Outcome, outcome.Unknown)
--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -10,25 +10,25 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// piece is what is known of one cell of a query.
-type piece struct {
-	cell   int
-	shards int // of the cell
-	got    Gathered
-	ended  bool
+// cellResult is the latest result of one cell of a query.
+type cellResult struct {
+	cell     int
+	shards   int // number of shards of the cell
+	gathered Gathered
+	ended    bool
 }
 
-// divided is a query whose cells are gathered by one host each.
-type divided struct {
-	route  *routing.Route
-	least  int // parts that a successful answer needs
-	pieces []piece
-	cut    bool // the objective ended the wait
+// dividedQuery collects the results of a query that is divided into cells: groups of shards that are
+// gathered by one host each.
+type dividedQuery struct {
+	route    *routing.Route
+	minParts int // parts that a successful answer needs
+	cells    []cellResult
+	cut      bool // the answer became due before all parts were there
 }
 
-// leastParts returns the least number of n parts that make up a share; one at
-// least.
-func leastParts(n int, share float64) int {
+// minPartsForShare returns the minimum number of n parts, at least one, that make up the share.
+func minPartsForShare(n int, share float64) int {
 	for k := 1; k < n; k++ {
 		if float64(k)/float64(n) >= share {
 			return k
@@ -37,74 +37,74 @@
 	return n
 }
 
-// gather answers a query over shards. Each cell is gathered by one host, this one or
-// another. It waits for all parts until the answer must leave, then for enough of them. A
-// query that too few shards can answer is not sent at all: after a restart while
-// registrations are missing it would go to the few targets known, in vain, and then be told as
-// possibly run. One that is given up sends nothing more.
+// gather answers a query over shards. Each cell is gathered by one host, this one or another. It
+// waits for all parts until the answer must be sent, and then for the minimum number of them. A query
+// that too few shards can answer is not sent at all: while registrations are missing after a
+// restart it would run on the few known targets in vain, and be answered as possibly run. After
+// gather returns nothing more is sent.
 func (g *Gateway) gather(ctx context.Context, r *request, route *routing.Route) Gathered {
 	ctx, giveUp := context.WithCancel(ctx)
 	defer giveUp()
-	places := g.fleet.roster.of(g.fleet, route)
-	least := leastParts(len(route.Shards), route.MinShare)
-	if places.answerable < least {
+	gatherers := g.registry.gatherers.forRoute(g.registry, route)
+	minParts := minPartsForShare(len(route.Shards), route.MinShare)
+	if gatherers.answerable < minParts {
 		return Gathered{Outcome: outcome.NotSent, Reason: errNoTarget.Error()}
 	}
-	cells := g.cells(r, route, places)
-	q := &divided{route: route, least: least, pieces: make([]piece, len(cells))}
-	most := len(route.Shards) - least
-	may := Missing{Most: most, Untold: most / len(cells)}
-	updates := make(chan piece, 2*len(route.Shards)+2*len(cells)) // never blocks
+	cells := g.planCells(r, route, gatherers)
+	q := &dividedQuery{route: route, minParts: minParts, cells: make([]cellResult, len(cells))}
+	maxLost := len(route.Shards) - minParts
+	lossLimits := Missing{Most: maxLost, Untold: maxLost / len(cells)}
+	updates := make(chan cellResult, 2*len(route.Shards)+2*len(cells)) // sending never blocks
 	for i, cell := range cells {
 		n := len(cell.Shards)
-		ask := &cellAsk{
-			request: r, route: cellRoute(route, cell.Cell), places: places, cell: cell,
-			may:  may,
-			tell: func(got Gathered) { updates <- piece{cell: i, shards: n, got: got} },
+		cellReq := &cellRequest{
+			request: r, route: cellRoute(route, cell.Cell), gatherers: gatherers, plan: cell,
+			lossLimits: lossLimits,
+			report:     func(got Gathered) { updates <- cellResult{cell: i, shards: n, gathered: got} },
 		}
-		go func() { updates <- piece{cell: i, shards: n, got: g.gatherCell(ctx, ask), ended: true} }()
+		go func() { updates <- cellResult{cell: i, shards: n, gathered: g.gatherCell(ctx, cellReq), ended: true} }()
 	}
 	q.collect(ctx, r, updates)
-	if q.answered() < q.least && r.ctx.Err() == nil {
+	if q.answered() < q.minParts && r.ctx.Err() == nil {
 		giveUp()
-		q.collectLast(updates)
+		q.collectFinal(updates)
 	}
 	return q.result()
 }
 
-// lastWordWithin bounds the wait for what became of the cells of a query that is given up. Those of
-// this host tell at once, a helper within a round trip.
-const lastWordWithin = 15 * time.Millisecond
+// finalOutcomeTimeout limits the wait for the outcomes of the cells of an abandoned query. Cells of
+// this host report at once, a helper within a round trip.
+const finalOutcomeTimeout = 15 * time.Millisecond
 
-// collectLast takes what the cells of a query that was given up end with, so that one that has not
-// run is told so.
-func (q *divided) collectLast(updates <-chan piece) {
-	bound := time.NewTimer(lastWordWithin)
-	defer bound.Stop()
-	for q.open() > 0 && q.mayNotHaveRun() {
+// collectFinal collects the outcomes of the cells of an abandoned query, so that one that has not
+// run is answered so.
+func (q *dividedQuery) collectFinal(updates <-chan cellResult) {
+	timer := time.NewTimer(finalOutcomeTimeout)
+	defer timer.Stop()
+	for q.openCells() > 0 && q.nothingHasRun() {
 		select {
 		case p := <-updates:
-			q.pieces[p.cell] = p
-		case <-bound.C:
+			q.cells[p.cell] = p
+		case <-timer.C:
 			return
 		}
 	}
 }
 
-// mayNotHaveRun reports whether nothing of the cells that have ended has run.
-func (q *divided) mayNotHaveRun() bool {
-	for _, p := range q.pieces {
-		if p.ended && !p.got.Outcome.NotRun() {
+// nothingHasRun reports whether no cell that has ended may have run.
+func (q *dividedQuery) nothingHasRun() bool {
+	for _, p := range q.cells {
+		if p.ended && !p.gathered.Outcome.NotRun() {
 			return false
 		}
 	}
 	return true
 }
 
-// open returns the number of cells that have not ended.
-func (q *divided) open() int {
+// openCells returns the number of cells that have not ended.
+func (q *dividedQuery) openCells() int {
 	n := 0
-	for _, p := range q.pieces {
+	for _, p := range q.cells {
 		if !p.ended {
 			n++
 		}
@@ -112,7 +112,7 @@
 	return n
 }
 
-// cellRoute returns the route with the shards of a cell alone.
+// cellRoute returns a copy of the route with only the shards of a cell.
 func cellRoute(route *routing.Route, cell policy.Cell) *routing.Route {
 	if len(cell.Shards) == len(route.Shards) {
 		return route
@@ -125,20 +125,20 @@
 	return &part
 }
 
-// collect takes pieces until the answer should go out or can't be had.
-func (q *divided) collect(ctx context.Context, r *request, updates <-chan piece) {
-	due := time.NewTimer(time.Until(r.answerBy))
-	defer due.Stop()
-	end := time.NewTimer(time.Until(r.deadline))
-	defer end.Stop()
+// collect collects cell results until the answer should be sent or can't succeed any more.
+func (q *dividedQuery) collect(ctx context.Context, r *request, updates <-chan cellResult) {
+	answerTimer := time.NewTimer(time.Until(r.answerBy))
+	defer answerTimer.Stop()
+	deadlineTimer := time.NewTimer(time.Until(r.deadline))
+	defer deadlineTimer.Stop()
 	late := false
 	for !q.done(late) {
 		select {
 		case p := <-updates:
-			q.pieces[p.cell] = p
-		case <-due.C:
+			q.cells[p.cell] = p
+		case <-answerTimer.C:
 			late = true
-		case <-end.C:
+		case <-deadlineTimer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -147,66 +147,66 @@
 	q.cut = late && q.answered() < len(q.route.Shards)
 }
 
-// answered returns the parts that are there.
-func (q *divided) answered() int {
+// answered returns the number of parts received.
+func (q *dividedQuery) answered() int {
 	n := 0
-	for _, p := range q.pieces {
-		n += len(p.got.Signatures)
+	for _, p := range q.cells {
+		n += len(p.gathered.Signatures)
 	}
 	return n
 }
 
-// done reports whether there is nothing more to wait for: every cell has ended, the
-// answer is late and good enough, or it can't become good enough.
-func (q *divided) done(late bool) bool {
+// done reports whether to stop waiting: every cell has ended, the answer is due and has enough
+// parts, or it can't get enough parts any more.
+func (q *dividedQuery) done(late bool) bool {
 	answered := q.answered()
-	if q.open() == 0 || late && answered >= q.least {
+	if q.openCells() == 0 || late && answered >= q.minParts {
 		return true
 	}
 	lost := 0
-	for _, p := range q.pieces {
+	for _, p := range q.cells {
 		if p.ended {
-			lost += p.shards - len(p.got.Signatures)
+			lost += p.shards - len(p.gathered.Signatures)
 		} else {
-			lost += p.got.Failed
+			lost += p.gathered.Failed
 		}
 	}
-	return len(q.route.Shards)-lost < q.least
+	return len(q.route.Shards)-lost < q.minParts
 }
 
-// result returns the answer of all cells together.
-func (q *divided) result() Gathered {
+// result returns the merged result of all cells.
+func (q *dividedQuery) result() Gathered {
 	out := Gathered{Cut: q.cut}
-	top := topRecords{most: q.route.TopK}
+	top := topRecords{limit: q.route.TopK}
 	var lacking, reasons, helpers []string
-	for _, p := range q.pieces {
-		if !p.ended && len(p.got.Signatures) == 0 {
-			p.got.Outcome = outcome.Unknown // it may be running
+	for _, p := range q.cells {
+		if !p.ended && len(p.gathered.Signatures) == 0 {
+			p.gathered.Outcome = outcome.Unknown // may still be running
 		}
-		out.Signatures = append(out.Signatures, p.got.Signatures...)
-		top.add(p.got.Records)
-		out.Outcome = outcome.Combine(out.Outcome, p.got.Outcome)
-		if p.got.Helper != "" {
-			out.Attempts += p.got.Attempts // this host's own are counted as they are made
+		out.Signatures = append(out.Signatures, p.gathered.Signatures...)
+		top.add(p.gathered.Records)
+		out.Outcome = outcome.Combine(out.Outcome, p.gathered.Outcome)
+		if p.gathered.Helper != "" {
+			out.Attempts += p.gathered.Attempts // attempts of this host are counted when they are made
 		}
-		out.PartBytes += p.got.PartBytes
-		lacking, reasons = appendText(lacking, p.got.Lacking), appendText(reasons, p.got.Reason)
-		helpers = appendText(helpers, p.got.Helper)
+		out.PartBytes += p.gathered.PartBytes
+		lacking, reasons = appendText(lacking, p.gathered.Lacking), appendText(reasons, p.gathered.Reason)
+		helpers = appendText(helpers, p.gathered.Helper)
 	}
 	out.Lacking, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
-	if len(out.Signatures) >= q.least {
+	if len(out.Signatures) >= q.minParts {
 		out.Outcome, out.Records = outcome.Done, top.joined()
 		return out
 	}
 	if out.Outcome == outcome.Done {
-		out.Outcome = outcome.Unknown // some parts are no answer
+		out.Outcome = outcome.Unknown // not enough parts
 	}
-	reasons = append(reasons, Error.New("%d of %d shards answered, want %d", len(out.Signatures), len(q.route.Shards), q.least).Error())
+	reasons = append(reasons, Error.New("%d of %d shards answered, want %d", len(out.Signatures), len(q.route.Shards), q.minParts).Error())
 	out.Signatures, out.Reason = nil, strings.Join(reasons, "; ")
 	return out
 }
 
-// appendText appends a text that is not empty.
+// appendText appends a text unless it is empty.
 func appendText(all []string, text string) []string {
 	if text == "" {
 		return all
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,3 +1,15 @@
+// Package gateway forwards callers' requests to targets by the configuration: a single request to
+// one target of a service, or a query to one target of each shard, whose parts are merged. Every
+// caller gets an answer that states its coverage, or a refusal that says whether the request ran.
+//
+// The package retries, hedges and balances over targets, and delegates the gathering of queries to
+// other hosts. It does not read the configuration or discover targets (package discovery), decide
+// when a target is ejected (policy), or know the names of headers: these come through Messages. The
+// listeners are in package gatewayhost.
+//
+// Begin reading at Gateway.ServeHTTP. From there Gateway.single and run.execute handle single requests,
+// and Gateway.scatter, Gateway.gather and Gateway.gatherLocally handle queries over shards.
+// service.acquire chooses the target of an attempt, and Gateway.send makes the attempt.
 package gateway
 
 import (
@@ -22,62 +34,62 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetconn"
 )
 
-// Gateway forwards requests. It is an http.Handler for callers.
+// Gateway forwards requests. It is the http.Handler of the callers' listener.
 type Gateway struct {
-	cfg      Config
-	state    *discovery.State
-	messages Messages
-	recorder delivery.Recorder
-	self     member.Host
-	hosts    func() int // number of hosts, this one included
-	helpers  *helpers   // nil: every query is gathered here
-	// gathersFor is the number of queries gathered for other hosts.
-	gathersFor atomic.Int32
-	paces      paces
-	requests   *quarantine.Table // what is held against requests
-	held       held
-	fleet      *fleet
-	life       *kernel.Lifecycle
-	log        *event.Log
-	metrics    *metrics
-	lines      *lines
-	cancel     context.CancelFunc
-	// attemptHeader names the headers that each attempt has of its own.
+	cfg       Config
+	state     *discovery.State
+	messages  Messages
+	recorder  delivery.Recorder
+	self      member.Host
+	hostCount func() int  // number of hosts, this one included
+	helpers   *helperPool // nil: this host gathers every query itself
+	// queriesForOthers is the number of queries that this host is gathering for other hosts.
+	queriesForOthers atomic.Int32
+	routeStats       routeStatsTable
+	quarantineTable  *quarantine.Table // quarantine records of requests
+	pending          pendingRequests
+	registry         *serviceRegistry
+	life             *kernel.Lifecycle
+	log              *event.Log
+	metrics          *metrics
+	logLimits        *logLimits
+	cancel           context.CancelFunc
+	// attemptHeader has the header names that are set anew for each attempt.
 	attemptHeader http.Header
 }
 
-// New returns a gateway that forwards by what state believes and records what
-// callers got, and keeps requests from targets by what is held against them. self is this
-// host, hosts returns the number of hosts.
+// New returns a gateway that forwards by the configuration and targets in state, reports each
+// result to recorder and checks requests against the quarantine table. self is this host; hosts
+// returns the number of hosts.
 func New(cfg Config, self member.Host, hosts func() int, state *discovery.State, requests *quarantine.Table, messages Messages, recorder delivery.Recorder,
 	life *kernel.Lifecycle, log *event.Log, reg prometheus.Registerer) *Gateway {
 	g := &Gateway{
-		cfg: cfg, state: state, requests: requests, messages: messages, recorder: recorder, life: life, log: log, self: self, hosts: hosts,
-		fleet: newFleet(cfg, self.ID, self.FailureDomain, hosts), metrics: newMetrics(reg), lines: newLines(), held: newHeld(),
+		cfg: cfg, state: state, quarantineTable: requests, messages: messages, recorder: recorder, life: life, log: log, self: self, hostCount: hosts,
+		registry: newServiceRegistry(cfg, self.ID, self.FailureDomain, hosts), metrics: newMetrics(reg), logLimits: newLogLimits(), pending: newPendingRequests(),
 	}
 	g.attemptHeader = http.Header{}
 	messages.Attempt(g.attemptHeader, "", 0)
-	g.fleet.permitsCount = state.PermitsCount
-	state.Follow(g.fleet.apply)
-	if !cfg.off(Findings) {
-		state.FollowFindings(g.learn)
+	g.registry.permitsValid = state.PermitsCount
+	state.Follow(g.registry.apply)
+	if !cfg.disabled(Findings) {
+		state.FollowFindings(g.applyFindings)
 	}
 	return g
 }
 
-// Start begins to look after idle connections.
+// Start begins the maintenance of idle connections and the watch for suspensions of the machine.
 func (g *Gateway) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	if off := g.cfg.Without; len(off) > 0 {
-		g.log.Event(evWithout).Str("mechanisms", names(off)).Msg("")
+		g.log.Event(evMechanismsOff).Str("mechanisms", joinMechanisms(off)).Msg("")
 	}
-	go g.fleet.runTrim(ctx)
-	go g.state.Clock().Watch(ctx, g.woken)
+	go g.registry.maintainConnections(ctx)
+	go g.state.Clock().Watch(ctx, g.onResume)
 	return nil
 }
 
-// Stop ends that.
+// Stop ends the background work of Start.
 func (g *Gateway) Stop(context.Context) error {
 	g.cancel()
 	return nil
@@ -85,7 +97,7 @@
 
 func (g *Gateway) leaving() bool { return g.life.State() >= kernel.Leaving }
 
-// Ready returns why the host should get no callers, or nil.
+// Ready returns nil if the load balancer may send callers to this host, or else the reason why not.
 func (g *Gateway) Ready() error {
 	if s := g.life.State(); s != kernel.Ready {
 		return Error.New("the host is %s", s)
@@ -94,14 +106,14 @@
 		return Error.New("no configuration is known yet")
 	}
 	if g.state.Freshness().IsZero() {
-		return Error.New("no target is known yet") // callers would be refused for want of one
+		return Error.New("no target is known yet") // every request would be refused with "no target"
 	}
 	return nil
 }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP handles one request of a caller.
 func (g *Gateway) ServeHTTP(rw http.ResponseWriter, hr *http.Request) {
-	r := &request{caller: hr.RemoteAddr, method: hr.Method, uri: hr.RequestURI, host: hr.Host, arrived: time.Now(), came: g.state.Clock().Now()}
+	r := &request{caller: hr.RemoteAddr, method: hr.Method, uri: hr.RequestURI, host: hr.Host, arrived: time.Now(), arrivedClock: g.state.Clock().Now()}
 	w := &reply{gateway: g, writer: rw, request: r}
 	g.serve(w, r, hr)
 	g.record(w)
@@ -123,15 +135,15 @@
 		w.refuse(refusalNoConfig)
 		return
 	}
-	w.version, w.age = table.Config.Version, r.came.Sub(asOf)
-	// The path as it was sent: a target sees no other one.
+	w.configVersion, w.configAge = table.Config.Version, r.arrivedClock.Sub(asOf)
+	// The path is matched in its escaped form, which is what the target receives.
 	path, _, _ := strings.Cut(r.uri, "?")
 	route := table.Match(hr.Host, path)
 	if route == nil {
 		g.unknownRoute(w)
 		return
 	}
-	w.route, w.limit, w.parts = route.Name, route.Objective, max(len(route.Shards), 1)
+	w.route, w.objective, w.totalParts = route.Name, route.Objective, max(len(route.Shards), 1)
 	if limit := table.Config.Limits.HeaderBytes; limit > 0 && headerSize(hr) > limit {
 		w.invalid(http.StatusRequestHeaderFieldsTooLarge, "the header is longer than the configuration allows")
 		return
@@ -147,20 +159,20 @@
 	r.deadline = r.arrived.Add(budget)
 	r.objective = route.Objective
 	if r.objective <= 0 {
-		r.objective = budget // the route names none: an answer is worth all while the caller waits
+		r.objective = budget // the route has no objective: any answer within the time limit counts
 	}
-	r.rank, r.homes = route.Rank, route.Homes
-	r.pace = g.paces.of(route.Name)
-	r.scale = r.pace.scale(r.objective)
-	r.answerBy, r.late = r.pace.arrive(g.arrival(hr, r), r.objective)
-	r.late = r.late && !g.cfg.off(LateYield)
+	r.rank, r.homeRegions = route.Rank, route.Homes
+	r.stats = g.routeStats.forRoute(route.Name)
+	r.latencyScale = r.stats.latencyScale(r.objective)
+	r.answerBy, r.lateRetry = r.stats.observeArrival(g.arrival(hr, r), r.objective)
+	r.lateRetry = r.lateRetry && !g.cfg.disabled(LateRetryYield)
 	g.forward(hr.Context(), w, r, route)
 }
 
-// unknownRoute answers a request for which the configuration has no route. A
-// configuration that may be old proves nothing.
+// unknownRoute answers a request that matches no route. If the configuration may be out of date the
+// request is refused with a retry time, since the route may have been added since.
 func (g *Gateway) unknownRoute(w *reply) {
-	if w.age > g.cfg.FreshFor.Std() {
+	if w.configAge > g.cfg.FreshFor.Std() {
 		w.refuse(refusalStale)
 		return
 	}
@@ -179,11 +191,11 @@
 	}
 }
 
-// attempting returns the context in which attempts of a request start, and sets
-// the one in which they run: those in flight outlive the answer, so that a late
-// one does not cost its connection, but not the caller's leave. done is to be called
-// with the answer; no attempt starts after it, and nothing waits for one.
-func (r *request) attempting(caller context.Context) (ctx context.Context, done func()) {
+// attemptContext returns the context in which new attempts start, and sets r.ctx, in which they
+// run. Attempts in flight continue after the answer, so that a slow one does not cost its
+// connection, but are canceled when the caller disconnects. done must be called with the answer: no
+// attempt starts after it, and it does not wait for those in flight.
+func (r *request) attemptContext(caller context.Context) (ctx context.Context, done func()) {
 	attempts, leave := context.WithCancel(context.WithoutCancel(caller))
 	stop := context.AfterFunc(caller, leave)
 	r.ctx = attempts
@@ -194,17 +206,17 @@
 	}
 }
 
-// forward sends a request where its route says.
+// forward sends a request to the service or the shards of its route.
 func (g *Gateway) forward(caller context.Context, w *reply, r *request, route *routing.Route) {
-	if stance, left := g.stance(r); stance == quarantine.Quarantined {
+	if mode, left := g.quarantineMode(r); mode == quarantine.Quarantined {
 		w.quarantined(left)
 		return
 	}
-	ctx, done := r.attempting(caller)
+	ctx, done := r.attemptContext(caller)
 	defer done()
-	defer g.held.hold(r, done)()
+	defer g.pending.add(r, done)()
 	if len(route.Shards) > 0 {
-		r.gathers = true
+		r.sharded = true
 		g.scatter(ctx, w, r, route)
 		return
 	}
@@ -216,7 +228,8 @@
 	g.single(ctx, w, r, route, service)
 }
 
-// budget returns how long a request may take.
+// budget returns the time limit of a request: the least of the setting, the caller's and the
+// route's.
 func (g *Gateway) budget(call Call, route *routing.Route) time.Duration {
 	budget := g.cfg.MaxBudget.Std()
 	if call.Budget > 0 {
@@ -228,15 +241,15 @@
 	return budget
 }
 
-// defaultBody bounds a body where the configuration sets no limit, in bytes.
-const defaultBody = 1 << 20
+// defaultMaxBodyBytes is the request body limit where the configuration sets none.
+const defaultMaxBodyBytes = 1 << 20
 
 func readBody(hr *http.Request, limit int64) ([]byte, error) {
 	if hr.Body == nil || hr.Body == http.NoBody {
 		return nil, nil
 	}
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, hr.Body, limit))
 	if err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -28,7 +28,7 @@
 func TestAnswerIsTheTargets(t *testing.T) {
 	run(t, options{records: 3}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		a := s.ask(http.MethodPost, "/once/a%2Fb?c=%20d", "r1", "text")
+		a := s.send(http.MethodPost, "/once/a%2Fb?c=%20d", "r1", "text")
 		is.Equal(a.status, http.StatusOK)
 		is.Equal(string(a.body), string(platformtarget.Body("s0", "r1", 3)))
 		is.Equal(a.header.Get(platform.HeaderSignature), platformtarget.Signature("s0", "r1"))
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			run(t, options{}, func(t *testing.T, s *site) {
 				is := is.New(t)
-				for i := range 40 { // earns the budget of further attempts
+				for i := range 40 { // earns retry budget
 					is.Equal(s.get("/one/x", fmt.Sprintf("w%d", i)).status, http.StatusOK)
 				}
 				s.faults("s0-t0", f)
@@ -80,7 +80,7 @@
 				is := is.New(t)
 				s.faults("s0", f)
 				a := s.get("/once/x", "r1")
-				is.Equal(a.status, http.StatusBadGateway) // nothing is promised
+				is.Equal(a.status, http.StatusBadGateway) // the request may have run
 				is.Equal(a.header.Get("Retry-After"), "")
 				is.Equal(s.runs("r1"), 1)
 			})
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalHasRetryAfter(t *testing.T) {
 	cases := map[string]func(s *site){
 		"every target sheds": func(s *site) { s.faults("s0", platformtarget.Faults{Shed: 1}) },
 		"every target is another": func(s *site) {
@@ -111,14 +111,14 @@
 				is.NoErr(err)
 				is.True(after > 0 && after < 1)
 				is.Equal(s.runs("r1"), 0)
-				is.True(a.took < objective/4) // at once
+				is.True(a.took < objective/4) // without a wait
 			})
 		})
 	}
 }
 
-// TestPromisesUnderFaults sends requests through any mix of faults and holds
-// each answer to what the targets saw.
+// TestPromisesUnderFaults sends requests under random combinations of faults and checks each answer
+// against the requests that the targets ran.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.Custom(func(t *rapid.T) platformtarget.Faults {
@@ -139,14 +139,14 @@
 			for i, path := range paths {
 				id := fmt.Sprintf("r%d", i)
 				a := s.get(path, id)
-				time.Sleep(2 * time.Second) // whatever runs late has run
+				time.Sleep(2 * time.Second) // attempts still in flight have ended
 				s.checkPromises(t, path, id, a)
 			}
 		})
 	})
 }
 
-// checkPromises holds an answer to what the targets saw.
+// checkPromises checks an answer against the requests that the targets ran.
 func (s *site) checkPromises(t *testing.T, path, id string, a answer) {
 	t.Helper()
 	ran := s.runs(id)
@@ -171,7 +171,7 @@
 	}
 }
 
-// checkMerged holds a merged answer to its parts.
+// checkMerged checks a merged answer against its parts.
 func (s *site) checkMerged(t *testing.T, id string, a answer) {
 	t.Helper()
 	var bodies []byte
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestSlowTargetIsOvertaken(t *testing.T) {
+func TestSlowTargetIsHedged(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		for i := range 40 {
@@ -207,8 +207,8 @@
 	})
 }
 
-// Extra attempts are bounded by what the first ones earn, whatever fails.
-func TestFurtherAttemptsStayInTheBudget(t *testing.T) {
+// Extra attempts stay within the retry budget that first attempts earn, even if all attempts fail.
+func TestExtraAttemptsStayWithinBudget(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Fail: 1})
@@ -226,7 +226,7 @@
 	})
 }
 
-func TestCallerThatLeavesEndsTheRun(t *testing.T) {
+func TestCallerDisconnectEndsAttempts(t *testing.T) {
 	run(t, options{services: 2}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Silent: true})
@@ -234,12 +234,12 @@
 		for i, path := range []string{"/one/x", "/once/x", "/all/x"} {
 			id := fmt.Sprintf("r%d", i)
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-			s.askWith(ctx, http.MethodGet, path, "", http.Header{platform.HeaderRequestID: {id}})
+			s.sendWith(ctx, http.MethodGet, path, "", http.Header{platform.HeaderRequestID: {id}})
 			cancel()
 			time.Sleep(100 * time.Millisecond)
 			for _, target := range s.targets {
 				for _, r := range target.Runs() {
-					is.True(r.Cancelled) // within half a second
+					is.True(r.Cancelled) // required within half a second, checked after 100 ms
 				}
 			}
 			is.True(s.runs(id) > 0)
@@ -252,14 +252,14 @@
 		is := is.New(t)
 		is.Equal(s.get("/none/x", "r1").status, http.StatusNotFound)
 		time.Sleep(gateway.DefaultConfig().FreshFor.Std() + time.Millisecond)
-		a := s.get("/none/x", "r2") // the configuration may be old
+		a := s.get("/none/x", "r2") // the configuration may be out of date
 		is.Equal(a.status, http.StatusServiceUnavailable)
 		is.True(a.header.Get("Retry-After") != "")
 		is.Equal(s.get("/one/x", "r3").status, http.StatusOK)
 	})
 }
 
-// A target would see the path as it was sent, and so must the choice of route.
+// A target receives the path in its escaped form, so routes must be matched against that form.
 func TestRouteIsChosenByThePathAsItWasSent(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -276,7 +276,7 @@
 		a := s.get("/one/x", "r1")
 		is.Equal(a.status, http.StatusServiceUnavailable)
 		is.True(a.header.Get("Retry-After") != "")
-		s.configure(1, s.usualRoutes(1)...)
+		s.configure(1, s.defaultRoutes(1)...)
 		is.Equal(s.get("/one/x", "r2").status, http.StatusOK)
 	})
 }
@@ -297,7 +297,7 @@
 			{"body too long", http.Header{platform.HeaderRequestID: {"r"}}, strings.Repeat("x", 1<<10+1), http.StatusRequestEntityTooLarge},
 		}
 		for _, tc := range cases {
-			a := s.askWith(t.Context(), http.MethodPost, "/one/x", tc.body, tc.header)
+			a := s.sendWith(t.Context(), http.MethodPost, "/one/x", tc.body, tc.header)
 			is.Equal(a.status, tc.want)
 			is.True(strings.Contains(string(a.body), "error"))
 		}
@@ -307,7 +307,7 @@
 	})
 }
 
-// Broken framing reaches the gateway as bytes, past any client library.
+// Malformed requests are sent as raw bytes, since HTTP client libraries refuse to send them.
 func TestBrokenFramingRunsNothing(t *testing.T) {
 	const head = "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r1\r\n"
 	cases := map[string]string{
@@ -347,7 +347,7 @@
 func TestTrafficIsSplitByWeight(t *testing.T) {
 	run(t, options{services: 2}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		routes := s.usualRoutes(2)
+		routes := s.defaultRoutes(2)
 		routes[0].Destinations = append(routes[0].Destinations, routes[0].Destinations[0])
 		routes[0].Destinations[1].Service = "s1"
 		routes[0].Destinations[1].Weight = 3
@@ -367,23 +367,23 @@
 		a := s.get("/one/x", "r1")
 		is.Equal(a.header.Get("Connection"), "")
 		s.life.Advance(kernel.Leaving)
-		a = s.get("/one/x", "r2") // served, but on this connection no more
+		a = s.get("/one/x", "r2") // answered, and then the connection is closed
 		is.Equal(a.status, http.StatusOK)
 	})
 }
 
-// A host that knows routes but no targets would refuse every caller.
+// A host with routes but no targets would refuse every request, so it must not be ready.
 func TestHostIsReadyOnceItKnowsConfigurationAndTargets(t *testing.T) {
 	is := is.New(t)
 	state, life := discovery.NewState(), kernel.NewLifecycle()
 	life.Advance(kernel.Ready)
-	g := gateway.New(gateway.DefaultConfig(), member.Host{ID: "h"}, func() int { return 1 }, state, noRequests(), platform.Messages{}, &recorder{}, life, event.Discard(), prometheus.NewRegistry())
+	g := gateway.New(gateway.DefaultConfig(), member.Host{ID: "h"}, func() int { return 1 }, state, emptyQuarantine(), platform.Messages{}, &recorder{}, life, event.Discard(), prometheus.NewRegistry())
 	is.True(g.Ready() != nil)
 	state.ApplyConfig(discovery.ConfigRead{Config: routing.Config{Version: 1}, Found: true, Revision: at(1)}, time.Now())
 	is.True(g.Ready() != nil)
-	state.ApplyTargets(discovery.TargetList{Revision: at(1)}, time.Now()) // also if there are none
+	state.ApplyTargets(discovery.TargetList{Revision: at(1)}, time.Now()) // an empty list suffices
 	is.NoErr(g.Ready())
 }
 
-// at returns a revision of a store that tells no era.
+// at returns a revision of a store without eras.
 func at(number uint64) revision.Revision { return revision.Revision{Number: number} }
--- a/internal/gateway/gather_bench_test.go
+++ b/internal/gateway/gather_bench_test.go
@@ -21,11 +21,11 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// benchShards is how many shards the query of the benchmark has.
+// benchShards is the number of shards of the benchmark's query.
 const benchShards = 90
 
-// cannedTarget answers every request on a loopback address with the same part, as
-// cheaply as can be, and returns the address.
+// cannedTarget starts a server that answers every request with the same part at minimum cost, and
+// returns its loopback address.
 func cannedTarget(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,12 +60,12 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkGather gathers a query of 90 shards over loopback connections. The targets'
-// own work is in it, about a third.
+// BenchmarkGather gathers a query of 90 shards over loopback connections. The result includes the
+// targets' own work, about a third of it.
 func BenchmarkGather(b *testing.B) {
 	state := discovery.NewState()
 	life := kernel.NewLifecycle()
-	g := gateway.New(gateway.DefaultConfig(), member.Host{ID: "h", FailureDomain: domain}, func() int { return 1 }, state, noRequests(),
+	g := gateway.New(gateway.DefaultConfig(), member.Host{ID: "h", FailureDomain: domain}, func() int { return 1 }, state, emptyQuarantine(),
 		platform.Messages{}, &recorder{}, life, event.Discard(), prometheus.NewRegistry())
 	route := routing.Route{Name: "all", Host: caseHost, Prefix: "/all/", Idempotent: true, Timeout: time.Minute,
 		Objective: 10 * time.Second, MaxAttempts: 2, TopK: 50, MinShare: 0.95}
@@ -83,7 +83,7 @@
 	state.ApplyConfig(discovery.ConfigRead{Config: config, Found: true, Revision: at(1)}, time.Now())
 	state.ApplyChanges(discovery.TargetChanges{Changes: changes, Revision: at(2)}, time.Now())
 	life.Advance(kernel.Ready)
-	ask := func() int {
+	send := func() int {
 		r := httptest.NewRequest(http.MethodGet, "/all/x", nil)
 		r.RemoteAddr, r.Host = "10.0.0.1:99", caseHost
 		r.Header = http.Header{platform.HeaderRequestID: {"9c41d07be2a35f68"}, platform.HeaderDeadline: {"60000"}, "User-Agent": {"caller"}, "Accept": {"*/*"}}
@@ -91,10 +91,10 @@
 		g.ServeHTTP(w, r)
 		return w.Code
 	}
-	ask() // opens the connections
+	send() // opens the connections
 	b.ReportAllocs()
 	for b.Loop() {
-		if code := ask(); code != http.StatusOK {
+		if code := send(); code != http.StatusOK {
 			b.Fatalf("status %d", code)
 		}
 	}
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -10,29 +10,29 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// Gathered is what one host has gathered of some shards of a query.
+// Gathered is the result of gathering some shards of a query, complete or partial.
 type Gathered struct {
-	Signatures []string // of the parts; none if there is no answer
-	Records    []byte   // the greatest of the parts, greatest first
+	Signatures []string // of the parts received
+	Records    []byte   // greatest records of the parts, in descending order
 	Outcome    outcome.Outcome
-	Lacking    string // the missing shards with the targets asked, a few of them
+	Lacking    string // some of the missing shards with the targets tried, for the log
 	Reason     string // why there is no answer
-	Attempts   int    // at targets
-	Cut        bool   // the objective ended the wait for missing parts
-	PartBytes  int    // of the parts together
-	Failed     int    // shards that are lost
-	Helper     string // host that gathered them, empty: this one
-	// Known is what a helper knows of the query, if targets ended under it.
+	Attempts   int    // attempts at targets
+	Cut        bool   // the answer became due before all parts were there
+	PartBytes  int    // total size of the parts
+	Failed     int    // shards that can't be answered any more
+	Helper     string // host that gathered the shards; empty: this one
+	// Known is the helper's quarantine records of the request, if targets ended under it.
 	Known []quarantine.Record
 }
 
-// Missing bounds the parts that may be lost of a query's shards.
+// Missing limits the parts of a query that may be lost.
 type Missing struct {
-	Most   int // of the whole query; once more are lost nothing is waited for
-	Untold int // of one cell before the host that answers is told: too few to be Most in sum
+	Most   int // of the whole query; once more are lost it is abandoned
+	Untold int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
 
-// part is what one shard of a query ended with.
+// part is the final result of one shard.
 type part struct {
 	shard int
 	ok    bool
@@ -40,124 +40,124 @@
 	run   *run
 }
 
-// gathering is the parts of some shards of a query as they come.
-type gathering struct {
-	route      *routing.Route // its Shards are those to gather
+// partCollector collects the parts of some shards of a query.
+type partCollector struct {
+	route      *routing.Route // its Shards are the ones to gather
 	answered   int
 	failed     int
-	have       []bool // by shard
+	hasPart    []bool // by index of the shard
 	signatures []string
 	top        topRecords
 	partBytes  int
-	outcomes   outcome.Outcome
-	gaveUp     bool // no shard is asked any more
+	combined   outcome.Outcome
+	abandoned  bool // no shard gets further attempts
 }
 
-func newGathering(route *routing.Route) *gathering {
-	return &gathering{route: route, have: make([]bool, len(route.Shards)), top: topRecords{most: route.TopK}}
+func newPartCollector(route *routing.Route) *partCollector {
+	return &partCollector{route: route, hasPart: make([]bool, len(route.Shards)), top: topRecords{limit: route.TopK}}
 }
 
-// gatherHere sends a query to one target of each shard of the route and merges the
-// parts. Once the answer is due it tells what it has, and again with each shard that ends
-// later, or earlier if more are lost than need not be told. It ends when all shards have
-// ended, when more are lost than the whole answer may lack, or with ctx. asked is how often
-// other hosts may have asked each shard.
-func (g *Gateway) gatherHere(ctx context.Context, r *request, route *routing.Route, may Missing, asked int, tell func(Gathered)) Gathered {
-	gathered := newGathering(route)
-	runs := g.newRuns(r, route, asked)
+// gatherLocally sends a query to one target of each of the route's shards and merges the parts. It
+// reports a partial result when the answer is due and with each shard that ends after that, or
+// earlier once more shards are lost than need not be reported. It returns when all shards have ended,
+// when more are lost than the whole answer may lack, at the deadline, or when ctx is done.
+// otherHostAttempts is how often other hosts may have sent the query to each shard.
+func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits Missing, otherHostAttempts int, report func(Gathered)) Gathered {
+	collector := newPartCollector(route)
+	runs := g.newRuns(r, route, otherHostAttempts)
 	parts := make(chan part, len(runs))
 	for i, run := range runs {
 		go func() {
-			res, ok := run.do(ctx)
+			res, ok := run.execute(ctx)
 			parts <- part{shard: i, ok: ok, res: res, run: run}
 		}()
 	}
-	result := func() Gathered { return gathered.result(runs, int(r.attempts.Load())) }
-	last := func() Gathered {
-		gathered.giveUp(runs)
+	result := func() Gathered { return collector.result(runs, int(r.attempts.Load())) }
+	finish := func() Gathered {
+		collector.giveUp(runs)
 		return result()
 	}
-	due := time.NewTimer(time.Until(r.answerBy))
-	defer due.Stop()
-	end := time.NewTimer(time.Until(r.deadline))
-	defer end.Stop()
+	answerTimer := time.NewTimer(time.Until(r.answerBy))
+	defer answerTimer.Stop()
+	deadlineTimer := time.NewTimer(time.Until(r.deadline))
+	defer deadlineTimer.Stop()
 	late := false
-	for !gathered.ended() && gathered.failed <= may.Most {
+	for !collector.ended() && collector.failed <= lossLimits.Most {
 		select {
 		case p := <-parts:
-			gathered.take(p)
-			if !gathered.ended() && (late || !p.ok && gathered.failed > may.Untold) {
-				tell(result())
+			collector.add(p)
+			if !collector.ended() && (late || !p.ok && collector.failed > lossLimits.Untold) {
+				report(result())
 			}
-		case <-due.C:
+		case <-answerTimer.C:
 			late = true
-			tell(result())
-		case <-end.C:
-			return last()
+			report(result())
+		case <-deadlineTimer.C:
+			return finish()
 		case <-ctx.Done():
-			return last()
+			return finish()
 		}
 	}
-	return last()
+	return finish()
 }
 
 // newRuns returns a run for each shard of a query.
-func (g *Gateway) newRuns(r *request, route *routing.Route, asked int) []*run {
+func (g *Gateway) newRuns(r *request, route *routing.Route, otherHostAttempts int) []*run {
 	runs := make([]*run, len(route.Shards))
 	for i, name := range route.Shards {
-		runs[i] = g.newRun(g.fleet.service(name), r, route)
-		runs[i].asked, runs[i].sent = asked, asked
+		runs[i] = g.newRun(g.registry.service(name), r, route)
+		runs[i].otherHostAttempts, runs[i].sent = otherHostAttempts, otherHostAttempts
 	}
 	return runs
 }
 
-func (g *gathering) take(p part) {
+func (c *partCollector) add(p part) {
 	if !p.ok {
-		g.failed++
-		g.outcomes = outcome.Combine(g.outcomes, p.run.sends.outcome())
+		c.failed++
+		c.combined = outcome.Combine(c.combined, p.run.sends.outcome())
 		return
 	}
-	g.answered++
-	g.have[p.shard] = true
-	g.signatures = append(g.signatures, p.res.verdict.Signature)
-	g.top.add(p.res.answer.Body)
-	g.partBytes += len(p.res.answer.Body)
-	g.outcomes = outcome.Combine(g.outcomes, outcome.Done)
+	c.answered++
+	c.hasPart[p.shard] = true
+	c.signatures = append(c.signatures, p.res.verdict.Signature)
+	c.top.add(p.res.answer.Body)
+	c.partBytes += len(p.res.answer.Body)
+	c.combined = outcome.Combine(c.combined, outcome.Done)
 }
 
 // ended reports whether every shard has ended.
-func (g *gathering) ended() bool { return g.answered+g.failed == len(g.route.Shards) }
+func (c *partCollector) ended() bool { return c.answered+c.failed == len(c.route.Shards) }
 
-// giveUp ends the runs of the shards that have not ended, so that what did not run is known.
-func (g *gathering) giveUp(runs []*run) {
+// giveUp abandons the runs of the shards that have not ended, which settles whether they ran.
+func (c *partCollector) giveUp(runs []*run) {
 	for _, run := range runs {
-		g.outcomes = outcome.Combine(g.outcomes, run.sends.giveUp())
+		c.combined = outcome.Combine(c.combined, run.sends.giveUp())
 	}
-	g.gaveUp = true
+	c.abandoned = true
 }
 
-// result returns what there is. Shards that have not ended may be running, so the
-// query can't be told as not run before it was given up.
-func (g *gathering) result(runs []*run, attempts int) Gathered {
+// result returns the current result. Shards that have not ended may be running, so a query that is
+// not abandoned can't have the outcome that it did not run.
+func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
-		Signatures: append([]string(nil), g.signatures...), Records: g.top.joined(), PartBytes: g.partBytes,
-		Outcome: g.outcomes, Lacking: g.lacking(runs), Attempts: attempts, Cut: !g.ended(), Failed: g.failed,
+		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
+		Outcome: c.combined, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
 	}
-	if !g.ended() && !g.gaveUp {
+	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
 	}
 	return out
 }
 
-// mostLacking is how many missing shards a log line names.
-const mostLacking = 4
+// maxLoggedMissing is the number of missing shards that a log line names.
+const maxLoggedMissing = 4
 
-// lacking names the missing shards with the targets that were asked.
-func (g *gathering) lacking(runs []*run) string {
+// missingShards returns some of the missing shards with the targets tried, for the log.
+func (c *partCollector) missingShards(runs []*run) string {
 	var names []string
-	for i, ok := range g.have {
-		if !ok && len(names) < mostLacking {
-			names = append(names, runs[i].askedTargets())
+	for i, ok := range c.hasPart {
+		if !ok && len(names) < maxLoggedMissing {
+			names = append(names, runs[i].triedTargets())
 		}
 	}
 	return strings.Join(names, " ")
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -15,25 +15,25 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// born is when a target of the tests started, at first and again.
+// Start times of a target: the first start and a restart.
 const (
-	bornFirst = 1_764_720_000_000
-	bornAgain = bornFirst + 5000
+	firstBornMs   = 1_764_720_000_000
+	restartBornMs = firstBornMs + 5000
 )
 
-// restart registers a target again under the id that it had.
-func (s *site) restart(id string, born int64) {
+// registerBorn registers a target under its id with a start time.
+func (s *site) registerBorn(id string, born int64) {
 	s.register(discovery.Target{ID: id, Service: id[:len(id)-len("-t0")], Address: id + ":80", Domain: domain, Slots: 4, Born: born})
 }
 
-// onlySelf is the membership of a host that is alone.
+// onlySelf is a membership view with this host only.
 type onlySelf struct{ member.View }
 
 // Self implements member.View.
 func (onlySelf) Self() member.Host { return member.Host{ID: "h"} }
 
-// learn lets the host hear what another one found of a target.
-func (s *site) learn(target string, born int64) {
+// receiveFinding delivers another host's finding that a target is bad.
+func (s *site) receiveFinding(target string, born int64) {
 	spread := discovery.NewSpread(discovery.DefaultConfig(), onlySelf{}, nil, s.state)
 	_, err := spread.Tell(s.t.Context(), &peerpb.Findings{Findings: []*peerpb.Finding{{
 		Target: target, BornMs: born, Bad: true, Failures: 1, FailureDomain: domain,
@@ -43,8 +43,8 @@
 	}
 }
 
-// together sends n requests at the same moment.
-func (s *site) together(n int, id string) {
+// getConcurrently sends n requests at the same time.
+func (s *site) getConcurrently(n int, id string) {
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() { s.get("/one/x", fmt.Sprint(id, i)) })
@@ -52,54 +52,54 @@
 	all.Wait()
 }
 
-// A target that was set aside for its failures starts again under its id: what was known of the
-// one before does not keep work from it.
-func TestTargetThatStartsAgainIsKnownAnew(t *testing.T) {
+// A target that was ejected for its failures starts again under the same id. The health of the
+// previous incarnation must not keep requests from it.
+func TestRestartedTargetStartsWithFreshHealth(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		s.restart("s0-t0", bornFirst)
+		s.registerBorn("s0-t0", firstBornMs)
 		s.faults("s0-t0", platformtarget.Faults{Fail: 1})
-		for i := range 40 { // at once, so that it gets work though the other one is well
-			s.together(4, fmt.Sprintf("bad%d-", i))
+		for i := range 40 { // concurrently, so that it gets requests though the other target is healthy
+			s.getConcurrently(4, fmt.Sprintf("bad%d-", i))
 		}
 		s.faults("s0-t0", platformtarget.Faults{})
 		arrived := s.targets["s0-t0"].Arrived()
 		for range 4 {
-			s.together(4, "aside")
+			s.getConcurrently(4, "aside")
 		}
-		is.True(s.targets["s0-t0"].Arrived() <= arrived+1) // it is set aside, but for a probe
+		is.True(s.targets["s0-t0"].Arrived() <= arrived+1) // ejected, except for a probe
 		arrived = s.targets["s0-t0"].Arrived()
-		s.restart("s0-t0", bornAgain)
+		s.registerBorn("s0-t0", restartBornMs)
 		for range 4 {
-			s.together(4, "again")
+			s.getConcurrently(4, "again")
 		}
 		is.True(s.targets["s0-t0"].Arrived() >= arrived+4) // of 16
 	})
 }
 
-// What other hosts found of an incarnation is not held against the next, whichever comes first.
+// Findings about one incarnation do not apply to another, whether older or newer.
 func TestFindingsOfAnotherIncarnationDoNotCount(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		s.restart("s0-t0", bornAgain)
-		s.restart("s0-t1", bornFirst)
-		s.learn("s0-t0", bornFirst) // of the one before
-		s.learn("s0-t1", bornAgain) // of one that this host has not heard of
-		s.together(4, "r")
+		s.registerBorn("s0-t0", restartBornMs)
+		s.registerBorn("s0-t1", firstBornMs)
+		s.receiveFinding("s0-t0", firstBornMs)   // about the previous one
+		s.receiveFinding("s0-t1", restartBornMs) // about one that is not registered here yet
+		s.getConcurrently(4, "r")
 		is.True(s.targets["s0-t0"].Arrived() > 0)
 		is.True(s.targets["s0-t1"].Arrived() > 0)
 	})
 }
 
-// A target falls silent with a request and starts again: the request ended with it. It is sent to
-// another one, unless it must not run twice.
+// A target hangs with a request and starts again, which ends the request. It is retried at another
+// target if it is idempotent.
 func TestRequestEndsWithTheIncarnationThatHasIt(t *testing.T) {
 	for path, want := range map[string]int{"/one/x": http.StatusOK, "/once/x": http.StatusBadGateway} {
 		t.Run(path, func(t *testing.T) {
 			run(t, options{}, func(t *testing.T, s *site) {
 				is := is.New(t)
-				s.restart("s0-t0", bornFirst)
-				s.restart("s0-t1", bornFirst)
+				s.registerBorn("s0-t0", firstBornMs)
+				s.registerBorn("s0-t1", firstBornMs)
 				s.faults("s0", platformtarget.Faults{Silent: true})
 				got := make(chan answer, 1)
 				go func() { got <- s.get(path, "r1") }()
@@ -107,25 +107,26 @@
 				s.faults("s0", platformtarget.Faults{})
 				for id, target := range s.targets {
 					if target.Arrived() > 0 {
-						s.restart(id, bornAgain)
+						s.registerBorn(id, restartBornMs)
 					}
 				}
 				a := <-got
 				is.Equal(a.status, want)
-				is.True(a.took < 50*time.Millisecond) // not when its time is over
+				is.True(a.took < 50*time.Millisecond) // does not wait for the deadline
 			})
 		})
 	}
 }
 
-// A registration that is written again, as for its sequence, changes nothing.
-func TestSameIncarnationKeepsWhatIsKnown(t *testing.T) {
+// A registration that is written again without a restart, as when its sequence number changes,
+// keeps the target's health.
+func TestSameIncarnationKeepsHealth(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		s.restart("s0-t0", bornFirst)
-		s.learn("s0-t0", bornFirst)
-		s.restart("s0-t0", bornFirst)
-		s.together(4, "r")
+		s.registerBorn("s0-t0", firstBornMs)
+		s.receiveFinding("s0-t0", firstBornMs)
+		s.registerBorn("s0-t0", firstBornMs)
+		s.getConcurrently(4, "r")
 		is.Equal(s.targets["s0-t0"].Arrived(), 0)
 	})
 }
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -9,48 +9,48 @@
 	"github.com/matryer/is"
 )
 
-// A late request leaves a place to a later one that can still be in time, but not
-// for longer than a quarter of its own time.
+// A late retry leaves a connection slot to a request that can still be answered in time, but waits
+// for no longer than a quarter of its own time.
 func TestLateRequestYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := fleetOf("h", "salt-lake", 7, 260).service("s")
+		s := registryOf("h", "salt-lake", 7, 260).service("s")
 		for _, target := range s.targets {
 			target.pool.SetLimit(2)
-			target.take(time.Now(), 1) // one place of two is taken everywhere
+			target.reserve(time.Now(), 1) // at each target one slot of two is taken
 		}
 		now := time.Now()
-		late := &request{late: true, arrived: now, deadline: now.Add(400 * time.Millisecond), scale: 1}
-		fresh := &request{arrived: now, deadline: now.Add(600 * time.Millisecond), scale: 1}
+		lateRetry := &request{lateRetry: true, arrived: now, deadline: now.Add(400 * time.Millisecond), latencyScale: 1}
+		fresh := &request{arrived: now, deadline: now.Add(600 * time.Millisecond), latencyScale: 1}
 		_, err := s.acquire(t.Context(), fresh, nil)
 		is.NoErr(err)
 		is.Equal(time.Since(now), time.Duration(0))
-		_, err = s.acquire(t.Context(), late, nil)
+		_, err = s.acquire(t.Context(), lateRetry, nil)
 		is.NoErr(err)
 		is.Equal(time.Since(now), 100*time.Millisecond)
 	})
 }
 
-// A part of a query waits for a place no longer than its answer does: what comes
-// later is of no use, and would take the place of another one's.
+// A part of a query waits for a connection slot only until the answer is sent: after that it is
+// useless and would take the slot of another part.
 func TestPartWaitsNoLongerThanItsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := fleetOf("h", "salt-lake", 7, 260).service("s")
+		s := registryOf("h", "salt-lake", 7, 260).service("s")
 		for _, target := range s.targets {
-			target.pool.SetLimit(0) // no place anywhere
+			target.pool.SetLimit(0) // no connection slots
 		}
 		now := time.Now()
-		part := &request{gathers: true, arrived: now, answerBy: now.Add(90 * time.Millisecond), deadline: now.Add(600 * time.Millisecond), scale: 1}
+		part := &request{sharded: true, arrived: now, answerBy: now.Add(90 * time.Millisecond), deadline: now.Add(600 * time.Millisecond), latencyScale: 1}
 		_, err := s.acquire(t.Context(), part, nil)
-		is.True(errors.Is(err, errLate))
+		is.True(errors.Is(err, errDeadline))
 		is.Equal(time.Since(now), 90*time.Millisecond)
-		_, err = s.acquire(t.Context(), part, nil) // the answer has left
-		is.True(errors.Is(err, errLate))
+		_, err = s.acquire(t.Context(), part, nil) // after the answer was sent
+		is.True(errors.Is(err, errDeadline))
 		is.Equal(time.Since(now), 90*time.Millisecond)
-		whole := &request{arrived: now, answerBy: part.answerBy, deadline: part.deadline, scale: 1}
+		whole := &request{arrived: now, answerBy: part.answerBy, deadline: part.deadline, latencyScale: 1}
 		_, err = s.acquire(t.Context(), whole, nil)
-		is.True(errors.Is(err, errLate))
-		is.Equal(time.Since(now), 600*time.Millisecond) // late is better than never
+		is.True(errors.Is(err, errDeadline))
+		is.Equal(time.Since(now), 600*time.Millisecond) // a single request waits until its deadline
 	})
 }
--- a/internal/gateway/scatter_test.go
+++ b/internal/gateway/scatter_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestMergedAnswerWithTooFewPartsIsNone(t *testing.T) {
+func TestMergedAnswerWithTooFewPartsFails(t *testing.T) {
 	run(t, options{services: 4}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		for _, name := range []string{"s1", "s2", "s3"} {
@@ -48,8 +48,7 @@
 	})
 }
 
-// Too few shards have a target: nothing is sent, and the caller is told when to
-// come back.
+// If too few shards have a target nothing is sent, and the answer has a retry time.
 func TestQueryThatTooFewShardsCanAnswerDoesNotRun(t *testing.T) {
 	run(t, options{services: 4}, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -66,12 +65,12 @@
 	})
 }
 
-// A route that names no objective: every shard is asked once, and parts that are
-// missing are waited for nearly as long as the caller waits.
+// If a route has no objective every shard gets one attempt, and missing parts are waited for almost
+// until the caller's deadline.
 func TestQueryWithoutAnObjective(t *testing.T) {
 	run(t, options{services: 4}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		routes := s.usualRoutes(4)
+		routes := s.defaultRoutes(4)
 		routes[2].Objective = 0
 		s.configure(2, routes...)
 		a := s.get("/all/x", "r1")
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -12,158 +12,158 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetconn"
 )
 
-// service is the targets of one service, the attempts in flight there, and
-// the budget of further attempts.
+// service holds the targets of one service, the attempts in flight there and the budget of extra
+// attempts.
 type service struct {
 	name string
 
 	mu      sync.Mutex
 	targets []*target
 	byID    map[string]*target
-	budget  *policy.Budget
-	changed chan struct{} // closes when a target or a place comes free
-	waiting int           // requests that wait for a place
-	// neverAside is set where SetAside is switched off.
-	neverAside bool
+	budget  *policy.Budget // of extra attempts: retries and hedges
+	changed chan struct{}  // closed and replaced when a target or a connection slot becomes available
+	waiting int            // requests waiting for a connection slot
+	// ejectionOff is set if the Ejection mechanism is disabled.
+	ejectionOff bool
 
-	regions    regions
-	health     string // path of the health check; empty: not known
-	toldLoad   bool   // a target has told its load
-	urgentRank int    // the lowest of the routes to the service
-	coldBound  coldBound
-	coldFrom   time.Time // until then nothing is sent to cold targets
-	// permitsCount reports whether this host may go by its permits. It takes no lock.
-	permitsCount func() bool
-	onCold       chan<- struct{}
+	regions       regions
+	checkPath     string // path of the health check; empty: unknown
+	reportsLoad   bool   // a target has reported its load
+	urgentRank    int    // lowest rank of the routes to the service
+	coldLimit     coldLimit
+	coldSendsFrom time.Time // no requests are sent to cold targets before
+	// permitsValid reports whether this host may use its permits for cold targets. It takes no lock.
+	permitsValid func() bool
+	coldSignal   chan<- struct{}
 }
 
-// target is one incarnation of a target as this host sees it.
+// target is one incarnation (id and start time) of a target, as seen by this host.
 type target struct {
-	conf discovery.Target
-	// replaced is set once another incarnation has taken the target's place.
-	replaced atomic.Bool
-	home     bool // asked first; see chooseHomes
-	pool     *targetconn.Pool
+	info discovery.Target // the registration
+	// replaced is set once another incarnation has registered in the target's place.
+	replaced  atomic.Bool
+	preferred bool // exempt from nonPreferredCostFactor; see choosePreferred
+	pool      *targetconn.Pool
 
-	// Guarded by the service's lock.
+	// The fields below are guarded by the service's lock.
 	health   *policy.Outlier
 	inFlight int
-	leaving  bool // gets no new work
-	// evacuated is set while nothing may be sent to the target's failure domain, or while it is not
-	// known which those are. The target gets no new work, and is not judged by what it had.
+	draining bool // gets no new requests
+	// evacuated is set while nothing may be sent to the target's failure domain, or while the set
+	// of evacuated domains is unknown. The target gets no new requests, and the results of those in
+	// flight do not affect its health.
 	evacuated bool
-	// badFor is the failure domain of the host that set the target aside.
-	badFor string
-	// strange is set when another target answered at the address.
-	strange bool
-	// unreachable is set while the target takes no connection.
+	// ejectedByDomain is the failure domain of the host that ejected the target.
+	ejectedByDomain string
+	// addressReused is set when another target answered at the address.
+	addressReused bool
+	// unreachable is set while the target refuses connections.
 	unreachable bool
-	warmth      warmth
+	cold        coldState
 }
 
-// apply takes over the targets of the service, and which failure domains of a view are
-// evacuated. Requests in flight at a target that is gone end as they may.
-func (s *service) apply(f *fleet, list []discovery.Target, v discovery.View, urgentRank int) {
+// apply replaces the targets of the service and the set of evacuated failure domains by those of a
+// view. Requests in flight at a removed target are left to end by themselves.
+func (s *service) apply(reg *serviceRegistry, list []discovery.Target, v discovery.View, urgentRank int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.urgentRank = urgentRank
 	if v.Table != nil {
-		conf, _ := v.Table.Service(s.name) // the zero Service has no bound
-		s.coldBound = f.cfg.coldBound(conf)
-		s.health = conf.HealthPath
+		conf, _ := v.Table.Service(s.name) // the zero Service has no limit
+		s.coldLimit = reg.cfg.coldLimit(conf)
+		s.checkPath = conf.HealthPath
 	}
-	known := s.byID
+	previous := s.byID
 	s.byID = map[string]*target{}
 	s.targets = s.targets[:0:0]
 	for _, conf := range list {
-		t, ok := known[conf.ID]
-		if !ok || t.conf.Address != conf.Address || t.conf.Born != conf.Born {
-			t = f.target(conf)
+		t, ok := previous[conf.ID]
+		if !ok || t.info.Address != conf.Address || t.info.Born != conf.Born {
+			t = reg.newTarget(conf)
 			if ok {
-				t.warmth.sentAs(known[conf.ID])
+				t.cold.inherit(previous[conf.ID])
 			}
 		}
-		t.conf = conf
+		t.info = conf
 		t.evacuated = v.EvacuationsUnknown || v.Evacuated[conf.Domain]
-		t.leaving = conf.Draining || t.evacuated
-		t.warmth.apply(f, conf, v, s.coldBound, now)
+		t.draining = conf.Draining || t.evacuated
+		t.cold.apply(reg, conf, v, s.coldLimit, now)
 		if s.cold(now, t) {
-			s.noteCold(t)
+			s.signalCold(t)
 		}
 		s.byID[conf.ID] = t
 		s.targets = append(s.targets, t)
 	}
-	for id, t := range known {
-		if now := s.byID[id]; now != t {
-			t.retire(now)
+	for id, t := range previous {
+		if successor := s.byID[id]; successor != t {
+			t.retire(successor)
 		}
 	}
-	if f.cfg.off(Homes) {
-		s.allHomes()
+	if reg.cfg.disabled(PreferLocal) {
+		s.preferAll()
 	} else {
-		s.chooseHomes(f.domain, f.host)
+		s.choosePreferred(reg.failureDomain, reg.hostID)
 	}
 	s.wake()
 }
 
-// retire ends the use of a target whose registration is gone or is that of another incarnation
-// now. A target that is gone may still answer what it has; with one that has started again all that
-// was in flight has ended. The caller holds the lock.
-func (t *target) retire(now *target) {
-	t.leaving = true
+// retire closes the pool of a target whose registration was removed, or replaced by that of a
+// successor. A removed target may still answer requests in flight; after a restart these are lost, so
+// they are aborted. The caller holds the lock.
+func (t *target) retire(successor *target) {
+	t.draining = true
 	t.pool.Close()
-	if now != nil && now.conf.Born != t.conf.Born {
+	if successor != nil && successor.info.Born != t.info.Born {
 		t.replaced.Store(true)
 		t.pool.Abort()
 	}
 }
 
-// chooseHomes marks the targets that this host asks first: those in its failure
-// domain, or, where there is none or they are evacuated, the one that its id picks, so that
-// the hosts of such a domain spread over all targets. The caller holds the lock.
-func (s *service) chooseHomes(domain, host string) {
+// choosePreferred marks the targets that this host prefers: those in its failure domain or, where
+// there is none or the domain is evacuated, the one with the highest hash of host and target id, so
+// that such hosts spread over all targets. The caller holds the lock.
+func (s *service) choosePreferred(domain, host string) {
 	var picked *target
 	var highest uint64
 	local := false
 	for _, t := range s.targets {
-		t.home = t.conf.Domain == domain && !t.evacuated
-		local = local || t.home
-		if h := xxhash.Sum64String(host + "/" + t.conf.ID); !t.leaving && (picked == nil || h > highest) {
+		t.preferred = t.info.Domain == domain && !t.evacuated
+		local = local || t.preferred
+		if h := xxhash.Sum64String(host + "/" + t.info.ID); !t.draining && (picked == nil || h > highest) {
 			picked, highest = t, h
 		}
 	}
 	if !local && picked != nil {
-		picked.home = true
+		picked.preferred = true
 	}
 }
 
-// allHomes lets every target be asked first. The caller holds the lock.
-func (s *service) allHomes() {
+// preferAll marks every target as preferred. The caller holds the lock.
+func (s *service) preferAll() {
 	for _, t := range s.targets {
-		t.home = true
+		t.preferred = true
 	}
 }
 
-// resize gives this host its part, by its weight, of connections and budget.
-func (s *service) resize(f *fleet, weight float64) {
+// setShare sets this host's share of the connections and of the retry budget by its weight.
+func (s *service) setShare(reg *serviceRegistry, weight float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := f.share(f.view, s.name, len(s.targets), weight)
-	s.budget.SetShare(f.cfg.allowance(), weight, f.draw(s.name))
+	limits := reg.connectionLimits(reg.view, s.name, len(s.targets), weight)
+	s.budget.SetShare(reg.cfg.retryAllowance(), weight, reg.hostDraw(s.name))
 	for _, t := range s.targets {
-		if t.home {
-			t.pool.SetLimit(min(share.home, max(t.conf.Slots, 1)))
+		if t.preferred {
+			t.pool.SetLimit(min(limits.preferred, max(t.info.Slots, 1)))
 			t.pool.SetKeep(0)
 			continue
 		}
-		t.pool.SetLimit(share.other)
-		t.pool.SetKeep(share.keep)
+		t.pool.SetLimit(limits.other)
+		t.pool.SetKeep(limits.idleTimeout)
 	}
 }
 
-// wake lets every request that waits for a place look again. The caller holds
-// the lock.
+// wake makes every request that waits for a connection slot check again. The caller holds the lock.
 func (s *service) wake() {
 	if s.waiting > 0 {
 		close(s.changed)
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -10,9 +10,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-// One of two targets sheds three of five requests: the other one gets nearly all
-// the work, as it has places for it.
-func TestTargetThatShedsIsAskedLast(t *testing.T) {
+// One of two targets sheds three of five requests: the other one, which has capacity, gets nearly
+// all requests.
+func TestSheddingTargetIsUsedLast(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0-t0", platformtarget.Faults{Shed: 0.6})
@@ -25,9 +25,8 @@
 	})
 }
 
-// Both targets shed three of five requests: none is set aside, as what one takes
-// it serves.
-func TestTargetsThatShedAreNotSetAside(t *testing.T) {
+// Both targets shed three of five requests: neither is ejected, as they serve what they accept.
+func TestSheddingTargetsAreNotEjected(t *testing.T) {
 	run(t, options{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s0", platformtarget.Faults{Shed: 0.6})
@@ -36,13 +35,12 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		less := min(s.targets["s0-t0"].Arrived(), s.targets["s0-t1"].Arrived())
-		is.True(less > 50) // each bears its part
+		is.True(less > 50) // each gets its share
 	})
 }
 
-// A part that comes after the answer has left is of no use, so no target is given
-// longer than that.
-func TestTargetsGetTheTimeUntilTheAnswerLeaves(t *testing.T) {
+// A part that arrives after the answer was sent is useless, so targets get no more time than that.
+func TestTargetTimeoutEndsWhenAnswerIsSent(t *testing.T) {
 	run(t, options{services: 3}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.get("/all/x", "r1")
@@ -52,16 +50,16 @@
 				if r.RequestID == "r1" {
 					is.True(r.Left < objective)
 				} else {
-					is.True(r.Left > objective) // the whole answer of one target is worth waiting for
+					is.True(r.Left > objective) // the answer to a single request is useful until the deadline
 				}
 			}
 		}
 	})
 }
 
-// Targets that stop work when the time they were given is over are late; they
-// are not set aside as failing.
-func TestTargetThatRunsOutOfItsTimeIsNotFailing(t *testing.T) {
+// Targets that stop work at the end of the time they were given are slow; they must not be ejected
+// as failing.
+func TestTargetTimeoutIsNotCountedAsFailure(t *testing.T) {
 	run(t, options{services: 2}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.faults("s1", platformtarget.Faults{Slow: 12}) // 120 ms, of an objective of 100 ms
--- a/tools/soak_twins.sh
+++ b/tools/soak_twins.sh
@@ -35,18 +35,18 @@
 }
 
 twin "reservations are repeated like any other request" "at most once" \
-  internal/gateway/single.go 's/!\(r.route.Idempotent \&\& r.request.soleAsker\(\)\)/!r.request.soleAsker()/'
+  internal/gateway/single.go 's/!\(r.route.Idempotent \&\& r.request.soleGatherer\(\)\)/!r.request.soleGatherer()/'
 twin "what may have run is told as not run" "refused as not run" \
-  internal/gateway/single.go 's/case run.sends.outcome\(\).NotRun\(\):/case run.sends.outcome().NotRun() || run.last.outcome == outcome.Unknown:/'
+  internal/gateway/single.go 's/case run.sends.outcome\(\).NotRun\(\):/case run.sends.outcome().NotRun() || run.lastFailure.outcome == outcome.Unknown:/'
 twin "an answer that is cut is taken as whole" "whole and true answer" \
   internal/targetconn/conn.go 's/_, err := io.ReadFull\(resp.Body, body\)/_, err := io.ReadFull(resp.Body, body); err = nil/'
 twin "a stop does not wait for requests" "a planned stop cuts off nothing" \
   internal/gatewayhost/servers.go 's/l.server.Shutdown\(ctx\); err != nil/l.server.Close(); err != nil/'
 twin "a leaving target is asked on" "a leaving target gets no new work" \
-  internal/gateway/service.go 's/t.leaving = conf.Draining \|\| t.evacuated/t.leaving = t.evacuated/'
+  internal/gateway/service.go 's/t.draining = conf.Draining \|\| t.evacuated/t.draining = t.evacuated/'
 
 twin "a request that ends its targets is sent on" "a request that ends its targets is kept from them" \
-  internal/gateway/trial.go 's/return !g.requests.Empty\(\) \&\& /return false \&\& /'
+  internal/gateway/trial.go 's/return !g.quarantineTable.Empty\(\) \&\& /return false \&\& /'
 twin "one foreign entry fails the whole list, or watch" "a leaving target gets no new work" \
   platform/registry.go 's/list.Unusable = append\(.*$/return discovery.TargetList{}, err/; s/gone := discovery.TargetChange\{.*$/return discovery.TargetChanges{}, err\n\t\t\tvar gone discovery.TargetChange/'
 twin "a host that has just read the registry tells peers no removals from before" "a leaving target gets no new work" \
