--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -8,52 +8,56 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// countedConn is a connection whose bytes are counted by class. All calls on
-// a connection have one class; bytes before it is known are counted later.
+// countedConn is a connection whose bytes are counted by class. All calls on a
+// connection have one class; bytes read before it is known are counted
+// afterwards.
 type countedConn struct {
 	net.Conn
-	metrics   *Metrics
-	counters  atomic.Pointer[counters]
-	earlyRead atomic.Int64
-	closed    func(*countedConn)
-	once      sync.Once
+	metrics          *Metrics
+	counters         atomic.Pointer[counters]
+	unclassifiedRead atomic.Int64 // bytes read before the class was known
+	onClose          func(*countedConn)
+	closeOnce        sync.Once
 }
 
+// counters are the byte counters of one class.
 type counters struct{ in, out prometheus.Counter }
 
-// countConn wraps c and calls closed once when it closes.
-func countConn(c net.Conn, m *Metrics, side string, closed func(*countedConn)) *countedConn {
+// countConn counts c as open and calls onClose once when it closes.
+func countConn(c net.Conn, m *Metrics, side string, onClose func(*countedConn)) *countedConn {
 	gauge := m.connections.WithLabelValues(side)
 	gauge.Inc()
-	return &countedConn{Conn: c, metrics: m, closed: func(c *countedConn) {
+	return &countedConn{Conn: c, metrics: m, onClose: func(c *countedConn) {
 		gauge.Dec()
-		closed(c)
+		onClose(c)
 	}}
 }
 
-// setClass tells the class of the connection's calls; only the first counts.
+// setClass sets the class of the connection's calls; only the first call of
+// setClass has an effect.
 func (c *countedConn) setClass(cl class) {
 	cs := &counters{
 		in:  c.metrics.bytes.WithLabelValues(string(cl), "in"),
 		out: c.metrics.bytes.WithLabelValues(string(cl), "out"),
 	}
 	if c.counters.CompareAndSwap(nil, cs) {
-		cs.in.Add(float64(c.earlyRead.Swap(0)))
+		cs.in.Add(float64(c.unclassifiedRead.Swap(0)))
 	}
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if cs := c.counters.Load(); cs != nil {
 		cs.in.Add(float64(n))
 	} else {
-		c.earlyRead.Add(int64(n))
+		c.unclassifiedRead.Add(int64(n))
 	}
 	return n, err
 }
 
-// Write counts what it writes. A server writes nothing before its first call.
+// Write writes to the connection and counts the bytes. The class is known by
+// then, as a server writes nothing before its first call.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if cs := c.counters.Load(); cs != nil {
@@ -65,12 +69,11 @@
 // Close closes the connection.
 func (c *countedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() { c.closed(c) })
+	c.closeOnce.Do(func() { c.onClose(c) })
 	return err
 }
 
-// closeWrite tells the peer that nothing more will be sent; what was sent
-// still arrives.
+// closeWrite closes the sending side; data already written is still delivered.
 func (c *countedConn) closeWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
--- a/internal/peer/invoke.go
+++ b/internal/peer/invoke.go
@@ -10,12 +10,12 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// clientConn is one connection to a peer. Its Invoke takes the place of drpc's
-// own, which fails a call whose answer was received if the connection closes
-// right after.
+// clientConn is one connection to a peer. Its Invoke replaces drpc's own, which
+// fails a call whose reply was received if the connection closes right
+// afterwards.
 type clientConn struct{ *drpcconn.Conn }
 
-// Invoke makes a call with one answer; a received answer is a success.
+// Invoke makes a unary call; it succeeds once the reply is received.
 func (c clientConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
 	message, err := drpcenc.MarshalAppend(in, enc, nil)
 	if err != nil {
@@ -25,15 +25,15 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // the call has its result by then
+	defer func() { _ = stream.Close() }() // the result of the call is known by then
 	if err := send(stream, message); err != nil {
 		return err
 	}
 	return stream.MsgRecv(out, enc)
 }
 
-// send writes the one message of a call and its end, in one write where drpc
-// lets it.
+// send writes the only message of a call and the end of its stream, in one
+// write where drpc allows that.
 func send(stream drpc.Stream, message []byte) error {
 	s, ok := stream.(*drpcstream.Stream)
 	if !ok {
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// class divides the traffic: control has a limit of its own, and connections
-// of its own, so that a probe never waits behind a large answer.
+// class is the traffic class of a call. Control traffic has a limit and
+// connections of its own, so that a probe never waits behind a large reply.
 type class string
 
 const (
@@ -24,13 +24,13 @@
 	return data
 }
 
-// Label "side" of the metrics.
+// Values of the label "side" of the metrics.
 const (
 	sideClient = "client"
 	sideServer = "server"
 )
 
-// Metrics counts the traffic between hosts; one serves Server and Pool.
+// Metrics counts the traffic between hosts; a Server and a Pool share one.
 type Metrics struct {
 	calls       *prometheus.CounterVec
 	bytes       *prometheus.CounterVec
@@ -38,7 +38,8 @@
 	dials       *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics with reg; nil leaves them unregistered.
+// NewMetrics registers the metrics with reg, or leaves them unregistered if reg
+// is nil.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	f := promauto.With(reg)
 	return &Metrics{
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -9,35 +9,35 @@
 	"rhubarbwood.example/rhubarbwood/internal/netdial"
 )
 
-// maxMessage is the largest message between hosts, in bytes. The connection
-// of a larger one is closed by the receiver.
-const maxMessage = 16 << 20
-
-// softCancelGrace bounds how long a cancelled call waits to tell its peer
-// before its connection is closed instead. It must not be 0: drpc would then
-// write the cancel inline, which blocks for good if the peer is frozen and
-// the socket is full.
+// maxMessageBytes is the largest message between hosts. The receiver of a
+// larger one closes the connection.
+const maxMessageBytes = 16 << 20
+
+// softCancelGrace bounds how long a cancelled call waits to send the
+// cancellation to its peer before it closes the connection instead. It must not
+// be 0: drpc would then write the cancellation synchronously, which blocks
+// forever if the peer is frozen and the socket buffer is full.
 const softCancelGrace = 5 * time.Millisecond
 
-// Option changes a Server or a Pool.
+// Option configures a Server or a Pool.
 type Option func(*options)
 
 type options struct {
-	metrics    *Metrics
-	dial       netdial.Func
-	hardCancel bool          // a cancelled call closes its connection; for measurements
-	grace      time.Duration // softCancelGrace, longer in tests
+	metrics         *Metrics
+	dial            netdial.Func
+	hardCancel      bool          // a cancelled call closes its connection; for benchmarks
+	softCancelGrace time.Duration // the constant of this name, or longer in tests
 }
 
-// WithDial makes a Pool open its connections with dial. Tests use it for connections in
-// memory.
+// WithDial makes a Pool open its connections with dial. Tests use it for
+// in-memory connections.
 func WithDial(dial netdial.Func) Option { return func(o *options) { o.dial = dial } }
 
 // WithMetrics counts calls, bytes and connections in m.
 func WithMetrics(m *Metrics) Option { return func(o *options) { o.metrics = m } }
 
 func newOptions(opts []Option) options {
-	o := options{grace: softCancelGrace, dial: netdial.New(dialTimeout).DialContext}
+	o := options{softCancelGrace: softCancelGrace, dial: netdial.New(dialTimeout).DialContext}
 	for _, set := range opts {
 		set(&o)
 	}
@@ -47,16 +47,17 @@
 	return o
 }
 
-// manager returns the drpc options of a connection. A cancelled call tells
-// its peer and keeps the connection (docs/design/membership.md has the
-// figures); the server keeps the library's default, so that its stop closes.
-func (o options) manager(side string) drpcmanager.Options {
+// managerOptions returns the drpc options of a connection. On the client a
+// cancelled call sends the cancellation and keeps the connection
+// (docs/design/membership.md has the figures); the server keeps the library's
+// default, so that stopping it closes the connections.
+func (o options) managerOptions(side string) drpcmanager.Options {
 	return drpcmanager.Options{
-		Reader:          drpcwire.ReaderOptions{MaximumBufferSize: maxMessage},
+		Reader:          drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
 		SoftCancel:      side == sideClient && !o.hardCancel,
-		SoftCancelGrace: o.grace,
+		SoftCancelGrace: o.softCancelGrace,
 	}
 }
 
-// Micros returns a time that a message carries in microseconds.
+// Micros converts a duration that a message carries in microseconds.
 func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// relay is a Relay service whose calls tell that they have begun and then
-// wait for release, or for their context.
+// relay is a Relay service whose calls report their start on begun and then
+// block until release is closed or their context is done.
 type relay struct {
 	begun   chan string   // request ids
 	release chan struct{} // closed to let the calls finish
@@ -53,6 +53,7 @@
 	}
 }
 
+// serve starts a server with the service r on a free port.
 func serve(t testing.TB, r *relay, opts ...Option) *Server {
 	t.Helper()
 	s := NewServer("127.0.0.1:0", opts...)
@@ -62,51 +63,56 @@
 	if err := s.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = s.Stop(gone()) })
+	t.Cleanup(func() { _ = s.Stop(doneContext()) })
 	return s
 }
 
-// pool returns a pool that gives a cancel all the time it needs, so that a
-// busy machine does not change a verdict.
+// pool returns a pool in which a cancelled call may take a minute to send the
+// cancellation, so that results do not depend on the load of the machine.
 func pool(t testing.TB, opts ...Option) *Pool {
 	t.Helper()
-	p := NewPool(append(opts, func(o *options) { o.grace = time.Minute })...)
+	p := NewPool(append(opts, func(o *options) { o.softCancelGrace = time.Minute })...)
 	t.Cleanup(func() { _ = p.Stop(context.Background()) })
 	return p
 }
 
-// gone returns a context that is done.
-func gone() context.Context {
+// doneContext returns a context that is done.
+func doneContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
+// reserve makes a Reserve call; it blocks at the server if item is "hold".
 func reserve(ctx context.Context, p *Pool, address, item string) error {
 	client := peerpb.NewDRPCRelayClient(p.Conn(ctx, address))
 	_, err := client.Reserve(ctx, &peerpb.ReserveRequest{RequestId: "r", Item: item})
 	return err
 }
 
-// hold begins a call that stays in flight, and returns its end.
-func hold(ctx context.Context, p *Pool, address string) chan error {
+// startBlockedCall starts a call that blocks at the server, and returns a
+// channel with its result.
+func startBlockedCall(ctx context.Context, p *Pool, address string) chan error {
 	end := make(chan error, 1)
 	go func() { end <- reserve(ctx, p, address, "hold") }()
 	return end
 }
 
-// closed returns how many of the connections dialled were closed. A call right
-// after a cancelled one may dial, as the cancel may still be on its way.
-func closed(p *Pool) float64 {
+// closedConns returns how many of the dialled connections were closed. A call
+// right after a cancelled one may dial, as the cancellation may not be sent
+// yet.
+func closedConns(p *Pool) float64 {
 	return dials(p) - testutil.ToFloat64(p.opts.metrics.connections.WithLabelValues(sideClient))
 }
 
+// dials returns how many data connections p has dialled.
 func dials(p *Pool) float64 {
 	return testutil.ToFloat64(p.opts.metrics.dials.WithLabelValues(string(data), "ok"))
 }
 
-// silentPeer accepts and reads but never answers, as a host that is frozen
-// after its kernel took the bytes. got receives each piece read.
+// silentPeer returns the address of a listener that accepts but never replies,
+// like a frozen host whose kernel still acknowledges data. got receives each
+// piece read, or nil for each connection if read is false.
 func silentPeer(t *testing.T, read bool) (address string, got chan []byte) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,15 +154,15 @@
 	p := pool(t)
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
-		end := hold(ctx, p, address)
-		for !bytes.Contains(<-got, []byte("Reserve")) { // the cancel of the call before may come first
+		end := startBlockedCall(ctx, p, address)
+		for !bytes.Contains(<-got, []byte("Reserve")) { // the cancellation of the previous call may be read first
 		}
 		cancel()
 		err := <-end
 		is.True(err != nil)   // it ends when it is cancelled
-		is.True(!NotRun(err)) // the peer has read it, and may run it
+		is.True(!NotRun(err)) // the peer received it, and may run it
 	}
-	is.Equal(closed(p), 0.0) // cancelled calls gave their connection back
+	is.Equal(closedConns(p), 0.0) // cancelled calls returned their connections
 }
 
 func TestCallStuckInWriteEndsWhenCancelled(t *testing.T) {
@@ -167,7 +173,7 @@
 	end := make(chan error, 1)
 	go func() {
 		client := peerpb.NewDRPCRelayClient(p.Conn(ctx, address))
-		_, err := client.Reserve(ctx, &peerpb.ReserveRequest{Item: string(make([]byte, maxMessage/2))})
+		_, err := client.Reserve(ctx, &peerpb.ReserveRequest{Item: string(make([]byte, maxMessageBytes/2))})
 		end <- err
 	}()
 	<-accepted
@@ -181,16 +187,16 @@
 	s := serve(t, r)
 	p := pool(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	cancelled := hold(ctx, p, s.Addr())
-	kept := hold(t.Context(), p, s.Addr())
+	cancelled := startBlockedCall(ctx, p, s.Addr())
+	kept := startBlockedCall(t.Context(), p, s.Addr())
 	<-r.begun
 	<-r.begun
 	cancel()
 	is.True(<-cancelled != nil)
-	is.NoErr(reserve(t.Context(), p, s.Addr(), "now")) // also over the connection of the cancelled call
+	is.NoErr(reserve(t.Context(), p, s.Addr(), "now")) // may use the connection of the cancelled call
 	close(r.release)
 	is.NoErr(<-kept)
-	is.Equal(closed(p), 0.0)
+	is.Equal(closedConns(p), 0.0)
 }
 
 func TestPeerKilledInMidStream(t *testing.T) {
@@ -204,13 +210,13 @@
 	first, err := stream.Recv()
 	is.NoErr(err)
 	is.Equal(first.RequestId, "s")
-	kept := hold(t.Context(), p, living.Addr())
+	kept := startBlockedCall(t.Context(), p, living.Addr())
 	<-other.begun
-	is.True(dying.Stop(gone()) != nil) // tells that a call was cut off
+	is.True(dying.Stop(doneContext()) != nil) // reports that a call was aborted
 	_, err = stream.Recv()
-	is.True(err != nil && err != io.EOF) // no end that looks whole
+	is.True(err != nil && err != io.EOF) // not the end of a complete stream
 	is.True(!NotRun(err))
-	is.True(NotRun(reserve(t.Context(), p, dying.Addr(), "now"))) // nobody listens
+	is.True(NotRun(reserve(t.Context(), p, dying.Addr(), "now"))) // the listener is closed
 	close(other.release)
 	is.NoErr(<-kept)
 }
@@ -221,7 +227,7 @@
 	s := serve(t, r)
 	p := pool(t)
 	is.NoErr(reserve(t.Context(), p, s.Addr(), "now")) // leaves an idle connection
-	running := hold(t.Context(), p, s.Addr())
+	running := startBlockedCall(t.Context(), p, s.Addr())
 	<-r.begun
 	stopped := make(chan error, 1)
 	idle := pool(t)
@@ -230,7 +236,7 @@
 	for {
 		err := reserve(t.Context(), idle, s.Addr(), "now")
 		if err != nil {
-			is.True(NotRun(err)) // refused on an open connection
+			is.True(NotRun(err)) // refused over an open connection
 			break
 		}
 		runtime.Gosched()
@@ -256,10 +262,10 @@
 	r := newRelay()
 	s := serve(t, r)
 	p := pool(t)
-	kept := hold(t.Context(), p, s.Addr())
+	kept := startBlockedCall(t.Context(), p, s.Addr())
 	<-r.begun
-	is.True(reserve(t.Context(), p, s.Addr(), string(make([]byte, maxMessage+1))) != nil)
-	is.NoErr(reserve(t.Context(), p, s.Addr(), string(make([]byte, maxMessage-1024))))
+	is.True(reserve(t.Context(), p, s.Addr(), string(make([]byte, maxMessageBytes+1))) != nil)
+	is.NoErr(reserve(t.Context(), p, s.Addr(), string(make([]byte, maxMessageBytes-1024))))
 	close(r.release)
 	is.NoErr(<-kept)
 }
@@ -270,8 +276,8 @@
 	s := serve(t, r)
 	p := pool(t)
 	var ends []chan error
-	for range maxPerHost {
-		ends = append(ends, hold(t.Context(), p, s.Addr()))
+	for range maxOpenPerHost {
+		ends = append(ends, startBlockedCall(t.Context(), p, s.Addr()))
 		<-r.begun
 	}
 	is.True(NotRun(reserve(t.Context(), p, s.Addr(), "now")))
@@ -291,12 +297,13 @@
 	p := pool(t, WithMetrics(clients))
 	is.NoErr(reserve(t.Context(), p, s.Addr(), "now"))
 	_, err := peerpb.NewDRPCMembersClient(p.Conn(t.Context(), s.Addr())).Probe(t.Context(), &peerpb.ProbeRequest{})
-	is.True(err != nil) // no such service here, but control traffic all the same
+	is.True(err != nil) // the server lacks the service, but the call is control traffic
 	for _, cl := range []class{control, data} {
 		sent := testutil.ToFloat64(clients.bytes.WithLabelValues(string(cl), "out"))
 		is.True(sent > 0)
 		got := func() float64 { return testutil.ToFloat64(m.bytes.WithLabelValues(string(cl), "in")) }
-		// The end of a call is read by the server after the client's call has returned.
+		// The server reads the end of a call after the client's call has
+		// returned.
 		for began := time.Now(); got() < sent && time.Since(began) < 10*time.Second; {
 			time.Sleep(time.Millisecond)
 		}
@@ -305,7 +312,7 @@
 	is.Equal(testutil.ToFloat64(clients.connections.WithLabelValues(sideClient)), 2.0)
 }
 
-// BenchmarkCancel measures a cancelled call and the call after it.
+// BenchmarkCancel measures a cancelled call and the call that follows it.
 func BenchmarkCancel(b *testing.B) {
 	for name, hard := range map[string]bool{"soft": false, "hard": true} {
 		b.Run(name, func(b *testing.B) {
@@ -315,7 +322,7 @@
 			began := time.Now()
 			for b.Loop() {
 				ctx, cancel := context.WithCancel(b.Context())
-				end := hold(ctx, p, s.Addr())
+				end := startBlockedCall(ctx, p, s.Addr())
 				<-r.begun
 				cancel()
 				<-end
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -15,65 +15,67 @@
 )
 
 const (
-	idlePerHost = 64 // connections of a class kept open to one host between calls
-	dialTimeout = time.Second
-	maxPerHost  = 256 // connections of a class open to one host, those being dialled included
-	maxDials    = 16  // connections of a class being dialled to one host at once
+	maxIdlePerHost  = 64 // idle connections of a class kept open to one host
+	dialTimeout     = time.Second
+	maxOpenPerHost  = 256 // connections of a class open to one host, those being dialled included
+	maxDialsPerHost = 16  // concurrent dials of a class to one host
 )
 
-// idleExpiry is after how long an unused connection is closed. Control calls
-// go to random hosts: in a small fleet each comes round within seconds; in a
-// large one none does, and open connections would only pile up.
-var idleExpiry = map[class]time.Duration{control: 10 * time.Second, data: 30 * time.Second}
+// idleTimeouts is how long an unused connection of each class stays open.
+// Control calls go to random hosts: in a small fleet each host is called again
+// within seconds; in a large one it is not, and open connections would only
+// accumulate.
+var idleTimeouts = map[class]time.Duration{control: 10 * time.Second, data: 30 * time.Second}
 
-// Dialer gives connections to other hosts. A drpc connection carries one call
-// at a time, so calls that overlap use several.
+// Dialer provides connections to other hosts. A drpc connection carries one
+// call at a time, so concurrent calls use several.
 type Dialer interface {
 	Conn(ctx context.Context, address string) drpc.Conn
 }
 
-// Pool is the Dialer of a host.
+// Pool is the Dialer of a host; it reuses idle connections.
 type Pool struct {
 	opts options
-	idle map[class]*drpcpool.Pool[key, drpcpool.Conn]
+	idle map[class]*drpcpool.Pool[connKey, drpcpool.Conn]
 
-	mu   sync.Mutex
-	used map[key]*usage
+	mu         sync.Mutex
+	usageByKey map[connKey]*connUsage
 }
 
-// key names connections of which any may carry a call: those of one class to
-// one host.
-type key struct {
+// connKey identifies interchangeable connections: those of one class to one
+// host.
+type connKey struct {
 	address string
 	class   class
 }
 
-// usage counts the connections of one key, for their bounds.
-type usage struct {
-	open  int           // guarded by Pool.mu
-	slots chan struct{} // one for each dial at work
+// connUsage counts the connections of one key to enforce their limits.
+type connUsage struct {
+	open      int           // guarded by Pool.mu
+	dialSlots chan struct{} // one element for each dial in progress
 }
 
 // NewPool returns an empty pool.
 func NewPool(opts ...Option) *Pool {
 	p := &Pool{
-		opts: newOptions(opts),
-		idle: map[class]*drpcpool.Pool[key, drpcpool.Conn]{},
-		used: map[key]*usage{},
+		opts:       newOptions(opts),
+		idle:       map[class]*drpcpool.Pool[connKey, drpcpool.Conn]{},
+		usageByKey: map[connKey]*connUsage{},
 	}
-	for cl, expiry := range idleExpiry {
-		p.idle[cl] = drpcpool.New[key, drpcpool.Conn](drpcpool.Options{Expiration: expiry, KeyCapacity: idlePerHost})
+	for cl, expiry := range idleTimeouts {
+		p.idle[cl] = drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{Expiration: expiry, KeyCapacity: maxIdlePerHost})
 	}
 	return p
 }
 
-// Conn returns a connection to the address; each call on it takes an idle one
-// or dials. NotRun tells of a failed call whether it certainly did not run.
+// Conn returns a connection to the address; each call on it uses an idle
+// connection or dials. NotRun reports whether a failed call certainly did not
+// run.
 func (p *Pool) Conn(_ context.Context, address string) drpc.Conn {
 	return &conn{pool: p, address: address, closed: make(chan struct{})}
 }
 
-// Start does nothing: connections are made when they are wanted.
+// Start does nothing: connections are dialled on demand.
 func (p *Pool) Start(context.Context) error { return nil }
 
 // Stop closes the idle connections.
@@ -87,62 +89,65 @@
 	return errors.Join(problems...)
 }
 
-// get returns a connection of a class.
-func (p *Pool) get(ctx context.Context, address, rpc string) drpc.Conn {
+// idleOrDial returns a connection of the call's class, an idle one if there is
+// one.
+func (p *Pool) idleOrDial(ctx context.Context, address, rpc string) drpc.Conn {
 	cl := classOf(rpc)
-	return p.idle[cl].Get(ctx, key{address, cl}, p.dial)
+	return p.idle[cl].Get(ctx, connKey{address, cl}, p.dial)
 }
 
-// dial opens a connection within the bounds of the key.
-func (p *Pool) dial(ctx context.Context, k key) (drpcpool.Conn, error) {
-	u, err := p.reserve(k)
+// dial opens a connection within the limits of the key.
+func (p *Pool) dial(ctx context.Context, k connKey) (drpcpool.Conn, error) {
+	u, err := p.reserveConn(k)
 	if err != nil {
 		return nil, notSent{err}
 	}
-	c, err := u.connect(ctx, p.opts.dial, k.address)
+	c, err := u.dialInSlot(ctx, p.opts.dial, k.address)
 	p.opts.metrics.dials.WithLabelValues(string(k.class), result(err)).Inc()
 	if err != nil {
-		p.release(k, u)
+		p.releaseConn(k, u)
 		return nil, notSent{err}
 	}
-	counted := countConn(c, p.opts.metrics, sideClient, func(*countedConn) { p.release(k, u) })
+	counted := countConn(c, p.opts.metrics, sideClient, func(*countedConn) { p.releaseConn(k, u) })
 	counted.setClass(k.class)
-	return clientConn{drpcconn.NewWithOptions(counted, drpcconn.Options{Manager: p.opts.manager(sideClient)})}, nil
+	return clientConn{drpcconn.NewWithOptions(counted, drpcconn.Options{Manager: p.opts.managerOptions(sideClient)})}, nil
 }
 
-// reserve counts a connection that is to be opened; release must follow.
-func (p *Pool) reserve(k key) (*usage, error) {
+// reserveConn counts a connection that is about to be dialled; releaseConn must
+// follow.
+func (p *Pool) reserveConn(k connKey) (*connUsage, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := p.used[k]
+	u := p.usageByKey[k]
 	if u == nil {
-		u = &usage{slots: make(chan struct{}, maxDials)}
-		p.used[k] = u
+		u = &connUsage{dialSlots: make(chan struct{}, maxDialsPerHost)}
+		p.usageByKey[k] = u
 	}
-	if u.open >= maxPerHost {
-		return nil, Error.New("%d connections to %s are in use", maxPerHost, k.address)
+	if u.open >= maxOpenPerHost {
+		return nil, Error.New("%d connections to %s are in use", maxOpenPerHost, k.address)
 	}
 	u.open++
 	return u, nil
 }
 
-func (p *Pool) release(k key, u *usage) {
+// releaseConn uncounts a connection that was closed or could not be dialled.
+func (p *Pool) releaseConn(k connKey, u *connUsage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u.open--
 	if u.open == 0 {
-		delete(p.used, k)
+		delete(p.usageByKey, k)
 	}
 }
 
-// connect dials when a slot is free.
-func (u *usage) connect(ctx context.Context, dial netdial.Func, address string) (net.Conn, error) {
+// dialInSlot waits for a dial slot and opens a connection.
+func (u *connUsage) dialInSlot(ctx context.Context, dial netdial.Func, address string) (net.Conn, error) {
 	select {
-	case u.slots <- struct{}{}:
+	case u.dialSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, Error.New("wait to dial %s: %w", address, ctx.Err())
 	}
-	defer func() { <-u.slots }()
+	defer func() { <-u.dialSlots }()
 	c, err := dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, Error.New("dial %s: %w", address, err)
@@ -150,7 +155,8 @@
 	return c, nil
 }
 
-// conn is the drpc.Conn to one host, over as many connections as its calls need.
+// conn is the drpc.Conn to one host; each call in progress uses a connection of
+// its own.
 type conn struct {
 	pool    *Pool
 	address string
@@ -158,7 +164,7 @@
 	closed  chan struct{}
 }
 
-// Close makes no further call possible; calls at work go on.
+// Close prevents further calls; calls in progress continue.
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
@@ -167,29 +173,30 @@
 // Closed returns a channel that is closed by Close.
 func (c *conn) Closed() <-chan struct{} { return c.closed }
 
-// Invoke makes a call with one answer.
+// Invoke makes a unary call.
 func (c *conn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
-	err := c.check(ctx)
+	err := c.checkUsable(ctx)
 	if err == nil {
-		err = c.pool.get(ctx, c.address, rpc).Invoke(ctx, rpc, enc, in, out)
+		err = c.pool.idleOrDial(ctx, c.address, rpc).Invoke(ctx, rpc, enc, in, out)
 	}
 	c.count(rpc, err)
 	return err
 }
 
-// NewStream begins a call with many messages.
+// NewStream starts a streaming call.
 func (c *conn) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
 	var stream drpc.Stream
-	err := c.check(ctx)
+	err := c.checkUsable(ctx)
 	if err == nil {
-		stream, err = c.pool.get(ctx, c.address, rpc).NewStream(ctx, rpc, enc)
+		stream, err = c.pool.idleOrDial(ctx, c.address, rpc).NewStream(ctx, rpc, enc)
 	}
 	c.count(rpc, err)
 	return stream, err
 }
 
-// check finds out before anything is sent that a call cannot be made.
-func (c *conn) check(ctx context.Context) error {
+// checkUsable returns an error if a call cannot be made, before anything is
+// sent.
+func (c *conn) checkUsable(ctx context.Context) error {
 	select {
 	case <-c.closed:
 		return notSent{Error.New("connection to %s was closed by its user", c.address)}
@@ -200,7 +207,7 @@
 	}
 }
 
-// count counts a call; of a stream only how it began is known here.
+// count counts a call; the result of a streaming call is that of its start.
 func (c *conn) count(rpc string, err error) {
 	c.pool.opts.metrics.calls.WithLabelValues(sideClient, rpc, result(err)).Inc()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,5 +1,3 @@
-// Package peer carries the calls between hosts over drpc: one listener a
-// host, and one pool of connections to the others.
 package peer
 
 import (
@@ -14,11 +12,11 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// closeGrace is how long Stop waits for the peers to close the connections
-// that it has ended, and for calls that it cut off to notice.
-const closeGrace = time.Second
+// closeTimeout is how long Stop waits for the peers to close their connections,
+// and for aborted calls to return.
+const closeTimeout = time.Second
 
-// Server takes the calls of other hosts. Modules register their drpc services
+// Server serves the calls of other hosts. Modules register their drpc services
 // before Start.
 type Server struct {
 	address string
@@ -28,12 +26,12 @@
 	cancel  context.CancelFunc
 	done    chan struct{}
 
-	mu       sync.Mutex // guards the fields below
-	conns    map[*countedConn]struct{}
-	running  int
-	stopping bool
-	idle     chan struct{} // closed once stopping and no call runs
-	empty    chan struct{} // closed once idle and no connection is open
+	mu           sync.Mutex // guards the fields below
+	conns        map[*countedConn]struct{}
+	runningCalls int
+	stopping     bool
+	callsDone    chan struct{} // closed once the server is stopping and no call is running
+	connsClosed  chan struct{} // closed once the server is stopping and no connection is open
 }
 
 // NewServer returns a server that will listen on address.
@@ -41,18 +39,20 @@
 	return &Server{
 		address: address, mux: drpcmux.New(), opts: newOptions(opts),
 		done: make(chan struct{}), conns: map[*countedConn]struct{}{},
-		idle: make(chan struct{}), empty: make(chan struct{}),
+		callsDone: make(chan struct{}), connsClosed: make(chan struct{}),
 	}
 }
 
-// Register adds a drpc service, as the generated DRPCRegister functions want.
+// Register adds a drpc service, as the generated DRPCRegister functions
+// require.
 func (s *Server) Register(srv any, desc drpc.Description) error { return s.mux.Register(srv, desc) }
 
-// On makes the server use a listener that is open already, so that its
-// address can be known before Start. The server closes it at Stop.
+// On sets a listener that is already open, so that its address can be known
+// before Start. Stop closes it.
 func (s *Server) On(ln net.Listener) { s.ln = ln }
 
-// Start serves until Stop, and listens first unless it was given a listener.
+// Start serves in the background until Stop. It opens a listener unless On has
+// set one.
 func (s *Server) Start(context.Context) error {
 	if s.ln == nil {
 		ln, err := net.Listen("tcp", s.address)
@@ -63,64 +63,66 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	server := drpcserver.NewWithOptions(handler{s}, drpcserver.Options{Manager: s.opts.manager(sideServer)})
+	server := drpcserver.NewWithOptions(handler{s}, drpcserver.Options{Manager: s.opts.managerOptions(sideServer)})
 	go func() {
 		defer close(s.done)
-		_ = server.Serve(ctx, listener{s.ln, s, ctx}) // ends with ctx; errors of single connections are the callers' to report
+		_ = server.Serve(ctx, listener{s.ln, s, ctx}) // returns when ctx is done; callers report the errors of single connections
 	}()
 	return nil
 }
 
-// Addr returns the address listened on, after On or Start.
+// Addr returns the listener's address, after On or Start.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Stop takes no more connections, refuses new calls as not run, and lets
-// those that run finish until ctx is done. Then it closes every connection;
-// an error tells how many calls that cut off.
+// Stop closes the listener, rejects new calls as not run, and waits for running
+// calls until ctx is done. Then it closes every connection; an error reports
+// how many calls that aborted.
 func (s *Server) Stop(ctx context.Context) error {
 	if s.ln == nil {
 		return nil
 	}
-	_ = s.ln.Close() // its owner may have closed it
+	_ = s.ln.Close() // may have been closed by its owner
 	if s.cancel == nil {
 		return nil
 	}
-	s.refuse()
-	cut := s.drain(ctx)
-	if cut == 0 {
-		s.finish(ctx)
+	s.rejectNewCalls()
+	abortedCalls := s.waitForCalls(ctx)
+	if abortedCalls == 0 {
+		s.closeGracefully(ctx)
 	}
 	s.cancel()
 	select {
 	case <-s.done:
-	case <-time.After(closeGrace):
-		return Error.New("stop: %d calls were cut off and did not end", cut)
+	case <-time.After(closeTimeout):
+		return Error.New("stop: %d calls were cut off and did not end", abortedCalls)
 	}
-	if cut > 0 {
-		return Error.New("stop: %d calls were cut off: %w", cut, ctx.Err())
+	if abortedCalls > 0 {
+		return Error.New("stop: %d calls were cut off: %w", abortedCalls, ctx.Err())
 	}
 	return nil
 }
 
-// refuse makes every call from now on fail as not run.
-func (s *Server) refuse() {
+// rejectNewCalls makes every further call fail as not run.
+func (s *Server) rejectNewCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
-	s.settle()
+	s.signalIfDrained()
 }
 
-// settle closes idle and empty when their time has come. s.mu is held.
-func (s *Server) settle() {
-	if s.stopping && s.running == 0 {
-		closeOnce(s.idle)
+// signalIfDrained closes callsDone and connsClosed once their conditions hold.
+// s.mu is held.
+func (s *Server) signalIfDrained() {
+	if s.stopping && s.runningCalls == 0 {
+		closeOnce(s.callsDone)
 	}
 	if s.stopping && len(s.conns) == 0 {
-		closeOnce(s.empty)
+		closeOnce(s.connsClosed)
 	}
 }
 
-// closeOnce closes a channel that is closed under one lock only.
+// closeOnce closes a channel that is not closed yet. All calls for one channel
+// must be made under the same lock.
 func closeOnce(c chan struct{}) {
 	select {
 	case <-c:
@@ -129,85 +131,87 @@
 	}
 }
 
-// drain waits until no call runs, and returns how many still do when ctx is done.
-func (s *Server) drain(ctx context.Context) int {
+// waitForCalls waits until no call is running, and returns how many still are
+// when ctx is done.
+func (s *Server) waitForCalls(ctx context.Context) int {
 	select {
-	case <-s.idle:
+	case <-s.callsDone:
 		return 0
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.running
+	return s.runningCalls
 }
 
-// finish ends the sending side of every connection and waits until the peers
-// have read to the end and closed. Closing at once could destroy an answer
-// that its caller has not read yet.
-func (s *Server) finish(ctx context.Context) {
+// closeGracefully closes the sending side of every connection and waits until
+// the peers have read all data and closed theirs. Closing at once could discard
+// a reply that the peer has not read yet.
+func (s *Server) closeGracefully(ctx context.Context) {
 	s.mu.Lock()
 	for c := range s.conns {
-		_ = c.closeWrite() // a connection that fails is closed already
+		_ = c.closeWrite() // an error means that the connection is closed already
 	}
 	s.mu.Unlock()
 	select {
-	case <-s.empty:
+	case <-s.connsClosed:
 	case <-ctx.Done():
-	case <-time.After(closeGrace):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// begin counts a call and reports whether it may run; end must follow.
-func (s *Server) begin() bool {
+// beginCall counts a call and reports whether it may run; endCall must follow.
+func (s *Server) beginCall() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running++
+	s.runningCalls++
 	return !s.stopping
 }
 
-func (s *Server) end() {
+func (s *Server) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	s.settle()
+	s.runningCalls--
+	s.signalIfDrained()
 }
 
-func (s *Server) opened(c *countedConn) {
+func (s *Server) addConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
 }
 
-func (s *Server) closed(c *countedConn) {
+func (s *Server) removeConn(c *countedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	s.settle()
+	s.signalIfDrained()
 }
 
-// handler runs the calls of one server.
+// handler dispatches the calls of one server.
 type handler struct{ server *Server }
 
-// HandleRPC runs one call, sends its end and counts it. The end is not left
-// to drpc, which would send it after the call no longer counts as running.
+// HandleRPC runs one call, sends its result and counts it. It does not leave
+// the result to drpc, which would send it only after the call has stopped
+// counting as running.
 func (h handler) HandleRPC(stream drpc.Stream, rpc string) error {
 	if tr, ok := drpcctx.Transport(stream.Context()); ok {
 		if c, ok := tr.(*countedConn); ok {
 			c.setClass(classOf(rpc))
 		}
 	}
-	mayRun := h.server.begin()
-	defer h.server.end()
+	mayRun := h.server.beginCall()
+	defer h.server.endCall()
 	if !mayRun {
-		return sendEnd(stream, errStopping)
+		return sendResult(stream, errStopping)
 	}
 	err := h.server.mux.HandleRPC(stream, rpc)
 	h.server.opts.metrics.calls.WithLabelValues(sideServer, rpc, result(err)).Inc()
-	return sendEnd(stream, err)
+	return sendResult(stream, err)
 }
 
-// sendEnd tells the caller how its call ended.
-func sendEnd(stream drpc.Stream, err error) error {
+// sendResult sends the end of a call, or its error, to the caller.
+func sendResult(stream drpc.Stream, err error) error {
 	if err == nil {
 		return stream.CloseSend()
 	}
@@ -217,8 +221,9 @@
 	return err
 }
 
-// listener counts its connections. After it is closed Accept waits for ctx,
-// because drpc would cut off running calls when Accept fails.
+// listener registers accepted connections with the server. Once it is closed,
+// Accept blocks until ctx is done, because drpc would abort running calls when
+// Accept fails.
 type listener struct {
 	net.Listener
 	server *Server
@@ -229,12 +234,12 @@
 func (l listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		counted := countConn(c, l.server.opts.metrics, sideServer, l.server.closed)
-		l.server.opened(counted)
+		counted := countConn(c, l.server.opts.metrics, sideServer, l.server.removeConn)
+		l.server.addConn(counted)
 		return counted, nil
 	}
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		return nil, err // such as too many open files: drpc tries again
+		return nil, err // temporary, such as too many open files: drpc retries
 	}
 	<-l.ctx.Done()
 	return nil, err
