--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -16,7 +16,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer"
 )
 
-// socketHost is one host over real drpc on loopback.
+// socketHost is a host that uses real drpc connections on loopback.
 type socketHost struct {
 	server  *peer.Server
 	pool    *peer.Pool
@@ -53,14 +53,14 @@
 	_ = h.pool.Stop(done)
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// total sums a counter over all its labels.
-func total(reg *prometheus.Registry, name string) float64 {
+// counterTotal sums a counter over all its labels.
+func counterTotal(reg *prometheus.Registry, name string) float64 {
 	families, _ := reg.Gather()
 	sum := 0.0
 	for _, f := range families {
@@ -91,14 +91,14 @@
 			}
 			for b.Loop() {
 				time.Sleep(settle)
-				cpu, calls, bytes := processorTime(), total(reg, "rhubarbwood_peer_calls_total"), total(reg, "rhubarbwood_peer_bytes_total")
-				dials := total(reg, "rhubarbwood_peer_dials_total")
+				cpu, calls, bytes := cpuTime(), counterTotal(reg, "rhubarbwood_peer_calls_total"), counterTotal(reg, "rhubarbwood_peer_bytes_total")
+				dials := counterTotal(reg, "rhubarbwood_peer_dials_total")
 				time.Sleep(measured)
 				per := float64(n) * measured.Seconds()
-				b.ReportMetric(float64((processorTime()-cpu).Microseconds())/per, "cpu-us/host/s")
-				b.ReportMetric((total(reg, "rhubarbwood_peer_calls_total")-calls)/per, "calls/host/s")
-				b.ReportMetric((total(reg, "rhubarbwood_peer_bytes_total")-bytes)/per, "bytes/host/s")
-				b.ReportMetric((total(reg, "rhubarbwood_peer_dials_total")-dials)/per, "dials/host/s")
+				b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/per, "cpu-us/host/s")
+				b.ReportMetric((counterTotal(reg, "rhubarbwood_peer_calls_total")-calls)/per, "calls/host/s")
+				b.ReportMetric((counterTotal(reg, "rhubarbwood_peer_bytes_total")-bytes)/per, "bytes/host/s")
+				b.ReportMetric((counterTotal(reg, "rhubarbwood_peer_dials_total")-dials)/per, "dials/host/s")
 				var mem runtime.MemStats
 				runtime.ReadMemStats(&mem)
 				b.ReportMetric(float64(mem.HeapInuse+mem.StackInuse)/1024/float64(n), "KB/host")
@@ -107,13 +107,14 @@
 	}
 }
 
-// BenchmarkTable measures what grows with the number of hosts known.
+// BenchmarkTable measures the operations whose cost grows with the number of
+// hosts in the table.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{9, 48, 720} {
-		table := full(n)
+		table := tableOf(n)
 		b.Run(fmt.Sprintf("message/hosts=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				table.updates(8, "")
+				table.piggybackUpdates(8, "")
 			}
 		})
 		b.Run(fmt.Sprintf("view/hosts=%d", n), func(b *testing.B) {
--- a/internal/member/config.go
+++ b/internal/member/config.go
@@ -10,30 +10,31 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config holds the settings of the membership. The defaults are worked out in
-// docs/design/membership.md.
+// Config holds the settings of the membership. docs/design/membership.md
+// derives the defaults.
 type Config struct {
-	Seeds             []string      `json:"seeds"`               // peer addresses tried at start and when no other host answers
-	ProbeInterval     unit.Duration `json:"probe_interval"`      // time between two probes that this host begins
+	Seeds             []string      `json:"seeds"`               // peer addresses contacted at start and when no other host answers
+	ProbeInterval     unit.Duration `json:"probe_interval"`      // time between the starts of two probes by this host
 	ProbeTimeout      unit.Duration `json:"probe_timeout"`       // timeout of one direct probe
-	IndirectProbes    int           `json:"indirect_probes"`     // hosts asked to probe a host that did not answer
-	SuspicionFactor   float64       `json:"suspicion_factor"`    // suspicion lasts factor * log2(hosts + 1) probe intervals
-	RetransmitFactor  float64       `json:"retransmit_factor"`   // a change is sent factor * log2(hosts + 1) times
-	UpdatesPerMessage int           `json:"updates_per_message"` // upper bound of the host records in one message
-	PlatformTimeout   unit.Duration `json:"platform_timeout"`    // timeout of one platform call
-	RefreshMinimum    unit.Duration `json:"refresh_minimum"`     // shortest time between two readings of the platform's records
-	RefreshPerHost    unit.Duration `json:"refresh_per_host"`    // added to that time for each host, so that the fleet's rate is bounded
-	ForgetAfter       unit.Duration `json:"forget_after"`        // how long a dead host is still remembered and tried
-	// RecordHolders is how many hosts keep a record in the platform, by which
-	// a new host finds the others when no seed answers; 0: all of them. Calls
-	// to the platform are then bounded whatever the fleet's size.
+	IndirectProbes    int           `json:"indirect_probes"`     // hosts requested to probe a host that did not answer
+	SuspicionFactor   float64       `json:"suspicion_factor"`    // a suspect is declared dead after factor * log2(hosts + 1) probe intervals
+	RetransmitFactor  float64       `json:"retransmit_factor"`   // a change is sent in factor * log2(hosts + 1) messages
+	UpdatesPerMessage int           `json:"updates_per_message"` // maximum number of host records in one ordinary message
+	PlatformTimeout   unit.Duration `json:"platform_timeout"`    // timeout of reading and updating the platform's records once
+	RefreshMinimum    unit.Duration `json:"refresh_minimum"`     // lower bound of the mean time between two reads of the platform's records
+	RefreshPerHost    unit.Duration `json:"refresh_per_host"`    // mean time between these reads per host in the fleet, which bounds the fleet's total rate
+	ForgetAfter       unit.Duration `json:"forget_after"`        // how long a dead host stays in the table and is tried again
+	// RecordHolders is how many hosts keep a record in the platform, through
+	// which a new host finds the others when no seed answers; 0: all of them.
+	// With a value above 0 the number of platform calls is bounded for every
+	// fleet size.
 	RecordHolders int `json:"record_holders"`
-	// RecordKind is the kind of the platform's objects that hold the records;
-	// hosts that do different work have different ones and do not meet.
+	// RecordKind is the kind of the platform's objects that hold the records.
+	// Hosts with different kinds form separate memberships.
 	RecordKind string `json:"record_kind"`
 }
 
-// DefaultConfig returns the settings used where none are given.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval:     unit.Duration(500 * time.Millisecond),
@@ -50,7 +51,7 @@
 	}
 }
 
-// Validate returns every problem of the settings.
+// Validate returns all problems of the settings as one error.
 func (c Config) Validate() error {
 	var problems []error
 	positive := func(name string, ok bool) {
@@ -86,17 +87,20 @@
 	return errors.Join(problems...)
 }
 
-// suspicion returns how long a suspect among n hosts has to refute.
-func (c Config) suspicion(n int) time.Duration {
+// suspicionTimeout returns how long a suspect has to refute its suspicion in a
+// fleet of n hosts.
+func (c Config) suspicionTimeout(n int) time.Duration {
 	return time.Duration(c.SuspicionFactor * math.Log2(float64(n+1)) * float64(c.ProbeInterval))
 }
 
-// transmissions returns how often a change is sent among n hosts.
-func (c Config) transmissions(n int) int {
+// maxTransmissions returns how many messages carry a change in a fleet of n
+// hosts.
+func (c Config) maxTransmissions(n int) int {
 	return int(math.Ceil(c.RetransmitFactor * math.Log2(float64(n+1))))
 }
 
-// refresh returns the time between two readings of the platform among n hosts.
-func (c Config) refresh(n int) time.Duration {
+// refreshInterval returns the mean time between two reads of the platform's
+// records in a fleet of n hosts.
+func (c Config) refreshInterval(n int) time.Duration {
 	return max(c.RefreshMinimum.Std(), time.Duration(n)*c.RefreshPerHost.Std())
 }
--- a/internal/member/convert.go
+++ b/internal/member/convert.go
@@ -18,7 +18,8 @@
 	return infos
 }
 
-// fromInfo returns false for a record that no host would send.
+// fromInfo converts a received record. It returns false if a required field is
+// missing or the state is unknown.
 func fromInfo(i *peerpb.HostInfo) (update, bool) {
 	if i.GetId() == "" || i.GetPeer() == "" {
 		return update{}, false
--- a/internal/member/drpc.go
+++ b/internal/member/drpc.go
@@ -7,7 +7,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// DRPC is the Prober over drpc.
+// DRPC is the Prober that sends probes over drpc.
 type DRPC struct{ Dialer peer.Dialer }
 
 // Probe calls the Members service of the host that listens on address.
--- a/internal/member/events.go
+++ b/internal/member/events.go
@@ -12,20 +12,20 @@
 	evLeaving = event.Define(3002, "member_leaving", plog.InfoLevel,
 		"The host announced its stop to its peers.", "none", "told")
 	evHostSuspect = event.Define(3003, "host_suspect", plog.InfoLevel,
-		"A host answered neither directly nor through others; it may still refute.", "none", "peer")
+		"A host answered neither direct nor indirect probes; it may still refute the suspicion.", "none", "peer")
 	evHostDead = event.Define(3004, "host_dead", plog.WarnLevel,
-		"A suspect did not refute in time and is given no more work.",
-		"Check the host; if it runs, check the network between it and the host that logs this.", "peer", "incarnation")
+		"A host did not refute the suspicion of its failure in time; it gets no new work.",
+		"Check the host; if it is running, check the network between it and the host that logged this event.", "peer", "incarnation")
 	evRefuted = event.Define(3005, "death_refuted", plog.WarnLevel,
-		"Others held this host suspect or dead, and it refuted that.",
-		"Look for a pause of the process, an overloaded host or a cut network.", "state", "version")
+		"Other hosts listed this host as suspect or dead, and it refuted that.",
+		"Look for a pause of the process, an overloaded host or a network partition.", "state", "version")
 	evPaused = event.Define(3006, "host_paused", plog.WarnLevel,
-		"This process did not run for a while; suspicions it holds are postponed by that time.",
+		"This process did not run for a while; it extended the timeouts of its suspicions by that time.",
 		"Look for a stopped process, memory pressure or an overloaded machine.", "pause")
 	evIncarnationRaised = event.Define(3007, "incarnation_raised", plog.WarnLevel,
-		"A record of this host id has a higher incarnation: an earlier start with a faster clock, or a second host with the same id.",
-		"If this repeats, look for two hosts with the same id in their settings.", "incarnation", "peer_address")
+		"A record with this host id and at least the same incarnation exists, from an earlier start with a faster clock or from a second host with the same id; this host raised its own incarnation.",
+		"If this repeats, look for two hosts that are configured with the same id.", "incarnation", "peer_address")
 	evRecordFailed = event.Define(3008, "member_record_failed", plog.WarnLevel,
-		"The member records could not be read or written in the platform; the host goes on with its peers and tries again.",
-		"Check the platform; docs/OPERATIONS.md tells what works while it is away.", "call", "error")
+		"Reading, writing or removing member records in the platform failed; the membership continues through the peers, and the host retries at the next refresh.",
+		"Check the platform; docs/OPERATIONS.md describes what works during its outage.", "call", "error")
 )
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -7,14 +7,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// Probe answers a peer's probe, as the drpc service Members wants.
+// Probe handles a peer's probe; it implements the drpc service Members.
 func (m *Members) Probe(ctx context.Context, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	if m.gone() {
+	if m.hasStopped() {
 		return nil, Error.New("host has stopped")
 	}
-	sends := m.sends()
+	sends := m.sendCount()
 	if req.All {
-		sends = 0 // as in call
+		sends = 0 // a full list holds no recent changes, see call
 	}
 	m.receive(req.From, req.Updates, sends)
 	m.compareDigest(req.From, req.Digest)
@@ -24,18 +24,19 @@
 	}
 	switch {
 	case req.Join:
-		reply.Self, reply.Updates = m.tellJoining(req.From.GetFailureDomain())
+		reply.Self, reply.Updates = m.joinListMessage(req.From.GetFailureDomain())
 	case req.All && req.Digest != m.view.Load().digest:
-		reply.Self, reply.Updates = m.tellAll()
+		reply.Self, reply.Updates = m.fullListMessage()
 	default:
-		reply.Self, reply.Updates = m.message(req.From.GetId())
+		reply.Self, reply.Updates = m.boundedUpdates(req.From.GetId())
 	}
 	view := m.view.Load()
 	reply.Digest, reply.Hosts = view.digest, uint32(len(view.hosts))
 	return reply, nil
 }
 
-// probeFor probes the host with this id for another one.
+// probeFor probes the host with this id on behalf of another host, and reports
+// whether it answered.
 func (m *Members) probeFor(ctx context.Context, id string) bool {
 	h, known := m.Lookup(id)
 	if !known {
@@ -44,95 +45,97 @@
 	return m.exchange(ctx, kindIndirect, h.Peer, &peerpb.ProbeRequest{TargetId: id}) == nil
 }
 
-func (m *Members) gone() bool {
+// hasStopped reports whether this host has announced its end.
+func (m *Members) hasStopped() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.stopped
+	return m.announcedDead
 }
 
-// message returns what to tell the host receiver: this host and a bounded
-// number of others.
-func (m *Members) message(receiver string) (*peerpb.HostInfo, []*peerpb.HostInfo) {
-	m.lockWithRevision()
+// boundedUpdates returns the records of this host and of a limited number of
+// others, for a message to the host receiver.
+func (m *Members) boundedUpdates(receiver string) (*peerpb.HostInfo, []*peerpb.HostInfo) {
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
-	return toInfo(m.self), toInfos(m.table.updates(m.cfg.UpdatesPerMessage, receiver))
+	return toInfo(m.self), toInfos(m.table.piggybackUpdates(m.cfg.UpdatesPerMessage, receiver))
 }
 
-// tellAll returns this host and all others.
-func (m *Members) tellAll() (*peerpb.HostInfo, []*peerpb.HostInfo) {
-	m.lockWithRevision()
+// fullListMessage returns the records of this host and of all others, recent deaths
+// included.
+func (m *Members) fullListMessage() (*peerpb.HostInfo, []*peerpb.HostInfo) {
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
-	return toInfo(m.self), toInfos(m.table.all(time.Now().Add(-tellDead)))
+	return toInfo(m.self), toInfos(m.table.fullList(time.Now().Add(-deadListedFor)))
 }
 
-// tellJoining returns this host and those that a starting host of a failure domain
-// needs.
-func (m *Members) tellJoining(domain string) (*peerpb.HostInfo, []*peerpb.HostInfo) {
-	m.lockWithRevision()
+// joinListMessage returns the records of this host and of those that a starting host
+// of a failure domain needs.
+func (m *Members) joinListMessage(domain string) (*peerpb.HostInfo, []*peerpb.HostInfo) {
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
-	return toInfo(m.self), toInfos(m.table.needed(domain))
+	return toInfo(m.self), toInfos(m.table.joinList(domain))
 }
 
-// exchange is call, counted as a probe of the kind. It fails if another host
-// than the one meant answers.
+// exchange is call with the probe timeout, counted as a probe of the kind. It
+// fails if the host that answers is not the one addressed.
 func (m *Members) exchange(ctx context.Context, kind, address string, req *peerpb.ProbeRequest) error {
 	return m.exchangeWithin(ctx, m.cfg.ProbeTimeout.Std(), kind, address, req)
 }
 
-// exchangeWithin is exchange with a timeout.
+// exchangeWithin is exchange with a given timeout.
 func (m *Members) exchangeWithin(ctx context.Context, timeout time.Duration, kind, address string, req *peerpb.ProbeRequest) error {
 	reply, err := m.call(ctx, timeout, address, req)
 	if err == nil && req.TargetId != "" && !req.Indirect && reply.Self.GetId() != req.TargetId {
-		err = Error.New("host %q answers at %s in place of %q", reply.Self.GetId(), address, req.TargetId)
+		err = Error.New("host %q answered at %s, want host %q", reply.Self.GetId(), address, req.TargetId)
 	}
 	m.metrics.probes.WithLabelValues(kind, result(err)).Inc()
 	return err
 }
 
-// call sends req with this host's updates and digest, and takes in the reply.
+// call sends req with this host's updates and digest, and merges the reply.
 func (m *Members) call(ctx context.Context, timeout time.Duration, address string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	receiver := req.TargetId
 	if req.Indirect {
-		receiver = "" // the target is another host than the one that gets this
+		receiver = "" // the request goes to a helper, not to the target
 	}
 	if req.All {
-		req.From, req.Updates = m.tellAll()
+		req.From, req.Updates = m.fullListMessage()
 	} else {
-		req.From, req.Updates = m.message(receiver)
+		req.From, req.Updates = m.boundedUpdates(receiver)
 	}
 	req.Digest = m.view.Load().digest
 	reply, err := m.prober.Probe(ctx, address, req)
 	if err != nil {
 		return nil, Error.New("probe %s: %w", address, err)
 	}
-	sends := m.sends()
+	sends := m.sendCount()
 	if req.All || req.Join {
-		sends = 0 // the others of a whole list have long heard of them
+		sends = 0 // a full list holds no recent changes: the other hosts have had these records for long
 	}
 	if req.Join {
-		m.toldCount.Store(max(m.toldCount.Load(), reply.Hosts))
+		m.joinHostCount.Store(max(m.joinHostCount.Load(), reply.Hosts))
 	}
 	m.receive(reply.Self, reply.Updates, sends)
 	m.compareDigest(reply.Self, reply.Digest)
 	return reply, nil
 }
 
-// receive takes in what a peer told of itself and of others. What is new here
-// is passed on sends times.
-func (m *Members) receive(from *peerpb.HostInfo, infos []*peerpb.HostInfo, sends int) {
+// receive merges the records that a peer sent of itself and of other hosts.
+// Those that change the table are passed on in sends messages.
+func (m *Members) receive(from *peerpb.HostInfo, updates []*peerpb.HostInfo, sends int) {
 	peer, ok := fromInfo(from)
 	if !ok {
 		return
 	}
 	m.mu.Lock()
 	if peer.ID != m.self.ID {
-		m.heard = time.Now()
-		m.table.answered(peer.ID)
+		m.lastExchange = time.Now()
+		m.table.markResponsive(peer.ID)
 	}
 	m.apply(peer, sends)
-	for _, i := range infos {
+	for _, i := range updates {
 		if u, ok := fromInfo(i); ok {
 			m.apply(u, sends)
 		}
@@ -144,7 +147,7 @@
 	}
 }
 
-// apply takes in one update. m.mu is held.
+// apply merges one update. m.mu is held.
 func (m *Members) apply(u update, sends int) {
 	if u.ID == m.self.ID {
 		m.refute(u)
@@ -153,31 +156,32 @@
 	m.table.apply(u, time.Now(), sends, m.rng)
 }
 
-// refute answers an untrue update of this host with a newer version of the
-// truth, which the next messages carry. A higher incarnation than its own
-// comes from an earlier start under a faster clock, or from a second host
-// with this id. m.mu is held.
+// refute answers an untrue update about this host by a newer version of its own
+// record, which the next messages carry. An incarnation above the current one
+// comes from an earlier start with a faster clock, or from a second host with
+// the same id. m.mu is held.
 func (m *Members) refute(u update) {
-	told := m.self
+	current := m.self
 	switch {
-	case m.stopped || u.Incarnation < told.Incarnation:
+	case m.announcedDead || u.Incarnation < current.Incarnation:
 		return
-	case u.Incarnation > told.Incarnation:
-		m.raise(u.Host)
+	case u.Incarnation > current.Incarnation:
+		m.raiseIncarnation(u.Host)
 		return
-	case u.Version < told.Version || u.Version == told.Version && u.State == told.State:
+	case u.Version < current.Version || u.Version == current.Version && u.State == current.State:
 		return
 	}
 	m.self.Version = u.Version + 1
-	m.table.changed = true
+	m.table.viewChanged = true
 	m.metrics.refutations.Inc()
 	m.log.Event(evRefuted).Str("state", string(u.State)).Uint64("version", m.self.Version).Msg("")
 }
 
-// raise moves this host past another record of its id. m.mu is held.
-func (m *Members) raise(other Host) {
+// raiseIncarnation raises this host's incarnation above that of another record
+// with its id. m.mu is held.
+func (m *Members) raiseIncarnation(other Host) {
 	m.self.Incarnation = other.Incarnation + 1
 	m.self.Version = 0
-	m.table.changed = true
+	m.table.viewChanged = true
 	m.log.Event(evIncarnationRaised).Uint64("incarnation", m.self.Incarnation).Str("peer_address", other.Peer).Msg("")
 }
--- a/internal/member/faults_test.go
+++ b/internal/member/faults_test.go
@@ -8,56 +8,57 @@
 	"pgregory.net/rapid"
 )
 
-const fleet = 7 // hosts of the state machine
+const faultHosts = 7 // hosts of the state machine
 
-// faults drives a fleet through random faults. Between them it checks that no
-// host takes an older incarnation or version of another than it held before.
+// faults applies random faults to a fleet. Between them it checks that no host
+// replaces the record of another host by one of an older incarnation or
+// version.
 type faults struct {
-	net  *network
-	all  []*Members // nil: killed
-	held map[*Members]map[string]update
+	net      *network
+	all      []*Members                     // nil: killed
+	lastSeen map[*Members]map[string]update // the newest records that each host had in its table
 }
 
 func newFaults() *faults {
-	f := &faults{net: newNetwork(), all: make([]*Members, fleet), held: map[*Members]map[string]update{}}
+	f := &faults{net: newNetwork(), all: make([]*Members, faultHosts), lastSeen: map[*Members]map[string]update{}}
 	for i := range f.all {
 		f.start(i, 0)
 	}
 	return f
 }
 
-// start starts host i under a clock that is back by the given time.
+// start starts host i with a clock that is slow by the given time.
 func (f *faults) start(i int, back time.Duration) {
 	f.all[i] = f.net.start(downStore{}, i, func(m *Members) { m.self.Incarnation -= uint64(back) })
-	f.held[f.all[i]] = map[string]update{}
+	f.lastSeen[f.all[i]] = map[string]update{}
 }
 
-func (f *faults) host(rt *rapid.T) int { return rapid.IntRange(0, fleet-1).Draw(rt, "host") }
+func (f *faults) host(rt *rapid.T) int { return rapid.IntRange(0, faultHosts-1).Draw(rt, "host") }
 
-// Cut puts each host on one of two sides.
+// Cut partitions the network: it puts each host on one of two sides.
 func (f *faults) Cut(rt *rapid.T) {
-	sides := rapid.SliceOfN(rapid.IntRange(0, 1), fleet, fleet).Draw(rt, "sides")
-	f.net.change(func() {
+	sides := rapid.SliceOfN(rapid.IntRange(0, 1), faultHosts, faultHosts).Draw(rt, "sides")
+	f.net.withLock(func() {
 		for i, s := range sides {
 			f.net.side[address(i)] = s
 		}
 	})
 }
 
-func (f *faults) Heal(*rapid.T) { f.net.change(func() { clear(f.net.side) }) }
+func (f *faults) Heal(*rapid.T) { f.net.withLock(func() { clear(f.net.side) }) }
 
 func (f *faults) Freeze(rt *rapid.T) {
 	i := f.host(rt)
-	f.net.change(func() { f.net.frozen[address(i)] = true })
+	f.net.withLock(func() { f.net.frozen[address(i)] = true })
 }
 
-func (f *faults) Thaw(*rapid.T) { f.net.change(func() { clear(f.net.frozen) }) }
+func (f *faults) Thaw(*rapid.T) { f.net.withLock(func() { clear(f.net.frozen) }) }
 
-// Lose loses every n-th message.
+// Lose drops every n-th message.
 func (f *faults) Lose(rt *rapid.T) {
 	n, count := rapid.IntRange(2, 10).Draw(rt, "one in"), 0
-	f.net.change(func() {
-		f.net.lost = func() bool {
+	f.net.withLock(func() {
+		f.net.dropMessage = func() bool {
 			count++
 			return count%n == 0
 		}
@@ -72,7 +73,7 @@
 	}
 }
 
-// Restart starts a killed host again, maybe under a clock that went back.
+// Restart starts a killed host again, with a clock that may have been set back.
 func (f *faults) Restart(rt *rapid.T) {
 	i := f.host(rt)
 	if f.all[i] == nil {
@@ -88,43 +89,46 @@
 func (f *faults) Check(rt *rapid.T) {
 	for _, m := range f.all {
 		if m != nil {
-			f.neverBack(rt, m)
+			f.checkNoRegression(rt, m)
 		}
 	}
 }
 
-func (f *faults) neverBack(rt *rapid.T, m *Members) {
+// checkNoRegression fails if a record in m's table is older than one that m had
+// before.
+func (f *faults) checkNoRegression(rt *rapid.T, m *Members) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := f.held[m]
+	seen := f.lastSeen[m]
 	for id, r := range m.table.rows {
-		old := held[id]
+		old := seen[id]
 		if r.Incarnation < old.Incarnation || r.Incarnation == old.Incarnation && r.Version < old.Version {
-			rt.Fatalf("%s went back on %s from %v to %v", m.self.ID, id, old, r.update)
+			rt.Fatalf("%s replaced the record of %s by an older one: had %v, has %v", m.self.ID, id, old, r.update)
 		}
-		held[id] = r.update
+		seen[id] = r.update
 	}
-	if m.self.Incarnation < held[m.self.ID].Incarnation {
-		rt.Fatalf("%s went back itself", m.self.ID)
+	if m.self.Incarnation < seen[m.self.ID].Incarnation {
+		rt.Fatalf("%s lowered its own incarnation", m.self.ID)
 	}
-	held[m.self.ID] = m.self
+	seen[m.self.ID] = m.self
 }
 
-// converge ends all faults and waits until every view holds every host alive.
+// converge ends all faults and waits until every view lists every host as
+// alive.
 func (f *faults) converge(rt *rapid.T) {
-	f.net.change(func() {
+	f.net.withLock(func() {
 		clear(f.net.side)
 		clear(f.net.frozen)
-		f.net.lost = func() bool { return false }
+		f.net.dropMessage = func() bool { return false }
 	})
 	for i := range f.all {
 		if f.all[i] == nil {
 			f.start(i, 0)
 		}
 	}
-	if until(time.Minute, func() bool { return everywhere(f.all, fleet) }) < 0 {
+	if waitUntil(time.Minute, func() bool { return allListAlive(f.all, faultHosts) }) < 0 {
 		for _, m := range f.all {
-			rt.Logf("%s holds %v", m.self.ID, m.Hosts())
+			rt.Logf("%s lists %v", m.self.ID, m.Hosts())
 		}
 		rt.Fatal("views differ a minute after the last fault")
 	}
@@ -133,7 +137,7 @@
 
 func TestViewsConvergeAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var failure any // rapid ends a run by a panic, which must leave the bubble by hand
+		var failure any // rapid ends a run by a panic, which synctest does not pass on by itself
 		synctest.Test(t, func(*testing.T) {
 			defer func() { failure = recover() }()
 			f := newFaults()
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -9,16 +9,16 @@
 	"github.com/matryer/is"
 )
 
-// Sizes of a fleet whose hosts start together: domains, and the rate of their links.
+// The failure domains and the link rate of a fleet whose hosts start together.
 const (
-	fleetDomains = 5
-	narrowRate   = 22e6 / 8 // bytes a second
+	fleetDomains   = 5
+	narrowLinkRate = 22e6 / 8 // bytes a second
 )
 
-// startFleet starts n hosts in several failure domains, over 0.3 s, with the first
-// three as seeds. Each 20th has a wide link.
+// startFleet starts n hosts in several failure domains within 0.3 s, with the
+// first three as seeds. One host in four of each domain has a wide link.
 func startFleet(net *network, n int) []*Members {
-	net.rate = narrowRate
+	net.linkRate = narrowLinkRate
 	for i := range n {
 		net.domains[address(i)] = fmt.Sprintf("domain-%d", i%fleetDomains)
 	}
@@ -43,8 +43,8 @@
 	return all
 }
 
-// share returns the part of the views for which ok holds.
-func share(views []*Members, ok func(*Members) bool) float64 {
+// fraction returns the fraction of the views for which ok holds.
+func fraction(views []*Members, ok func(*Members) bool) float64 {
 	n := 0
 	for _, m := range views {
 		if ok(m) {
@@ -54,8 +54,8 @@
 	return float64(n) / float64(len(views))
 }
 
-// wideHosts returns how many hosts with a wide link a host knows.
-func wideHosts(m *Members) int {
+// countWideHosts returns how many hosts with a wide link m lists.
+func countWideHosts(m *Members) int {
 	n := 0
 	for _, h := range m.Hosts() {
 		if h.LinkMbps == 200 {
@@ -65,8 +65,8 @@
 	return n
 }
 
-// ownDomain returns how many hosts of its own failure domain a host knows.
-func ownDomain(m *Members) int {
+// countOwnDomain returns how many hosts of its own failure domain m lists.
+func countOwnDomain(m *Members) int {
 	self := m.Self()
 	n := 0
 	for _, h := range m.Hosts() {
@@ -77,41 +77,42 @@
 	return n
 }
 
-// Where 295 hosts start together each took the whole list of every seed, again while
-// the seeds' links were full: 295 MB went through them in four seconds, most of it
-// between failure domains, whose bytes are paid for.
+// Guards against a start in which each of 295 hosts requests the full list of
+// every seed, and requests it again while the seeds' links are busy. That moved
+// 295 MB in four seconds, most of it between failure domains, where traffic is
+// billed.
 func TestFleetStartsWithFewBytesBetweenDomains(t *testing.T) {
 	for _, n := range []int{30, 100, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			inBubble(t, func(t *testing.T, net *network) {
 				is := is.New(t)
 				all := startFleet(net, n)
-				within(t, 2*time.Second, "own domain known to nearly all", func() bool {
-					return share(all, func(m *Members) bool { return ownDomain(m) == n/fleetDomains }) >= 0.9
+				eventually(t, 2*time.Second, "own domain listed by nearly all", func() bool {
+					return fraction(all, func(m *Members) bool { return countOwnDomain(m) == n/fleetDomains }) >= 0.9
 				})
 				time.Sleep(4 * time.Second)
-				t.Logf("%d hosts: %d KB between failure domains, %d KB within", n, net.crossed/1000, net.within/1000)
-				is.True(net.crossed/n <= 25_000) // bytes for each host
-				within(t, 20*time.Second, "nearly all known", func() bool {
-					return each(all, func(m *Members) bool { return len(m.Hosts()) >= n*95/100 })
+				t.Logf("%d hosts: %d KB between failure domains, %d KB within", n, net.crossDomainBytes/1000, net.sameDomainBytes/1000)
+				is.True(net.crossDomainBytes/n <= 25_000) // bytes per host
+				eventually(t, 20*time.Second, "nearly all listed", func() bool {
+					return holdsForAll(all, func(m *Members) bool { return len(m.Hosts()) >= n*95/100 })
 				})
-				within(t, 2*time.Minute, "all known", func() bool { return everywhere(all, n) })
+				eventually(t, 2*time.Minute, "all listed", func() bool { return allListAlive(all, n) })
 			})
 		})
 	}
 }
 
-// In a steady fleet the bytes between failure domains grow with the domains, not with
-// the hosts: probes stay in the own domain, but for a few.
+// In a steady fleet the traffic between failure domains grows with the number
+// of domains, not of hosts: all but a few probes stay in the own domain.
 func TestSteadyFleetSendsFewBytesBetweenDomains(t *testing.T) {
 	rates := map[int]int{}
 	for _, n := range []int{30, 100, 295} {
 		inBubble(t, func(t *testing.T, net *network) {
 			all := startFleet(net, n)
-			within(t, 2*time.Minute, "all known", func() bool { return everywhere(all, n) })
-			crossed := net.crossed
+			eventually(t, 2*time.Minute, "all listed", func() bool { return allListAlive(all, n) })
+			crossed := net.crossDomainBytes
 			time.Sleep(20 * time.Second)
-			rates[n] = (net.crossed - crossed) / 20
+			rates[n] = (net.crossDomainBytes - crossed) / 20
 			t.Logf("%d hosts: %d bytes a second between failure domains", n, rates[n])
 		})
 	}
@@ -120,40 +121,40 @@
 	is.True(rates[295] <= rates[100]*3/2)
 }
 
-// A host that is killed is dead in every failure domain within the time that the
-// suspicion takes and a few seconds for the news to cross.
+// A killed host is declared dead in every failure domain within the suspicion
+// timeout and a few seconds for the update to spread to the other domains.
 func TestDeathCrossesDomains(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startFleet(net, 100)
-		within(t, 30*time.Second, "all known", func() bool { return everywhere(all, 100) })
+		eventually(t, 30*time.Second, "all listed", func() bool { return allListAlive(all, 100) })
 		net.kill(42)
 		rest := without(all, 42)
-		within(t, 20*time.Second, "dead everywhere", func() bool { return heldAs(rest, 42, Dead) })
+		eventually(t, 20*time.Second, "dead everywhere", func() bool { return allListState(rest, 42, Dead) })
 	})
 }
 
-// A host that starts in a running fleet needs its own domain, and the hosts with wide
-// links of the others, before the next request comes.
-func TestStartingHostSoonKnowsWhomItNeeds(t *testing.T) {
+// A host that starts in a running fleet lists its own domain, and hosts with
+// wide links of the other domains, before it gets its first request.
+func TestStartingHostReceivesJoinList(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		is := is.New(t)
 		all := startFleet(net, 100)
-		within(t, 30*time.Second, "all known", func() bool { return everywhere(all, 100) })
+		eventually(t, 30*time.Second, "all listed", func() bool { return allListAlive(all, 100) })
 		net.kill(50)
 		all[50] = net.start(downStore{}, 50, func(m *Members) { m.cfg.Seeds = []string{address(1)} })
-		is.Equal(ownDomain(all[50]), 20)
-		is.True(wideHosts(all[50]) >= joinOthers*(fleetDomains-1))
+		is.Equal(countOwnDomain(all[50]), 20)
+		is.True(countWideHosts(all[50]) >= maxJoinHostsPerOtherDomain*(fleetDomains-1))
 		is.Equal(all[50].Count(), 100)
-		within(t, time.Second, "all known", func() bool { return len(all[50].Hosts()) == 100 })
+		eventually(t, time.Second, "all listed", func() bool { return len(all[50].Hosts()) == 100 })
 	})
 }
 
-// Two halves of the fleet that were cut from each other meet again.
+// Two parts of the fleet that were partitioned merge again.
 func TestDomainsMeetAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startFleet(net, 60)
-		within(t, 30*time.Second, "all known", func() bool { return everywhere(all, 60) })
-		net.change(func() {
+		eventually(t, 30*time.Second, "all listed", func() bool { return allListAlive(all, 60) })
+		net.withLock(func() {
 			for i := range all {
 				if slices.Contains([]int{0, 1}, i%fleetDomains) {
 					net.side[address(i)] = 1
@@ -161,7 +162,7 @@
 			}
 		})
 		time.Sleep(time.Minute)
-		net.change(func() { clear(net.side) })
-		within(t, time.Minute, "together", func() bool { return everywhere(all, 60) })
+		net.withLock(func() { clear(net.side) })
+		eventually(t, time.Minute, "together", func() bool { return allListAlive(all, 60) })
 	})
 }
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -1,8 +1,3 @@
-// Package member keeps the list of the system's hosts. Each host probes a few
-// others a second and piggybacks what it knows on the probes, so that its cost
-// does not grow with the fleet. Nothing exact depends on the list: two hosts
-// may hold different ones for a while. docs/design/membership.md has the
-// reasons and figures.
 package member
 
 import (
@@ -19,28 +14,29 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// Prober sends one probe to the host that listens on address.
+// Prober sends a probe to the host that listens on address and returns its
+// reply.
 type Prober interface {
 	Probe(ctx context.Context, address string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error)
 }
 
-// Revisions is the configuration as far as probes carry it.
-type Revisions interface {
-	// Revision returns the revision in force on this host.
+// RevisionSource provides the configuration revision that probes carry.
+type RevisionSource interface {
+	// Revision returns the configuration revision in force on this host.
 	Revision() uint64
-	// Hint tells that a peer has shown a newer revision. It must not block.
+	// Hint reports that a peer has a newer revision. It must not block.
 	Hint(peer Host)
 }
 
-// Notifier spreads a new configuration revision.
+// Notifier announces a new configuration revision to peers.
 type Notifier interface {
-	// Announce tells a few random peers at once that this host has a new
-	// revision. It does not block.
+	// Announce sends the new revision of this host to a few random peers,
+	// without waiting for the next probe. It does not block.
 	Announce()
 }
 
-// Members is the membership as one host sees it: a kernel module, a View and
-// a Notifier, and the server of the Members calls of its peers.
+// Members is the membership of one host: a kernel module, a View, a Notifier,
+// and the server of the Members service for its peers.
 type Members struct {
 	cfg     Config
 	store   objstore.Store
@@ -48,20 +44,20 @@
 	log     *event.Log
 	metrics *metrics
 
-	revisions Revisions     // set before Start
-	announced chan struct{} // wakes announceLoop; capacity 1
-	view      atomic.Pointer[snapshot]
-	recorded  atomic.Bool   // this host may have a record in the platform
-	toldCount atomic.Uint32 // hosts that the peer knew that this one joined by
-
-	mu         sync.Mutex // guards the fields below
-	self       update
-	table      *table
-	rng        *rand.Rand
-	heard      time.Time // last exchange with any peer
-	ownSync    fullSync  // with hosts of the own failure domain
-	othersSync fullSync  // with hosts of other failure domains
-	stopped    bool      // this host has told its end and must not refute it
+	revisions         RevisionSource // set before Start
+	announceRequested chan struct{}  // wakes announceLoop; capacity 1
+	view              atomic.Pointer[snapshot]
+	mayHaveRecord     atomic.Bool   // the platform may hold a record of this host
+	joinHostCount     atomic.Uint32 // largest host count in the replies to this host's join requests
+
+	mu               sync.Mutex // guards the fields below
+	self             update
+	table            *table
+	rng              *rand.Rand
+	lastExchange     time.Time // time of the last message from any peer
+	ownDomainSync    fullSync  // with hosts of the own failure domain
+	otherDomainsSync fullSync  // with hosts of other failure domains
+	announcedDead    bool      // this host has announced its end and must not refute it
 
 	cancel context.CancelFunc
 	work   sync.WaitGroup
@@ -72,6 +68,7 @@
 	_ Notifier = (*Members)(nil)
 )
 
+// snapshot is one published view of the membership.
 type snapshot struct {
 	hosts      []Host
 	generation uint64
@@ -79,38 +76,39 @@
 }
 
 // New returns the membership of the host self, whose State, Incarnation and
-// Revision are not read.
+// Revision are ignored.
 func New(cfg Config, self Host, store objstore.Store, prober Prober, log *event.Log, reg prometheus.Registerer) *Members {
 	self.State, self.Revision = Alive, 0
 	self.Incarnation = uint64(time.Now().UnixNano())
 	m := &Members{
 		cfg: cfg, store: store, prober: prober, log: log, metrics: newMetrics(reg),
-		announced: make(chan struct{}, 1),
-		self:      update{Host: self},
-		table:     newTable(),
-		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		revisions: noRevisions{},
+		announceRequested: make(chan struct{}, 1),
+		self:              update{Host: self},
+		table:             newTable(),
+		rng:               rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		revisions:         noRevisions{},
 	}
 	m.replaceView(1)
 	return m
 }
 
-// Follow makes probes carry the revision of r. It is called before Start; it
-// is no argument of New because the configuration needs the membership too.
-func (m *Members) Follow(r Revisions) {
+// Follow sets the source of the revision that probes carry. It is called before
+// Start; it is not a parameter of New because the configuration needs the
+// membership, too.
+func (m *Members) Follow(r RevisionSource) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.revisions = r
 }
 
-// noRevisions stands in until Follow is called.
+// noRevisions is the source of revisions until Follow is called.
 type noRevisions struct{}
 
 func (noRevisions) Revision() uint64 { return 0 }
 func (noRevisions) Hint(Host)        {}
 
-// Start joins the membership. It succeeds also when neither the platform nor
-// a peer answers: then the host is alone until one does.
+// Start joins the membership. It also succeeds if neither the platform nor a
+// peer answers: the host is then alone until one does.
 func (m *Members) Start(ctx context.Context) error {
 	m.join(ctx)
 	m.log.Event(evStarted).Uint64("incarnation", m.Self().Incarnation).Int("hosts", len(m.Hosts())).Msg("")
@@ -118,29 +116,30 @@
 	m.cancel = cancel
 	m.work.Go(func() { m.probeLoop(run) })
 	m.work.Go(func() { m.announceLoop(run) })
-	m.work.Go(func() { m.meetDomain(run) })
+	m.work.Go(func() { m.startupSyncLoop(run) })
 	m.work.Go(func() {
 		if m.cfg.RecordHolders > 0 {
-			m.joinByRecords(run)
+			m.joinFromRecords(run)
 		}
 		m.refreshLoop(run)
 	})
 	return nil
 }
 
-// Leave tells the peers that this host takes no new work, and removes its
-// record. The host goes on answering probes until Stop.
+// Leave announces to peers that this host takes no new work, and removes its
+// record. The host still answers probes until Stop.
 func (m *Members) Leave(ctx context.Context) {
-	if !m.declare(Leaving) {
+	if !m.advanceState(Leaving) {
 		return
 	}
-	told := m.push(ctx)
-	m.log.Event(evLeaving).Int("told", told).Msg("")
+	accepted := m.pushState(ctx)
+	m.log.Event(evLeaving).Int("told", accepted).Msg("")
 	m.removeRecord(ctx)
 }
 
-// Stop leaves, if Leave was not called, ends the probes and tells a few peers
-// that this host is gone, so that they need not find out.
+// Stop calls Leave if that has not been done, ends the probes, and announces to
+// a few peers that this host is dead, so that they need not detect it by
+// probes.
 func (m *Members) Stop(ctx context.Context) error {
 	if m.cancel == nil {
 		return nil
@@ -148,44 +147,44 @@
 	m.Leave(ctx)
 	m.cancel()
 	m.work.Wait()
-	m.declare(Dead)
-	m.push(ctx)
+	m.advanceState(Dead)
+	m.pushState(ctx)
 	return nil
 }
 
-// declare sets the state of this host and reports whether it changed. Within
-// an incarnation a host only goes on from alive to leaving to dead.
-func (m *Members) declare(s State) bool {
-	m.lockWithRevision()
+// advanceState sets the state of this host and reports whether it changed.
+// Within an incarnation the state only advances, from alive to leaving to dead.
+func (m *Members) advanceState(s State) bool {
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
 	if severity(s) <= severity(m.self.State) {
 		return false
 	}
 	m.self.State = s
 	m.self.Version++
-	m.stopped = s == Dead
-	m.table.changed = true
+	m.announcedDead = s == Dead
+	m.table.viewChanged = true
 	m.publish()
 	return true
 }
 
 // Self returns this host.
 func (m *Members) Self() Host {
-	m.lockWithRevision()
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
 	return m.self.Host
 }
 
-// Hosts returns every host known that is not dead, sorted by id.
+// Hosts returns every host in the list that is not dead, sorted by id.
 func (m *Members) Hosts() []Host { return m.view.Load().hosts }
 
-// Generation changes whenever Hosts changes in more than revisions.
+// Generation changes whenever Hosts changes in anything but revisions.
 func (m *Members) Generation() uint64 { return m.view.Load().generation }
 
-// Lookup returns what is known of a host, dead ones included while they are
-// remembered.
+// Lookup returns the record of a host; a dead host has one until ForgetAfter
+// has passed.
 func (m *Members) Lookup(id string) (Host, bool) {
-	m.lockWithRevision()
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
 	if id == m.self.ID {
 		return m.self.Host, true
@@ -197,18 +196,18 @@
 	return r.Host, true
 }
 
-// lastHeard returns when this host last exchanged a probe with any peer, by
-// its own monotonic clock; the zero time if it never did.
-func (m *Members) lastHeard() time.Time {
+// lastPeerContact returns when this host last received a message from any peer,
+// by its own monotonic clock; the zero time if it never did.
+func (m *Members) lastPeerContact() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heard
+	return m.lastExchange
 }
 
-// lockWithRevision takes m.mu and notes the revision in force in m.self. The
-// revision is read before, so that no lock of the configuration is taken under
-// m.mu.
-func (m *Members) lockWithRevision() {
+// lockAndUpdateRevision locks m.mu and copies the revision in force to m.self.
+// It reads the revision before it locks m.mu, so that no lock of the
+// configuration is acquired under m.mu.
+func (m *Members) lockAndUpdateRevision() {
 	revision := m.revisions.Revision()
 	m.mu.Lock()
 	if revision > m.self.Revision {
@@ -217,29 +216,32 @@
 	}
 }
 
-// publish makes the changes of the table visible. m.mu is held. Changes of
-// revisions alone wait for the next probe, as each one copies the list.
+// publish publishes the changes of the table as a new view. m.mu is held.
+// Changes of revisions alone are published with the next probe, as each view
+// copies the list.
 func (m *Members) publish() {
-	if !m.table.changed {
+	if !m.table.viewChanged {
 		return
 	}
 	m.replaceView(m.view.Load().generation + 1)
 }
 
+// replaceView publishes the table under a generation.
 func (m *Members) replaceView(generation uint64) {
-	m.table.changed, m.table.revisionsChanged = false, false
+	m.table.viewChanged, m.table.revisionsChanged = false, false
 	m.view.Store(&snapshot{
 		hosts: m.table.hosts(m.self.Host), generation: generation, digest: m.table.digest(m.self),
 	})
 }
 
-// size returns how many hosts are not dead, this one included.
-func (m *Members) size() int { return len(m.Hosts()) }
+// hostCount returns the number of hosts that are not dead, this one included.
+func (m *Members) hostCount() int { return len(m.Hosts()) }
 
-// sends returns how often a change is to be sent now.
-func (m *Members) sends() int { return m.cfg.transmissions(m.size()) }
+// sendCount returns how many messages are to carry a change that is made now.
+func (m *Members) sendCount() int { return m.cfg.maxTransmissions(m.hostCount()) }
 
 // Count returns the number of hosts, this one included: at least as many as the
-// peer knew that this host joined by. What hosts share is divided by it, so a host
-// that has only begun to learn of the others must not take more than its part.
-func (m *Members) Count() int { return max(len(m.Hosts()), int(m.toldCount.Load())) }
+// peer listed that this host joined through. Limits that the hosts share are
+// divided by it, so a host that has received only part of the list must not
+// take more than its share.
+func (m *Members) Count() int { return max(len(m.Hosts()), int(m.joinHostCount.Load())) }
--- a/internal/member/members_test.go
+++ b/internal/member/members_test.go
@@ -16,23 +16,23 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// startAll starts n hosts while the platform is down and waits until each
-// knows all.
+// startAll starts n hosts while the platform is down and waits until each lists
+// all of them.
 func startAll(t *testing.T, net *network, n int, prepare ...func(*Members)) []*Members {
 	t.Helper()
 	var all []*Members
 	for i := range n {
 		all = append(all, net.start(downStore{}, i, prepare...))
 	}
-	if took := until(time.Minute, func() bool { return everywhere(all, n) }); took < 0 {
-		t.Fatalf("hosts did not meet within a minute")
+	if took := waitUntil(time.Minute, func() bool { return allListAlive(all, n) }); took < 0 {
+		t.Fatalf("not all hosts list each other after a minute")
 	}
 	return all
 }
 
-// until waits in virtual time until ok, and returns how long that took, or -1
-// if it took longer than limit.
-func until(limit time.Duration, ok func() bool) time.Duration {
+// waitUntil polls ok in virtual time, and returns how long it took to hold, or
+// -1 if that took longer than limit.
+func waitUntil(limit time.Duration, ok func() bool) time.Duration {
 	const step = 10 * time.Millisecond
 	for took := time.Duration(0); took <= limit; took += step {
 		if ok() {
@@ -43,8 +43,8 @@
 	return -1
 }
 
-// each reports whether ok holds for all of the views.
-func each(views []*Members, ok func(*Members) bool) bool {
+// holdsForAll reports whether ok holds for all of the views.
+func holdsForAll(views []*Members, ok func(*Members) bool) bool {
 	for _, m := range views {
 		if !ok(m) {
 			return false
@@ -53,10 +53,10 @@
 	return true
 }
 
-// everywhere reports whether each of the views holds n hosts that are alive
-// and no other.
-func everywhere(views []*Members, n int) bool {
-	return each(views, func(m *Members) bool {
+// allListAlive reports whether each of the views lists n hosts, all of them
+// alive.
+func allListAlive(views []*Members, n int) bool {
+	return holdsForAll(views, func(m *Members) bool {
 		for _, h := range m.Hosts() {
 			if h.State != Alive {
 				return false
@@ -66,29 +66,30 @@
 	})
 }
 
-// heldAs reports whether each of the views holds host i in the state.
-func heldAs(views []*Members, i int, s State) bool {
-	return each(views, func(m *Members) bool {
+// allListState reports whether each of the views lists host i in the state.
+func allListState(views []*Members, i int, s State) bool {
+	return holdsForAll(views, func(m *Members) bool {
 		h, _ := m.Lookup(name(i))
 		return h.State == s
 	})
 }
 
+// without returns all but the i-th.
 func without(all []*Members, i int) []*Members {
 	return append(append([]*Members{}, all[:i]...), all[i+1:]...)
 }
 
-// within fails the test unless ok comes true within limit.
-func within(t *testing.T, limit time.Duration, what string, ok func() bool) {
+// eventually fails the test unless ok holds within limit.
+func eventually(t *testing.T, limit time.Duration, what string, ok func() bool) {
 	t.Helper()
-	took := until(limit, ok)
+	took := waitUntil(limit, ok)
 	if took < 0 {
 		t.Fatalf("%s: not within %v", what, limit)
 	}
 	t.Logf("%s after %v", what, took)
 }
 
-// inBubble runs f with a network in virtual time.
+// inBubble runs f with a network in a synctest bubble, in virtual time.
 func inBubble(t *testing.T, f func(t *testing.T, net *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork()
@@ -101,7 +102,7 @@
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 9)
 		net.kill(4)
-		within(t, 10*time.Second, "dead everywhere", func() bool { return heldAs(without(all, 4), 4, Dead) })
+		eventually(t, 10*time.Second, "dead everywhere", func() bool { return allListState(without(all, 4), 4, Dead) })
 	})
 }
 
@@ -110,27 +111,27 @@
 		is := is.New(t)
 		all := startAll(t, net, 9)
 		before := all[4].Self()
-		net.change(func() { net.frozen[address(4)] = true })
-		within(t, 10*time.Second, "dead everywhere", func() bool { return heldAs(without(all, 4), 4, Dead) })
+		net.withLock(func() { net.frozen[address(4)] = true })
+		eventually(t, 10*time.Second, "dead everywhere", func() bool { return allListState(without(all, 4), 4, Dead) })
 		time.Sleep(time.Minute)
-		net.change(func() { delete(net.frozen, address(4)) })
-		within(t, 10*time.Second, "alive everywhere", func() bool { return everywhere(all, 9) })
-		is.Equal(all[4].Self().Incarnation, before.Incarnation) // it did not start again
+		net.withLock(func() { delete(net.frozen, address(4)) })
+		eventually(t, 10*time.Second, "alive everywhere", func() bool { return allListAlive(all, 9) })
+		is.Equal(all[4].Self().Incarnation, before.Incarnation) // it did not restart
 	})
 }
 
 func TestGroupsCutFromEachOtherMeetAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 9)
-		net.change(func() {
+		net.withLock(func() {
 			for i := 5; i < 9; i++ {
 				net.side[address(i)] = 1
 			}
 		})
-		within(t, 20*time.Second, "apart", func() bool { return everywhere(all[:5], 5) && everywhere(all[5:], 4) })
+		eventually(t, 20*time.Second, "apart", func() bool { return allListAlive(all[:5], 5) && allListAlive(all[5:], 4) })
 		time.Sleep(time.Hour)
-		net.change(func() { clear(net.side) })
-		within(t, 20*time.Second, "together", func() bool { return everywhere(all, 9) })
+		net.withLock(func() { clear(net.side) })
+		eventually(t, 20*time.Second, "together", func() bool { return allListAlive(all, 9) })
 	})
 }
 
@@ -138,16 +139,16 @@
 	inBubble(t, func(t *testing.T, net *network) {
 		is := is.New(t)
 		all := startAll(t, net, 5)
-		net.change(func() { net.cut[[2]string{address(1), address(2)}] = true })
+		net.withLock(func() { net.cutPaths[[2]string{address(1), address(2)}] = true })
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
-			is.True(everywhere(all, 5)) // others reach both
+			is.True(allListAlive(all, 5)) // indirect probes reach both hosts
 		}
 	})
 }
 
-// slowProber fails after a time that no timeout explains, as when this process
-// was stopped meanwhile.
+// slowProber fails long after every timeout, as if this process had been paused
+// during the probe.
 type slowProber struct{}
 
 func (slowProber) Probe(context.Context, string, *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
@@ -155,14 +156,14 @@
 	return nil, errRefused
 }
 
-func TestProbeOverAPauseMakesNoSuspect(t *testing.T) {
+func TestProbeThatFailsOverAPauseMakesNoSuspect(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 2)
 		stopped := New(DefaultConfig(), Host{ID: "stopped"}, downStore{}, slowProber{}, event.Discard(), nil)
 		target := update{Host: all[1].Self()}
 		stopped.apply(target, 0)
 		stopped.probe(t.Context(), target)
-		is.New(t).True(heldAs([]*Members{stopped}, 1, Alive))
+		is.New(t).True(allListState([]*Members{stopped}, 1, Alive))
 	})
 }
 
@@ -170,37 +171,37 @@
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 48)
 		all[7].Leave(context.Background())
-		within(t, 3*time.Second, "leaving everywhere", func() bool { return heldAs(all, 7, Leaving) })
+		eventually(t, 3*time.Second, "leaving everywhere", func() bool { return allListState(all, 7, Leaving) })
 		time.Sleep(time.Minute)
-		is.New(t).True(heldAs(all, 7, Leaving)) // it still answers, and nobody takes it for alive or dead
+		is.New(t).True(allListState(all, 7, Leaving)) // it still answers probes, and no host lists it as alive or dead
 		is.New(t).NoErr(all[7].Stop(context.Background()))
-		within(t, 3*time.Second, "gone everywhere", func() bool { return heldAs(without(all, 7), 7, Dead) })
+		eventually(t, 3*time.Second, "gone everywhere", func() bool { return allListState(without(all, 7), 7, Dead) })
 	})
 }
 
-func TestLeaveTellsASmallFleetBeforeItReturns(t *testing.T) {
+func TestLeaveReachesASmallFleetBeforeItReturns(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 9)
 		all[7].Leave(context.Background())
-		is.New(t).True(heldAs(all, 7, Leaving))
+		is.New(t).True(allListState(all, 7, Leaving))
 	})
 }
 
-func TestHostThatMissedTheListLearnsItFromProbes(t *testing.T) {
+func TestHostWithoutFullListReceivesRecordsFromProbes(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 60)
-		time.Sleep(time.Minute) // until nothing is news
+		time.Sleep(time.Minute) // until no change is left to be sent
 		late := net.start(downStore{}, 60, func(m *Members) {
 			m.cfg.Seeds = nil
-			never := fullSync{last: time.Now().Add(time.Hour), agreed: time.Now().Add(time.Hour)}
-			m.ownSync, m.othersSync = never, never // no whole list: records in turn must do
+			never := fullSync{lastDue: time.Now().Add(time.Hour), lastAgreed: time.Now().Add(time.Hour)}
+			m.ownDomainSync, m.otherDomainsSync = never, never // no full list: the records sent in rotation must suffice
 		})
 		is.New(t).Equal(len(late.Hosts()), 1)
 		first := all[0].Self()
 		late.mu.Lock()
-		late.table.learn(first, time.Now(), late.rng)
+		late.table.addUnconfirmed(first, time.Now(), late.rng)
 		late.mu.Unlock()
-		within(t, 15*time.Second, "knows nearly all", func() bool { return len(late.Hosts()) >= 58 })
+		eventually(t, 15*time.Second, "lists nearly all", func() bool { return len(late.Hosts()) >= 58 })
 	})
 }
 
@@ -210,11 +211,11 @@
 		for i := range 100 {
 			all = append(all, net.start(downStore{}, i))
 		}
-		within(t, 20*time.Second, "met", func() bool { return everywhere(all, 100) })
+		eventually(t, 20*time.Second, "met", func() bool { return allListAlive(all, 100) })
 	})
 }
 
-func TestListTakenAtStartIsNoNews(t *testing.T) {
+func TestListReceivedAtStartIsNotSentAsChanges(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		is := is.New(t)
 		startAll(t, net, 20)
@@ -222,11 +223,12 @@
 		is.Equal(len(late.Hosts()), 21)
 		late.mu.Lock()
 		defer late.mu.Unlock()
-		is.Equal(len(late.table.pending()), 0) // else it would crowd out what is
+		is.Equal(len(late.table.pendingUpdates()), 0) // else these records would displace recent changes in messages
 	})
 }
 
-// revisions is a configuration that pulls the revision of the host hinted at.
+// revisions is a configuration that pulls the revision of the host passed to
+// Hint.
 type revisions struct {
 	net   *network
 	self  *Members
@@ -237,7 +239,7 @@
 
 func (r *revisions) Hint(peer Host) {
 	r.self.work.Go(func() {
-		time.Sleep(2 * oneWay) // the pull
+		time.Sleep(2 * oneWayLatency) // the pull
 		r.set(r.net.host(peer.Peer).revisions.Revision())
 	})
 }
@@ -254,11 +256,11 @@
 	inBubble(t, func(t *testing.T, net *network) {
 		all := startAll(t, net, 60, func(m *Members) { m.Follow(&revisions{net: net, self: m}) })
 		all[17].revisions.(*revisions).set(42)
-		within(t, time.Second, "in force everywhere", func() bool {
-			return each(all, func(m *Members) bool { return m.Self().Revision == 42 })
+		eventually(t, time.Second, "in force everywhere", func() bool {
+			return holdsForAll(all, func(m *Members) bool { return m.Self().Revision == 42 })
 		})
-		within(t, time.Minute, "known everywhere to be in force", func() bool {
-			return each(all, func(m *Members) bool {
+		eventually(t, time.Minute, "listed everywhere as in force", func() bool {
+			return holdsForAll(all, func(m *Members) bool {
 				return !slices.ContainsFunc(m.Hosts(), func(h Host) bool { return h.Revision != 42 })
 			})
 		})
@@ -272,7 +274,7 @@
 		net.kill(3)
 		time.Sleep(time.Minute)
 		all[3] = net.start(downStore{}, 3, func(m *Members) { m.self.Incarnation = 1 })
-		within(t, 10*time.Second, "alive everywhere", func() bool { return everywhere(all, 5) })
+		eventually(t, 10*time.Second, "alive everywhere", func() bool { return allListAlive(all, 5) })
 		is.New(t).True(all[3].Self().Incarnation > before)
 	})
 }
@@ -283,30 +285,30 @@
 		m := net.start(downStore{}, 1)
 		time.Sleep(time.Minute)
 		is.Equal(len(m.Hosts()), 1)
-		is.True(m.lastHeard().IsZero())
+		is.True(m.lastPeerContact().IsZero())
 		other := net.start(downStore{}, 0) // the seed comes up
-		within(t, 2*time.Second, "met", func() bool { return everywhere([]*Members{m, other}, 2) })
-		is.True(time.Since(m.lastHeard()) < time.Second)
+		eventually(t, 2*time.Second, "met", func() bool { return allListAlive([]*Members{m, other}, 2) })
+		is.True(time.Since(m.lastPeerContact()) < time.Second)
 	})
 }
 
-// A seed without power answers nothing, not even a refusal. Callers wait for
-// the start, so it must not wait for that seed.
+// A seed without power sends no reply, not even a refusal. Callers wait for the
+// start, so the start must not wait for that seed.
 func TestSeedWithoutPowerDoesNotHoldUpTheStart(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		is := is.New(t)
-		net.change(func() { net.frozen[address(0)] = true })
+		net.withLock(func() { net.frozen[address(0)] = true })
 		for i, holders := range []int{0, 8} {
 			began := time.Now()
 			m := net.start(downStore{}, i+1, func(m *Members) { m.cfg.RecordHolders = holders })
-			is.True(time.Since(began) <= 2*joinWait)
+			is.True(time.Since(began) <= 2*maxJoinWait)
 			is.Equal(m.Hosts()[0].ID, name(i+1))
 		}
 	})
 }
 
-// Few hosts use the platform, whatever the fleet's size, but a host that no
-// seed answers finds the others there.
+// With RecordHolders set, few hosts use the platform for every fleet size, but
+// a host that gets no reply from a seed finds the others there.
 func TestFewHostsKeepARecord(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		is := is.New(t)
@@ -315,12 +317,12 @@
 		for i := range 20 {
 			net.start(platform.Client(), i, few)
 		}
-		time.Sleep(2 * recordSpread)
+		time.Sleep(2 * maxRecordJoinDelay)
 		is.True(len(platform.Objects(objstore.KindMember)) >= 3)
 		is.True(len(platform.Objects(objstore.KindMember)) < 8)
-		net.change(func() { net.side[address(0)] = 1 }) // the only seed
+		net.withLock(func() { net.side[address(0)] = 1 }) // the only seed
 		last := net.start(platform.Client(), 20, few)
-		within(t, 2*recordSpread, "others found", func() bool { return len(last.Hosts()) > 2 })
-		within(t, 20*time.Second, "together", func() bool { return len(last.Hosts()) >= 20 })
+		eventually(t, 2*maxRecordJoinDelay, "others found", func() bool { return len(last.Hosts()) > 2 })
+		eventually(t, 20*time.Second, "together", func() bool { return len(last.Hosts()) >= 20 })
 	})
 }
--- a/internal/member/metrics.go
+++ b/internal/member/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Kinds of probes, label "kind".
+// Values of the label "kind" of the probes.
 const (
 	kindDirect    = "direct"
 	kindIndirect  = "indirect"
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -26,30 +26,32 @@
 	os.Exit(m.Run())
 }
 
-const oneWay = time.Millisecond
+const oneWayLatency = time.Millisecond
 
-// network carries probes between Members in one process, in virtual time.
+// network simulates the network between Members of one process, in virtual
+// time.
 type network struct {
-	mu     sync.Mutex
-	hosts  map[string]*Members // by address
-	frozen map[string]bool     // no probe leaves, arrives or is answered
-	side   map[string]int      // hosts of different sides do not reach each other
-	cut    map[[2]string]bool  // single paths that are cut, both ways
-	lost   func() bool         // whether the next message is lost
-
-	domains map[string]string    // failure domain by address, of hosts that are not in defaultDomain
-	rate    float64              // of each host's link, in bytes a second; 0: no bound
-	busy    map[string]time.Time // until when the link of an address is occupied
-	crossed int                  // bytes that went from one failure domain to another
-	within  int                  // bytes that did not
+	mu          sync.Mutex
+	hosts       map[string]*Members // by peer address
+	frozen      map[string]bool     // addresses that neither send nor receive
+	side        map[string]int      // partition of an address; hosts of different partitions do not reach each other
+	cutPaths    map[[2]string]bool  // single paths that are cut, both ways
+	dropMessage func() bool         // whether to drop the next message
+
+	domains          map[string]string    // failure domain by address, of hosts that are not in defaultDomain
+	linkRate         float64              // of each host's link, in bytes a second; 0: unlimited
+	linkBusyUntil    map[string]time.Time // end of the last transmission on the link of an address
+	crossDomainBytes int                  // bytes sent between failure domains
+	sameDomainBytes  int                  // bytes sent within a failure domain
 }
 
 const defaultDomain = "salt-lake"
 
-// messageOverhead is the bytes of a message beside its content: headers of packets,
-// their acknowledgement and, for one of four, a new connection.
-const messageOverhead = 150
+// messageOverheadBytes is the size of a message beside its content: packet
+// headers, their acknowledgement and, for one in four, a new connection.
+const messageOverheadBytes = 150
 
+// domain returns the failure domain of an address.
 func (n *network) domain(address string) string {
 	if d, ok := n.domains[address]; ok {
 		return d
@@ -57,45 +59,46 @@
 	return defaultDomain
 }
 
-// count counts a message and returns how long it waits for and occupies links.
-func (n *network) count(from, to string, m proto.Message) time.Duration {
+// queueMessage counts a message and returns how long it waits for the sender's
+// link and occupies it.
+func (n *network) queueMessage(from, to string, m proto.Message) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	size := proto.Size(m) + messageOverhead
+	size := proto.Size(m) + messageOverheadBytes
 	if n.domain(from) != n.domain(to) {
-		n.crossed += size
+		n.crossDomainBytes += size
 	} else {
-		n.within += size
+		n.sameDomainBytes += size
 	}
-	if n.rate <= 0 {
+	if n.linkRate <= 0 {
 		return 0
 	}
 	now := time.Now()
 	free := now
-	if n.busy[from].After(now) {
-		free = n.busy[from]
+	if n.linkBusyUntil[from].After(now) {
+		free = n.linkBusyUntil[from]
 	}
-	n.busy[from] = free.Add(time.Duration(float64(size) / n.rate * float64(time.Second)))
-	return n.busy[from].Sub(now)
+	n.linkBusyUntil[from] = free.Add(time.Duration(float64(size) / n.linkRate * float64(time.Second)))
+	return n.linkBusyUntil[from].Sub(now)
 }
 
 func newNetwork() *network {
 	return &network{
-		hosts: map[string]*Members{}, frozen: map[string]bool{}, side: map[string]int{}, cut: map[[2]string]bool{},
-		lost: func() bool { return false }, domains: map[string]string{}, busy: map[string]time.Time{},
+		hosts: map[string]*Members{}, frozen: map[string]bool{}, side: map[string]int{}, cutPaths: map[[2]string]bool{},
+		dropMessage: func() bool { return false }, domains: map[string]string{}, linkBusyUntil: map[string]time.Time{},
 	}
 }
 
-// port is the Prober of the host that listens on its address.
-type port struct {
+// simProber is the Prober of the host at from.
+type simProber struct {
 	net  *network
 	from string
 }
 
 var errRefused = errors.New("connection refused")
 
-func (p port) Probe(ctx context.Context, to string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	if err := p.net.pass(ctx, p.from, to, req); err != nil {
+func (p simProber) Probe(ctx context.Context, to string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
+	if err := p.net.transmit(ctx, p.from, to, req); err != nil {
 		return nil, err
 	}
 	host := p.net.host(to)
@@ -106,18 +109,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return reply, p.net.pass(ctx, to, p.from, reply)
+	return reply, p.net.transmit(ctx, to, p.from, reply)
 }
 
-// pass takes the time of one message, or all that ctx has if it is held up.
-func (n *network) pass(ctx context.Context, from, to string, m proto.Message) error {
+// transmit takes the time of one message, or waits until ctx is done if the
+// message is lost.
+func (n *network) transmit(ctx context.Context, from, to string, m proto.Message) error {
 	n.mu.Lock()
-	held := n.cut[[2]string{from, to}] || n.cut[[2]string{to, from}] || n.frozen[from] || n.frozen[to] || n.side[from] != n.side[to] || n.lost()
+	blocked := n.cutPaths[[2]string{from, to}] || n.cutPaths[[2]string{to, from}] || n.frozen[from] || n.frozen[to] || n.side[from] != n.side[to] || n.dropMessage()
 	n.mu.Unlock()
-	if held {
+	if blocked {
 		<-ctx.Done()
 	} else {
-		await.Sleep(ctx, oneWay+n.count(from, to, m))
+		await.Sleep(ctx, oneWayLatency+n.queueMessage(from, to, m))
 	}
 	return ctx.Err()
 }
@@ -128,8 +132,8 @@
 	return n.hosts[address]
 }
 
-// change runs f on the network's faults.
-func (n *network) change(f func()) {
+// withLock runs f, which may change the network's faults.
+func (n *network) withLock(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -138,22 +142,23 @@
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250) }
 func name(i int) string    { return fmt.Sprintf("host-%02d", i) }
 
-// start starts host i, whose only seed is host 0. prepare may change it before.
+// start starts host i, whose only seed is host 0. The prepare functions run
+// before Start.
 func (n *network) start(store objstore.Store, i int, prepare ...func(*Members)) *Members {
 	cfg := DefaultConfig()
 	cfg.Seeds = []string{address(0)}
 	self := Host{ID: name(i), FailureDomain: n.domain(address(i)), Peer: address(i), API: address(i)}
-	m := New(cfg, self, store, port{n, address(i)}, event.Discard(), nil)
+	m := New(cfg, self, store, simProber{n, address(i)}, event.Discard(), nil)
 	m.rng = rand.New(rand.NewPCG(1, uint64(i)))
 	for _, f := range prepare {
 		f(m)
 	}
-	n.change(func() { n.hosts[address(i)] = m })
-	_ = m.Start(context.Background()) // never fails
+	n.withLock(func() { n.hosts[address(i)] = m })
+	_ = m.Start(context.Background()) // always returns nil
 	return m
 }
 
-// kill ends host i without a word to the others.
+// kill ends host i without an announcement to the others.
 func (n *network) kill(i int) {
 	n.mu.Lock()
 	m := n.hosts[address(i)]
@@ -172,7 +177,7 @@
 	}
 }
 
-// downStore is a platform in an outage.
+// downStore is a platform that is unavailable.
 type downStore struct{ objstore.Store }
 
 var errOutage = &objstore.Unavailable{Cause: errors.New("outage")}
--- a/internal/member/piggyback.go
+++ b/internal/member/piggyback.go
@@ -8,20 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// updates returns at most n host records for a message to the host receiver:
-// first what is held against that host, so that it can refute; then the
-// changes sent least; then others in turn, so that tables that differ for any
-// reason come together without ever being sent whole.
-func (t *table) updates(n int, receiver string) []update {
+// piggybackUpdates returns at most n host records for a message to the host
+// receiver: first the receiver's own record if it is not alive there, so that
+// it can refute it; then the changes sent least often; then other hosts in
+// rotation, so that tables that differ for any reason converge without full
+// lists.
+func (t *table) piggybackUpdates(n int, receiver string) []update {
 	var out []update
 	chosen := map[string]bool{receiver: true}
 	if r, known := t.rows[receiver]; known && r.State != Alive && !r.unconfirmed {
 		out = append(out, r.update)
 	}
-	for _, r := range t.pending() {
+	for _, r := range t.pendingUpdates() {
 		if len(out) < n && !chosen[r.ID] {
 			chosen[r.ID] = true
-			r.sends--
+			r.sendsLeft--
 			out = append(out, r.update)
 		}
 	}
@@ -29,8 +30,8 @@
 		if len(out) >= n {
 			break
 		}
-		t.filled = (t.filled + 1) % len(t.order)
-		r := t.rows[t.order[t.filled]]
+		t.lastFilled = (t.lastFilled + 1) % len(t.order)
+		r := t.rows[t.order[t.lastFilled]]
 		if !chosen[r.ID] && !r.unconfirmed {
 			chosen[r.ID] = true
 			out = append(out, r.update)
@@ -39,38 +40,39 @@
 	return out
 }
 
-// pending returns the changes that are still to be sent, least sent first.
-func (t *table) pending() []*row {
+// pendingUpdates returns the changes that are still to be sent, least often
+// sent first.
+func (t *table) pendingUpdates() []*row {
 	var rows []*row
 	for _, r := range t.rows {
-		if r.sends > 0 {
+		if r.sendsLeft > 0 {
 			rows = append(rows, r)
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool {
-		if rows[i].sends != rows[j].sends {
-			return rows[i].sends > rows[j].sends
+		if rows[i].sendsLeft != rows[j].sendsLeft {
+			return rows[i].sendsLeft > rows[j].sendsLeft
 		}
 		return rows[i].ID < rows[j].ID
 	})
 	return rows
 }
 
-// all returns every confirmed host that is not dead or has died since recent,
-// so that one who holds it alive learns of it.
-func (t *table) all(recent time.Time) []update {
+// fullList returns every confirmed host that is not dead or died after
+// deadAfter, so that a host that lists it as alive receives its death.
+func (t *table) fullList(deadAfter time.Time) []update {
 	var out []update
 	for _, r := range t.rows {
-		if !r.unconfirmed && (r.State != Dead || r.since.After(recent)) {
+		if !r.unconfirmed && (r.State != Dead || r.stateSince.After(deadAfter)) {
 			out = append(out, r.update)
 		}
 	}
 	return out
 }
 
-// digest returns a hash of which versions of which hosts are held and not
-// dead, self included. It is the same in any order. Suspicion is left out: it
-// comes and goes without a new version.
+// digest returns a hash of the versions of all confirmed hosts that are not
+// dead, self included. It does not depend on their order. Suspicion is left
+// out: it starts and ends without a new version.
 func (t *table) digest(self update) uint64 {
 	sum := self.hash()
 	for _, r := range t.rows {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	reconnectEvery = 10                     // probes of live hosts for each one of a dead host or seed
-	pauseFactor    = 4                      // times its interval or timeout that a probe must be late to tell of a pause
-	announceTo     = 3                      // peers told at once of a new revision
-	pushTo         = 16                     // peers told at once that this host leaves
-	joinFrom       = 5                      // known hosts asked at start
-	announceGap    = 100 * time.Millisecond // between two announcements
-	// crossProbes is how many hosts of a failure domain, on average, probe one of
-	// another domain in each interval. Bytes between domains are paid for: where all
-	// hosts were probed alike, 295 in five domains sent 0.8 MB/s between them.
-	crossProbes = 2
+	roundsPerReconnect   = 10                     // probe rounds for each attempt to reach a dead host or a seed
+	pauseThresholdFactor = 4                      // a probe delayed by this multiple of its interval or timeout indicates a pause of the process
+	announceFanout       = 3                      // peers that a new revision is sent to at once
+	stopFanout           = 16                     // peers that the leaving or the end of this host is sent to at once
+	maxJoinHosts         = 5                      // listed hosts that get a join request at start
+	minAnnounceInterval  = 100 * time.Millisecond // time between two announcements
+	// crossDomainProbesPerInterval is how many hosts of a failure domain, on
+	// average, probe a host of another domain in each probe interval. Traffic
+	// between domains is billed: when probes ignored domains, 295 hosts in five
+	// domains sent 0.8 MB/s between them.
+	crossDomainProbesPerInterval = 2
 )
 
-// probeLoop begins one probe each interval, until ctx is done.
+// probeLoop starts one probe in each interval, until ctx is done.
 func (m *Members) probeLoop(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.ProbeInterval.Std())
 	defer ticker.Stop()
@@ -33,7 +34,7 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		m.postponeAfterPause(now.Sub(last))
+		m.extendSuspicionsAfterPause(now.Sub(last))
 		last = now
 		m.expire(now)
 		m.probeNext(ctx, round)
@@ -41,23 +42,25 @@
 	}
 }
 
-// postponeAfterPause postpones suspicions if this process did not run for gap.
-func (m *Members) postponeAfterPause(gap time.Duration) {
-	if gap < pauseFactor*m.cfg.ProbeInterval.Std() {
+// extendSuspicionsAfterPause extends suspicions if gap, the time since the last
+// probe round, shows that this process was paused.
+func (m *Members) extendSuspicionsAfterPause(gap time.Duration) {
+	if gap < pauseThresholdFactor*m.cfg.ProbeInterval.Std() {
 		return
 	}
 	m.log.Event(evPaused).Dur("pause", gap).Msg("")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.postpone(gap)
+	m.table.extendSuspicions(gap)
 }
 
-// expire ends suspicions and publishes what changed since the last probe.
+// expire declares hosts dead whose suspicion has timed out, and publishes the
+// changes since the last probe round.
 func (m *Members) expire(now time.Time) {
-	n := m.size()
-	m.lockWithRevision()
+	n := m.hostCount()
+	m.lockAndUpdateRevision()
 	defer m.mu.Unlock()
-	died := m.table.expire(now, m.cfg.suspicion(n), m.cfg.ForgetAfter.Std(), m.sends())
+	died := m.table.expire(now, m.cfg.suspicionTimeout(n), m.cfg.ForgetAfter.Std(), m.sendCount())
 	for _, h := range died {
 		m.metrics.deaths.Inc()
 		m.log.Event(evHostDead).Str("peer", h.ID).Uint64("incarnation", h.Incarnation).Msg("")
@@ -69,6 +72,7 @@
 	m.updateHostGauge()
 }
 
+// updateHostGauge counts the hosts by state. m.mu is held.
 func (m *Members) updateHostGauge() {
 	states := map[State]int{m.self.State: 1}
 	for _, r := range m.table.rows {
@@ -79,45 +83,46 @@
 	}
 }
 
-// probeNext begins a probe of the next host, and of a dead one or a seed now
-// and then, or always if no other host is left.
+// probeNext starts a probe of the next host, and one of a dead host or a seed
+// in every roundsPerReconnect-th round, or always if there is no host to probe.
 func (m *Members) probeNext(ctx context.Context, round int) {
 	m.mu.Lock()
-	target, found := m.table.next(m.rng, m.self.FailureDomain)
+	target, found := m.table.nextProbeTarget(m.rng, m.self.FailureDomain)
 	m.mu.Unlock()
 	if found {
 		m.work.Go(func() { m.probe(ctx, target) })
 	}
-	if !found || round%reconnectEvery == 0 {
+	if !found || round%roundsPerReconnect == 0 {
 		m.work.Go(func() { m.reconnect(ctx) })
 	}
 }
 
-// probe probes a host, directly and then through others, and suspects it if
-// all fail.
+// probe probes a host, directly and then through other hosts, and marks it as a
+// suspect if all fail.
 func (m *Members) probe(ctx context.Context, target update) {
 	began := time.Now()
 	err := m.exchange(ctx, kindDirect, target.Peer, &peerpb.ProbeRequest{TargetId: target.ID})
-	if err == nil || m.reachedByOthers(ctx, target) || ctx.Err() != nil {
+	if err == nil || m.probeIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
-	if time.Since(began) > pauseFactor*m.cfg.ProbeTimeout.Std() {
-		return // this process was paused in between: the failure says nothing of the target
+	if time.Since(began) > pauseThresholdFactor*m.cfg.ProbeTimeout.Std() {
+		return // this process was paused in between: the failure does not show that the target is down
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.table.missed(target, time.Now(), m.sends()) {
+	if m.table.probeFailed(target, time.Now(), m.sendCount()) {
 		m.metrics.suspicions.Inc()
 		m.log.Event(evHostSuspect).Str("peer", target.ID).Msg("")
 	}
 	m.publish()
 }
 
-// reachedByOthers asks a few hosts to probe the target, so that a cut or
-// overload of one path alone makes no suspect.
-func (m *Members) reachedByOthers(ctx context.Context, target update) bool {
+// probeIndirectly requests a few other hosts to probe the target and reports
+// whether one reached it, so that the loss or overload of a single path does
+// not make the target a suspect.
+func (m *Members) probeIndirectly(ctx context.Context, target update) bool {
 	m.mu.Lock()
-	helpers := m.table.nearest(m.cfg.IndirectProbes, m.rng, m.self.FailureDomain, func(r *row) bool {
+	helpers := m.table.sampleNearest(m.cfg.IndirectProbes, m.rng, m.self.FailureDomain, func(r *row) bool {
 		return r.State == Alive && r.ID != target.ID
 	})
 	m.mu.Unlock()
@@ -125,7 +130,7 @@
 	defer cancel()
 	answers := make(chan bool, len(helpers))
 	for _, h := range helpers {
-		m.work.Go(func() { answers <- m.askToProbe(ctx, h, target) })
+		m.work.Go(func() { answers <- m.requestIndirectProbe(ctx, h, target) })
 	}
 	for range helpers {
 		if <-answers {
@@ -135,14 +140,16 @@
 	return false
 }
 
-func (m *Members) askToProbe(ctx context.Context, helper, target update) bool {
+// requestIndirectProbe requests helper to probe target and reports whether it
+// reached it.
+func (m *Members) requestIndirectProbe(ctx context.Context, helper, target update) bool {
 	req := &peerpb.ProbeRequest{TargetId: target.ID, Indirect: true}
-	reply, err := m.call(ctx, 2*m.cfg.ProbeTimeout.Std(), helper.Peer, req) // it needs a whole probe of its own
+	reply, err := m.call(ctx, 2*m.cfg.ProbeTimeout.Std(), helper.Peer, req) // the helper's own probe may take a whole timeout
 	return err == nil && reply.Reached
 }
 
-// reconnect tries a random host that is held dead, or a seed that no live
-// host listens on, so that groups that lost each other meet again.
+// reconnect probes a random dead host, or a seed whose address no listed host
+// has, so that partitioned groups find each other again.
 func (m *Members) reconnect(ctx context.Context) {
 	m.mu.Lock()
 	targets := m.reconnectTargets()
@@ -152,11 +159,11 @@
 	}
 	t := targets[m.rng.IntN(len(targets))]
 	m.mu.Unlock()
-	_ = m.exchange(ctx, kindReconnect, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // a dead host seldom answers
+	_ = m.exchange(ctx, kindReconnect, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // usually fails: the host is dead
 }
 
-// reconnectTargets returns the hosts held dead and the seeds not known as hosts; the
-// latter have an address alone. m.mu is held.
+// reconnectTargets returns the dead hosts, and the seeds whose address no
+// listed host has; of the latter only Peer is set. m.mu is held.
 func (m *Members) reconnectTargets() []Host {
 	var targets []Host
 	known := map[string]bool{m.self.Peer: true}
@@ -174,56 +181,58 @@
 	return targets
 }
 
-// Announce tells a few random peers at once that this host has a new
-// configuration revision. It does not block.
+// Announce sends the new configuration revision of this host to a few random
+// peers, without waiting for the next probe. It does not block.
 func (m *Members) Announce() {
 	select {
-	case m.announced <- struct{}{}:
-	default: // one is waiting already and will carry this revision too
+	case m.announceRequested <- struct{}{}:
+	default: // the pending announcement will carry this revision, too
 	}
 }
 
-// announceLoop serves Announce, at most once each announceGap.
+// announceLoop sends the announcements that Announce requests, with at least
+// minAnnounceInterval between them.
 func (m *Members) announceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.announced:
+		case <-m.announceRequested:
 		}
-		for _, t := range m.live(announceTo) {
+		for _, t := range m.sampleLive(announceFanout) {
 			m.work.Go(func() {
-				_ = m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // probeLoop finds what is down
+				_ = m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // the probes detect a host that is down
 			})
 		}
-		if !await.Sleep(ctx, announceGap) {
+		if !await.Sleep(ctx, minAnnounceInterval) {
 			return
 		}
 	}
 }
 
-// push sends this host's state to several peers and returns how many took it.
-func (m *Members) push(ctx context.Context) int {
-	targets := m.live(pushTo)
+// pushState sends this host's state to several peers and returns how many
+// accepted it.
+func (m *Members) pushState(ctx context.Context) int {
+	targets := m.sampleLive(stopFanout)
 	results := make(chan error, len(targets))
 	for _, t := range targets {
 		go func() {
 			results <- m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID})
 		}()
 	}
-	told := 0
+	accepted := 0
 	for range targets {
 		if <-results == nil {
-			told++
+			accepted++
 		}
 	}
-	return told
+	return accepted
 }
 
-// live returns up to n random hosts that are not dead, those of the own failure
-// domain first.
-func (m *Members) live(n int) []update {
+// sampleLive returns up to n random hosts that are not dead, those of the own
+// failure domain first.
+func (m *Members) sampleLive(n int) []update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.nearest(n, m.rng, m.self.FailureDomain, func(r *row) bool { return r.State != Dead })
+	return m.table.sampleNearest(n, m.rng, m.self.FailureDomain, func(r *row) bool { return r.State != Dead })
 }
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -12,40 +12,45 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// joinWrites bounds the writes of the own record at start when others race.
-const joinWrites = 3
-
-// recordSpread is the time over which hosts that start together turn to the
-// platform's records. By then most have heard of each other from the seeds, and only
-// those that keep a record need the platform: 75 hosts made 150 calls at a start
-// without it, counted at the store.
-const recordSpread = time.Second
-
-// joinByRecords reads and writes the platform's records some time after the start,
-// if this host keeps one or is still alone.
-func (m *Members) joinByRecords(ctx context.Context) {
+// maxRecordWriteAttempts limits the attempts at start to write this host's
+// record when another writer changes it at the same time.
+const maxRecordWriteAttempts = 3
+
+// maxRecordJoinDelay is the upper bound of the random delay after which a
+// starting host reads the platform's records. By then most hosts that start
+// together have found each other through the seeds, and only the holders of a
+// record need the platform: without the delay, the start of 75 hosts made 150
+// calls to the store.
+const maxRecordJoinDelay = time.Second
+
+// joinFromRecords waits for a random delay after the start, and then reads and
+// writes the platform's records if this host keeps a record or has found no
+// other host.
+func (m *Members) joinFromRecords(ctx context.Context) {
 	m.mu.Lock()
-	wait := time.Duration(m.rng.Float64() * float64(recordSpread))
+	wait := time.Duration(m.rng.Float64() * float64(maxRecordJoinDelay))
 	m.mu.Unlock()
 	if !await.Sleep(ctx, wait) || !m.usesPlatform() {
 		return
 	}
-	m.readRecords(ctx)
+	m.refreshWithRetry(ctx)
 	m.joinPeers(ctx)
 }
 
-// readRecords reads the records, and writes the own one however others race.
-func (m *Members) readRecords(ctx context.Context) {
-	for range joinWrites {
+// refreshWithRetry reads the records and writes the own one; it retries when
+// the write conflicts with another writer.
+func (m *Members) refreshWithRetry(ctx context.Context) {
+	for range maxRecordWriteAttempts {
 		var conflict *objstore.Conflict
-		if err := m.refresh(ctx); !errors.As(err, &conflict) {
+		if err := m.refreshRecords(ctx); !errors.As(err, &conflict) {
 			return
 		}
 	}
 }
 
 // usesPlatform reports whether this host reads and writes the platform's
-// records: it is one of those that keep one, or it knows no other host.
+// records: its id has one of the RecordHolders highest hashes, or it knows no
+// other host.
 func (m *Members) usesPlatform() bool {
 	if m.cfg.RecordHolders == 0 {
 		return true
@@ -64,12 +69,12 @@
 	return higher < m.cfg.RecordHolders
 }
 
-// refreshLoop reads the platform's records now and then. The time between
-// grows with the fleet, so that the platform's load does not.
+// refreshLoop refreshes the platform's records periodically. The interval grows
+// with the fleet, so that the load on the platform does not.
 func (m *Members) refreshLoop(ctx context.Context) {
-	for await.Sleep(ctx, m.jittered(m.cfg.refresh(m.size()))) {
+	for await.Sleep(ctx, m.jittered(m.cfg.refreshInterval(m.hostCount()))) {
 		if m.usesPlatform() {
-			_ = m.refresh(ctx) // logged; tried again
+			_ = m.refreshRecords(ctx) // logged; the next round retries
 		}
 	}
 }
@@ -81,13 +86,14 @@
 	return d/2 + time.Duration(m.rng.Float64()*float64(d))
 }
 
-// refresh reads the records of all hosts, takes in those not known, writes
-// this host's if it is missing or old, and removes some of dead hosts.
-func (m *Members) refresh(ctx context.Context) error {
+// refreshRecords reads the records of all hosts, adds unknown hosts to the
+// table, removes records of dead hosts that fall to this host, and writes this
+// host's record if it is missing or outdated.
+func (m *Members) refreshRecords(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.PlatformTimeout.Std())
 	defer cancel()
 	listing, err := m.store.List(ctx, m.cfg.RecordKind)
-	m.countCall("list", err)
+	m.observePlatformCall("list", err)
 	if err != nil {
 		return Error.New("list members: %w", err)
 	}
@@ -97,7 +103,7 @@
 			own = o
 			continue
 		}
-		m.learnRecord(ctx, o)
+		m.mergeRecord(ctx, o)
 	}
 	m.mu.Lock()
 	m.publish()
@@ -105,32 +111,33 @@
 	return m.writeRecord(ctx, own)
 }
 
-// learnRecord takes in a host's record, and removes the record if the host has
-// long been dead and it falls to this host.
-func (m *Members) learnRecord(ctx context.Context, o objstore.Object) {
+// mergeRecord adds a host's record to the table, and removes the record if the
+// host has been dead for long and the removal falls to this host.
+func (m *Members) mergeRecord(ctx context.Context, o objstore.Object) {
 	var h Host
 	if json.Unmarshal(o.Value, &h) != nil || h.ID != o.Name || h.Peer == "" {
-		return // not written by this system
+		return // malformed, or written by another system
 	}
 	m.mu.Lock()
-	m.table.learn(h, time.Now(), m.rng)
-	remove := m.mustRemove(h)
+	m.table.addUnconfirmed(h, time.Now(), m.rng)
+	remove := m.shouldRemoveRecord(h)
 	m.mu.Unlock()
 	if remove {
-		m.countCall("delete", m.store.Delete(ctx, o.Kind, o.Name, o.Version))
+		m.observePlatformCall("delete", m.store.Delete(ctx, o.Kind, o.Name, o.Version))
 	}
 }
 
-// mustRemove reports whether it falls to this host to remove the record of h:
-// h has long been dead, and no live host has a higher hash for it. If hosts
-// differ on that, one of them calls in vain; the version keeps the record of a
-// host that has restarted. m.mu is held.
-func (m *Members) mustRemove(h Host) bool {
+// shouldRemoveRecord reports whether the removal of h's record falls to this
+// host: h has been dead for half of ForgetAfter, and no alive host has a higher
+// hash for it. If hosts disagree on which of them that is, the second delete
+// fails; the version check also protects the record of a host that has
+// restarted. m.mu is held.
+func (m *Members) shouldRemoveRecord(h Host) bool {
 	r, known := m.table.rows[h.ID]
 	if !known || r.State != Dead || r.Incarnation < h.Incarnation {
 		return false
 	}
-	if time.Since(r.since) < m.cfg.ForgetAfter.Std()/2 {
+	if time.Since(r.stateSince) < m.cfg.ForgetAfter.Std()/2 {
 		return false
 	}
 	mine := xxhash.Sum64String(h.ID + "/" + m.self.ID)
@@ -142,16 +149,17 @@
 	return true
 }
 
-// writeRecord writes this host's record unless the one in the platform is of
-// this incarnation. current is that object, the zero value if there is none.
+// writeRecord writes this host's record unless the platform has it with the
+// current incarnation. current is the stored object, the zero value if there is
+// none.
 func (m *Members) writeRecord(ctx context.Context, current objstore.Object) error {
 	var recorded Host
 	if current.Version > 0 && json.Unmarshal(current.Value, &recorded) != nil {
 		recorded = Host{}
 	}
-	self := m.raiseAbove(recorded)
+	self := m.ensureIncarnationAbove(recorded)
 	if recorded.ID != "" {
-		m.recorded.Store(true)
+		m.mayHaveRecord.Store(true)
 	}
 	if self.State != Alive || recorded.Incarnation == self.Incarnation {
 		return nil
@@ -160,32 +168,33 @@
 	if err != nil {
 		return Error.New("encode member record: %w", err)
 	}
-	m.recorded.Store(true) // also if no answer comes
+	m.mayHaveRecord.Store(true) // set before the write, which may succeed without a response
 	_, err = m.store.Put(ctx, m.cfg.RecordKind, self.ID, current.Version, value)
-	m.countCall("put", err)
+	m.observePlatformCall("put", err)
 	if err != nil {
 		return Error.New("write member record: %w", err)
 	}
 	return nil
 }
 
-// raiseAbove gives this host a higher incarnation than its record in the
-// platform has, unless this start wrote the record, and returns this host.
-func (m *Members) raiseAbove(recorded Host) Host {
+// ensureIncarnationAbove raises this host's incarnation above that of its
+// record in the platform, unless this process wrote the record, and returns
+// this host.
+func (m *Members) ensureIncarnationAbove(recorded Host) Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sameStart := recorded.Incarnation == m.self.Incarnation && recorded.Peer == m.self.Peer
 	if recorded.Incarnation >= m.self.Incarnation && !sameStart {
-		m.raise(recorded)
+		m.raiseIncarnation(recorded)
 		m.publish()
 	}
 	return m.self.Host
 }
 
-// removeRecord removes this host's record. If it fails, the others find out
-// by probes and remove it later.
+// removeRecord removes this host's record. If that fails, the other hosts
+// detect the stop by probes and remove the record later.
 func (m *Members) removeRecord(ctx context.Context) {
-	if !m.recorded.Load() {
+	if !m.mayHaveRecord.Load() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.PlatformTimeout.Std())
@@ -197,11 +206,11 @@
 	if err == nil {
 		err = m.store.Delete(ctx, o.Kind, o.Name, o.Version)
 	}
-	m.countCall("delete", err)
+	m.observePlatformCall("delete", err)
 }
 
-// countCall counts a platform call and logs its failure.
-func (m *Members) countCall(call string, err error) {
+// observePlatformCall counts a platform call and logs its failure.
+func (m *Members) observePlatformCall(call string, err error) {
 	m.metrics.platform.WithLabelValues(call, result(err)).Inc()
 	if err != nil {
 		m.log.Event(evRecordFailed).Str("call", call).Err(err).Msg("")
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -8,78 +8,80 @@
 )
 
 const (
-	// syncAfter is how long this host must agree with no peer before it asks
-	// one for its whole list. News takes less than that to spread.
-	syncAfter = 5 * time.Second
-	// syncPerHost is the time between two whole lists, for each host on them,
-	// so that the bytes a second are bounded whatever the fleet's size.
-	syncPerHost = 20 * time.Millisecond
-	// tellDead is for how long a whole list tells a death.
-	tellDead = 10 * time.Minute
+	// fullSyncAfter is how long this host's digest must differ from those of
+	// all peers before it requests a full list. Changes usually spread in less
+	// time.
+	fullSyncAfter = 5 * time.Second
+	// fullSyncIntervalPerHost is the minimum time between two full lists for
+	// each host on them, so that the traffic is bounded for every fleet size.
+	fullSyncIntervalPerHost = 20 * time.Millisecond
+	// deadListedFor is how long after its death a full list includes a host.
+	deadListedFor = 10 * time.Minute
 )
 
-// fullSync decides when to ask for a whole list. Bounded messages carry the
-// changes of ordinary days; when many hosts change at once, as after a cut
+// fullSync decides when to request a full list. Bounded messages suffice for
+// the usual changes; when many hosts change at once, as after a partition
 // between regions, they would take minutes.
 //
-// A host has one for its own failure domain and one for the others: hosts of a
-// domain that all lack the same hosts agree with each other for long.
+// A host has one for its own failure domain and one for the other domains:
+// hosts of a domain that all lack the same hosts have equal digests for a long
+// time.
 type fullSync struct {
-	agreed time.Time // when the digest of a peer was last the same
-	last   time.Time // when a whole list was last due
-	peer   string    // address of the peer that differed last
+	lastAgreed    time.Time // when the digest of a peer was last equal
+	lastDue       time.Time // when a full list was last due
+	differingPeer string    // address of the last peer if its digest differed, else empty
 }
 
-// compareDigest notes whether a peer holds the same hosts.
+// compareDigest records whether a peer's digest equals that of this host.
 func (m *Members) compareDigest(from *peerpb.HostInfo, digest uint64) {
 	if from.GetId() == "" || from.Id == m.self.ID {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := &m.ownSync
+	s := &m.ownDomainSync
 	if from.FailureDomain != m.self.FailureDomain {
-		s = &m.othersSync
+		s = &m.otherDomainsSync
 	}
-	s.peer = from.Peer
+	s.differingPeer = from.Peer
 	if digest == m.view.Load().digest {
-		s.agreed = time.Now()
-		s.peer = ""
+		s.lastAgreed = time.Now()
+		s.differingPeer = ""
 	}
 }
 
-// due returns the peer to ask for its whole list now, if it is time.
+// due returns the peer to request a full list from, if one is due now.
 func (s *fullSync) due(now time.Time, hosts int) (peer string, due bool) {
-	if s.peer == "" || now.Sub(s.agreed) < syncAfter {
+	if s.differingPeer == "" || now.Sub(s.lastAgreed) < fullSyncAfter {
 		return "", false
 	}
-	if now.Sub(s.last) < max(syncAfter, time.Duration(hosts)*syncPerHost) {
+	if now.Sub(s.lastDue) < max(fullSyncAfter, time.Duration(hosts)*fullSyncIntervalPerHost) {
 		return "", false
 	}
-	s.last = now
-	return s.peer, true
+	s.lastDue = now
+	return s.differingPeer, true
 }
 
-// syncIfDue takes the whole list of a peer if this host has agreed with none
-// for a while, in its own failure domain or outside it. Bytes between domains
-// are paid for, so few hosts of a domain do the latter.
+// syncIfDue exchanges full lists with a peer if no peer's digest has been equal
+// for a while, in the own failure domain or outside it. Traffic between domains
+// is billed, so only a few hosts of a domain do the latter.
 func (m *Members) syncIfDue(ctx context.Context, now time.Time) {
-	n := m.size()
+	n := m.hostCount()
 	m.mu.Lock()
-	own, ownDue := m.ownSync.due(now, n)
-	other, otherDue := m.othersSync.due(now, n)
-	otherDue = otherDue && m.rng.Float64() < crossShare(m.table.count(m.self.FailureDomain))
+	own, ownDue := m.ownDomainSync.due(now, n)
+	other, otherDue := m.otherDomainsSync.due(now, n)
+	otherDue = otherDue && m.rng.Float64() < crossDomainProbability(m.table.countByDomain(m.self.FailureDomain))
 	m.mu.Unlock()
 	if ownDue {
-		m.work.Go(func() { m.trade(ctx, own) })
+		m.work.Go(func() { m.syncWith(ctx, own) })
 	}
 	if otherDue {
-		m.work.Go(func() { m.trade(ctx, other) })
+		m.work.Go(func() { m.syncWith(ctx, other) })
 	}
 }
 
-// trade gives a peer the whole list of this host and takes the peer's. A failure is
-// no matter: it is another peer next time.
-func (m *Members) trade(ctx context.Context, peer string) {
-	_ = m.exchangeWithin(ctx, joinAnswer, kindSync, peer, &peerpb.ProbeRequest{All: true})
+// syncWith exchanges full lists with a peer. Failures are ignored: the next
+// sync uses another peer.
+func (m *Members) syncWith(ctx context.Context, peer string) {
+	_ = m.exchangeWithin(ctx, listTimeout, kindSync, peer, &peerpb.ProbeRequest{All: true})
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// update is a host as one host tells it to another. Version orders the
-// updates of one incarnation.
+// update is a host record as hosts exchange it. Version orders the updates of
+// one incarnation.
 type update struct {
 	Host
 	Version uint64
 }
 
-// row is what the table holds of one other host.
+// row is the table's entry of one other host.
 type row struct {
 	update
-	since       time.Time // when it entered its state here
-	doubted     time.Time // a leaving host that misses probes since then; zero if it answers
-	sends       int       // transmissions left
-	unconfirmed bool      // known from the platform alone; never sent to others
+	stateSince        time.Time // when this host recorded the current state
+	unresponsiveSince time.Time // first probe that a leaving host missed since it last answered; zero if none
+	sendsLeft         int       // messages that are still to carry this record as a change
+	unconfirmed       bool      // read from the platform's records only; never sent to other hosts
 }
 
-// table is the state of the membership, this host left out. It is pure: the
-// caller gives time and randomness, and guards it with a lock.
+// table is the membership state of the other hosts. It has no side effects: the
+// caller passes time and randomness, and guards it with a lock.
 type table struct {
 	rows             map[string]*row
-	order            []string // ids in a random order, for probes and for filling messages
-	probed           int      // next of order to probe
-	filled           int      // next of order to fill a message with
-	changed          bool     // hosts differ from those last published
-	revisionsChanged bool     // some revision differs from those last published
+	order            []string // ids in random order, for probes and for filling messages
+	nextProbe        int      // index in order of the next host to probe
+	lastFilled       int      // index in order of the last host used to fill a message
+	viewChanged      bool     // hosts differ from the published view
+	revisionsChanged bool     // some revision differs from the published view
 }
 
 func newTable() *table { return &table{rows: map[string]*row{}} }
 
-// severity orders the states that different hosts may tell of the same
-// version: the worse one stands until the host itself refutes it.
+// severity ranks the states that hosts may report for the same version: the
+// more severe one wins until the host refutes it.
 func severity(s State) int {
 	switch s {
 	case Alive:
@@ -50,7 +50,8 @@
 	}
 }
 
-// supersedes reports whether u is newer than r, or worse at the same version.
+// supersedes reports whether u is newer than r, or more severe at the same
+// version. Within an incarnation every update supersedes an unconfirmed row.
 func (u update) supersedes(r *row) bool {
 	switch {
 	case u.Incarnation != r.Incarnation:
@@ -64,15 +65,16 @@
 	}
 }
 
-// apply takes in an update of another host. The death of an unknown host is
-// ignored, so that forgotten hosts stay forgotten.
+// apply merges an update of another host, to be passed on in sends messages if
+// it changes the table. The death of an unknown host is ignored, so that a
+// removed host is not added again.
 func (t *table) apply(u update, now time.Time, sends int, rng *rand.Rand) {
 	r, known := t.rows[u.ID]
 	if !known && u.State == Dead {
 		return
 	}
 	if !known {
-		t.insert(&row{update: u, since: now, sends: sends}, rng)
+		t.insert(&row{update: u, stateSince: now, sendsLeft: sends}, rng)
 		return
 	}
 	if !u.supersedes(r) {
@@ -82,12 +84,12 @@
 	if u.Incarnation == r.Incarnation {
 		u.Revision = max(u.Revision, r.Revision)
 	}
-	*r = row{update: u, since: now, sends: sends}
-	t.changed = true
+	*r = row{update: u, stateSince: now, sendsLeft: sends}
+	t.viewChanged = true
 }
 
-// raiseRevision takes the revision alone from an update that supersedes
-// nothing. Within an incarnation a host's revision never goes back.
+// raiseRevision takes only the revision from an update that does not supersede
+// the row. Within an incarnation a host's revision never decreases.
 func (t *table) raiseRevision(r *row, u update) {
 	if u.Incarnation == r.Incarnation && u.Revision > r.Revision {
 		r.Revision = u.Revision
@@ -95,95 +97,101 @@
 	}
 }
 
-// learn takes a host from the platform's records: it is a suspect until it or
-// a peer confirms it.
-func (t *table) learn(h Host, now time.Time, rng *rand.Rand) {
+// addUnconfirmed adds a host from the platform's records. It is a suspect until
+// the host itself or a peer confirms it.
+func (t *table) addUnconfirmed(h Host, now time.Time, rng *rand.Rand) {
 	r, known := t.rows[h.ID]
 	if known && h.Incarnation <= r.Incarnation {
 		return
 	}
 	h.State = Suspect
-	fresh := row{update: update{Host: h}, since: now, unconfirmed: true}
+	fresh := row{update: update{Host: h}, stateSince: now, unconfirmed: true}
 	if known {
 		*r = fresh
-		t.changed = true
+		t.viewChanged = true
 		return
 	}
 	t.insert(&fresh, rng)
 }
 
+// insert adds a row, at a random position of the order.
 func (t *table) insert(r *row, rng *rand.Rand) {
 	t.rows[r.ID] = r
 	t.order = append(t.order, r.ID)
 	last := len(t.order) - 1
 	other := rng.IntN(len(t.order))
 	t.order[last], t.order[other] = t.order[other], t.order[last]
-	t.changed = true
+	t.viewChanged = true
 }
 
-// missed records that a host at this incarnation and version answered neither
-// a direct nor an indirect probe, and reports whether it became a suspect.
-func (t *table) missed(u update, now time.Time, sends int) bool {
+// probeFailed records that a host at this incarnation and version answered
+// neither a direct nor an indirect probe, and reports whether it became a
+// suspect.
+func (t *table) probeFailed(u update, now time.Time, sends int) bool {
 	r, known := t.rows[u.ID]
 	if !known || r.Incarnation != u.Incarnation || r.Version != u.Version {
 		return false
 	}
 	switch {
 	case r.unconfirmed && r.State == Suspect:
-		t.enter(r, Dead, now, 0)
+		t.setState(r, Dead, now, 0)
 	case r.State == Alive:
-		t.enter(r, Suspect, now, sends)
+		t.setState(r, Suspect, now, sends)
 		return true
-	case r.State == Leaving && r.doubted.IsZero():
-		r.doubted = now
+	case r.State == Leaving && r.unresponsiveSince.IsZero():
+		r.unresponsiveSince = now
 	}
 	return false
 }
 
-// answered records that a host was heard.
-func (t *table) answered(id string) {
+// markResponsive records that a message from a host was received.
+func (t *table) markResponsive(id string) {
 	if r, known := t.rows[id]; known {
-		r.doubted = time.Time{}
+		r.unresponsiveSince = time.Time{}
 	}
 }
 
-func (t *table) enter(r *row, s State, now time.Time, sends int) {
-	r.State, r.since, r.sends = s, now, sends
-	t.changed = true
+// setState changes a row's state, to be passed on in sends messages.
+func (t *table) setState(r *row, s State, now time.Time, sends int) {
+	r.State, r.stateSince, r.sendsLeft = s, now, sends
+	t.viewChanged = true
 }
 
-// expire declares dead the hosts whose suspicion began longer ago than
-// suspicion and returns them, and drops the dead that are older than forget.
+// expire declares dead the hosts whose suspicion has lasted for at least
+// suspicion, returns them, and removes the hosts that have been dead for at
+// least forget.
 func (t *table) expire(now time.Time, suspicion, forget time.Duration, sends int) []Host {
 	var died []Host
 	for id, r := range t.rows {
 		switch {
-		case r.State == Dead && now.Sub(r.since) >= forget:
+		case r.State == Dead && now.Sub(r.stateSince) >= forget:
 			t.remove(id)
-		case r.overdue(now, suspicion):
-			t.enter(r, Dead, now, sends)
+		case r.suspicionExpired(now, suspicion):
+			t.setState(r, Dead, now, sends)
 			died = append(died, r.Host)
 		}
 	}
 	return died
 }
 
-func (r *row) overdue(now time.Time, suspicion time.Duration) bool {
+// suspicionExpired reports whether a confirmed suspect, or a leaving host that
+// misses probes, has not refuted that within the timeout.
+func (r *row) suspicionExpired(now time.Time, suspicion time.Duration) bool {
 	if r.State == Suspect && !r.unconfirmed {
-		return now.Sub(r.since) >= suspicion
+		return now.Sub(r.stateSince) >= suspicion
 	}
-	return r.State == Leaving && !r.doubted.IsZero() && now.Sub(r.doubted) >= suspicion
+	return r.State == Leaving && !r.unresponsiveSince.IsZero() && now.Sub(r.unresponsiveSince) >= suspicion
 }
 
-// postpone moves every suspicion forward by the time that this host itself
-// was paused: nobody could refute to it meanwhile.
-func (t *table) postpone(d time.Duration) {
+// extendSuspicions extends the timeout of every suspicion by the time that this
+// process was paused: it could receive no refutation then.
+func (t *table) extendSuspicions(d time.Duration) {
 	for _, r := range t.rows {
 		if r.State == Suspect {
-			r.since = r.since.Add(d)
+			r.stateSince = r.stateSince.Add(d)
 		}
-		if !r.doubted.IsZero() {
-			r.doubted = r.doubted.Add(d)
+		if !r.unresponsiveSince.IsZero() {
+			r.unresponsiveSince = r.unresponsiveSince.Add(d)
 		}
 	}
 }
@@ -196,27 +204,28 @@
 			break
 		}
 	}
-	t.changed = true
+	t.viewChanged = true
 }
 
-// next returns the next host to probe: mostly one of the own failure domain, in
-// rounds that take each in a new random order, so that none waits longer than two
-// rounds; a random one of another domain now and then.
-func (t *table) next(rng *rand.Rand, domain string) (update, bool) {
-	own, others := t.count(domain)
-	if rng.Float64() < crossShare(own, others) {
-		picked := t.pick(1, rng, func(r *row) bool { return r.State != Dead && r.FailureDomain != domain })
+// nextProbeTarget returns the next host to probe. Most probes go to the own
+// failure domain, in rounds that visit each host in a new random order, so that
+// a host waits for two rounds at most. The other probes go to random hosts of
+// other domains.
+func (t *table) nextProbeTarget(rng *rand.Rand, domain string) (update, bool) {
+	own, others := t.countByDomain(domain)
+	if rng.Float64() < crossDomainProbability(own, others) {
+		picked := t.sample(1, rng, func(r *row) bool { return r.State != Dead && r.FailureDomain != domain })
 		if len(picked) > 0 {
 			return picked[0], true
 		}
 	}
 	for range t.order {
-		if t.probed >= len(t.order) {
-			t.probed = 0
-			t.shuffle(rng)
+		if t.nextProbe >= len(t.order) {
+			t.nextProbe = 0
+			t.shuffleOrder(rng)
 		}
-		r := t.rows[t.order[t.probed]]
-		t.probed++
+		r := t.rows[t.order[t.nextProbe]]
+		t.nextProbe++
 		if r.State != Dead && (r.FailureDomain == domain || own == 0) {
 			return r.update, true
 		}
@@ -224,9 +233,9 @@
 	return update{}, false
 }
 
-// count returns how many other hosts that are not dead are in a failure domain, and
-// how many outside it.
-func (t *table) count(domain string) (own, others int) {
+// countByDomain returns how many other hosts that are not dead are inside and
+// outside of a failure domain.
+func (t *table) countByDomain(domain string) (own, others int) {
 	for _, r := range t.rows {
 		switch {
 		case r.State == Dead:
@@ -239,23 +248,25 @@
 	return own, others
 }
 
-// crossShare returns the part of a host's probes that go to other failure domains: as
-// many as there are hosts there, but no more than crossProbes an interval from the
-// whole domain.
-func crossShare(own, others int) float64 {
+// crossDomainProbability returns the fraction of a host's probes that go to
+// other failure domains. It equals the fraction of the other hosts that are
+// there, but is limited so that all hosts of the own domain together start no
+// more than crossDomainProbesPerInterval such probes in a probe interval.
+func crossDomainProbability(own, others int) float64 {
 	if others == 0 {
 		return 0
 	}
 	uniform := float64(others) / float64(own+others)
-	return min(uniform, float64(crossProbes)/float64(own+1))
+	return min(uniform, float64(crossDomainProbesPerInterval)/float64(own+1))
 }
 
-func (t *table) shuffle(rng *rand.Rand) {
+func (t *table) shuffleOrder(rng *rand.Rand) {
 	rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
 }
 
-// pick returns up to n random hosts that satisfy ok.
-func (t *table) pick(n int, rng *rand.Rand, ok func(*row) bool) []update {
+// sample returns up to n hosts that satisfy ok, in table order from a random
+// position.
+func (t *table) sample(n int, rng *rand.Rand, ok func(*row) bool) []update {
 	var picked []update
 	if len(t.order) == 0 {
 		return nil
@@ -270,13 +281,13 @@
 	return picked
 }
 
-// nearest is pick with the hosts of a failure domain first.
-func (t *table) nearest(n int, rng *rand.Rand, domain string, ok func(*row) bool) []update {
-	picked := t.pick(n, rng, func(r *row) bool { return ok(r) && r.FailureDomain == domain })
-	return append(picked, t.pick(n-len(picked), rng, func(r *row) bool { return ok(r) && r.FailureDomain != domain })...)
+// sampleNearest is sample with the hosts of a failure domain first.
+func (t *table) sampleNearest(n int, rng *rand.Rand, domain string, ok func(*row) bool) []update {
+	picked := t.sample(n, rng, func(r *row) bool { return ok(r) && r.FailureDomain == domain })
+	return append(picked, t.sample(n-len(picked), rng, func(r *row) bool { return ok(r) && r.FailureDomain != domain })...)
 }
 
-// hosts returns the hosts that are not dead, with self, sorted by id.
+// hosts returns self and the other hosts that are not dead, sorted by id.
 func (t *table) hosts(self Host) []Host {
 	out := []Host{self}
 	for _, r := range t.rows {
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -12,12 +12,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-func fixed() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+// fixedRand returns a random generator with a fixed seed.
+func fixedRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// full returns a table with n live hosts.
-func full(n int) *table {
+// tableOf returns a table with n alive hosts.
+func tableOf(n int) *table {
 	t := newTable()
-	rng := fixed()
+	rng := fixedRand()
 	for i := range n {
 		h := Host{ID: name(i), FailureDomain: "park-circus", Peer: address(i), API: address(i),
 			Incarnation: uint64(time.Now().UnixNano()), State: Alive, Revision: 1 << 20}
@@ -29,26 +30,27 @@
 func TestUpdatesOfOneHostCommute(t *testing.T) {
 	states := []State{Alive, Suspect, Leaving, Dead}
 	rapid.Check(t, func(rt *rapid.T) {
-		some := rapid.Custom(func(rt *rapid.T) update {
+		randomUpdate := rapid.Custom(func(rt *rapid.T) update {
 			h := Host{ID: "a", Incarnation: rapid.Uint64Range(1, 3).Draw(rt, "incarnation"),
 				State: rapid.SampledFrom(states).Draw(rt, "state"), Revision: rapid.Uint64Range(0, 3).Draw(rt, "revision")}
 			return update{Host: h, Version: rapid.Uint64Range(0, 3).Draw(rt, "version")}
 		})
-		us := rapid.SliceOfN(some, 1, 8).Draw(rt, "updates")
-		us = append(us, update{Host: Host{ID: "a", State: Alive}}) // so that the host is known
+		us := rapid.SliceOfN(randomUpdate, 1, 8).Draw(rt, "updates")
+		us = append(us, update{Host: Host{ID: "a", State: Alive}}) // adds the host to the table
 		shuffled := rapid.Permutation(us).Draw(rt, "order")
-		if a, b := applied(us), applied(shuffled); a != b {
+		if a, b := mergeAll(us), mergeAll(shuffled); a != b {
 			rt.Fatalf("%v in one order, %v in another", a, b)
 		}
 	})
 }
 
-// applied returns what a table that knows the host of us makes of them.
-func applied(us []update) update {
+// mergeAll returns the record of the host "a" after a table that lists it has
+// applied us.
+func mergeAll(us []update) update {
 	t := newTable()
-	t.apply(update{Host: Host{ID: "a", State: Alive}}, time.Time{}, 0, fixed())
+	t.apply(update{Host: Host{ID: "a", State: Alive}}, time.Time{}, 0, fixedRand())
 	for _, u := range us {
-		t.apply(u, time.Time{}, 0, fixed())
+		t.apply(u, time.Time{}, 0, fixedRand())
 	}
 	return t.rows["a"].update
 }
@@ -57,12 +59,12 @@
 	is := is.New(t)
 	limit := DefaultConfig().UpdatesPerMessage
 	for _, n := range []int{9, 48, 720} {
-		table := full(n)
+		table := tableOf(n)
 		for _, r := range table.rows {
-			r.sends = 30 // everything is news
+			r.sendsLeft = 30 // every record is a change to be sent
 		}
-		is.Equal(len(table.updates(limit, name(0))), limit)
-		size := proto.Size(&peerpb.ProbeRequest{Updates: toInfos(table.updates(limit, name(0)))})
+		is.Equal(len(table.piggybackUpdates(limit, name(0))), limit)
+		size := proto.Size(&peerpb.ProbeRequest{Updates: toInfos(table.piggybackUpdates(limit, name(0)))})
 		t.Logf("%d hosts: %d bytes of updates", n, size)
 		is.True(size <= 1024)
 	}
@@ -70,48 +72,48 @@
 
 func TestChangeIsSentABoundedNumberOfTimes(t *testing.T) {
 	is := is.New(t)
-	table := full(720)
+	table := tableOf(720)
 	u := table.rows[name(500)].update
 	u.Version++
-	table.apply(u, time.Time{}, 30, fixed())
+	table.apply(u, time.Time{}, 30, fixedRand())
 	sent := 0
-	for range 100 { // of 8 records each: too few for the turn of all 720 to come round
-		for _, got := range table.updates(8, "") {
+	for range 100 { // of 8 records each: too few to send all 720 in rotation
+		for _, got := range table.piggybackUpdates(8, "") {
 			if got.ID == u.ID {
 				sent++
 			}
 		}
 	}
-	is.True(sent >= 30 && sent <= 32) // 30 times as news, the rest when its turn came
+	is.True(sent >= 30 && sent <= 32) // 30 times as a change, the rest in rotation
 }
 
-func TestPausedHostGivesSuspectsItsPause(t *testing.T) {
+func TestPauseExtendsSuspicions(t *testing.T) {
 	is := is.New(t)
-	table := full(3)
+	table := tableOf(3)
 	began := time.Now()
-	is.True(table.missed(table.rows[name(1)].update, began, 0))
-	table.postpone(time.Minute)
+	is.True(table.probeFailed(table.rows[name(1)].update, began, 0))
+	table.extendSuspicions(time.Minute)
 	died := table.expire(began.Add(time.Minute+time.Second), 2*time.Second, time.Hour, 0)
 	is.Equal(len(died), 0)
 	died = table.expire(began.Add(time.Minute+2*time.Second), 2*time.Second, time.Hour, 0)
 	is.Equal(len(died), 1)
 }
 
-func TestSilentLeavingHostDies(t *testing.T) {
+func TestUnresponsiveLeavingHostIsDeclaredDead(t *testing.T) {
 	is := is.New(t)
-	table := full(3)
+	table := tableOf(3)
 	u := table.rows[name(1)].update
 	u.State, u.Version = Leaving, u.Version+1
 	now := time.Now()
-	table.apply(u, now, 0, fixed())
-	is.True(!table.missed(u, now, 0)) // no suspect: that would hide that it leaves
-	table.answered(u.ID)
+	table.apply(u, now, 0, fixedRand())
+	is.True(!table.probeFailed(u, now, 0)) // it stays leaving: as a suspect it could get new work
+	table.markResponsive(u.ID)
 	is.Equal(len(table.expire(now.Add(time.Hour), time.Second, time.Hour, 0)), 0)
-	table.missed(u, now, 0)
+	table.probeFailed(u, now, 0)
 	is.Equal(len(table.expire(now.Add(time.Second), time.Second, time.Hour, 0)), 1)
 }
 
-func TestConfigProblemsAreAllTold(t *testing.T) {
+func TestValidateReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	bad := DefaultConfig()
