--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -1,5 +1,5 @@
-// Package await waits for a time or for goroutines, and no longer than a
-// context lasts.
+// Package await waits for a duration, a condition or a group of goroutines, at
+// most until a context is done.
 package await
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Sleep waits for d. It reports false if ctx was done first.
+// Sleep waits for d. It returns false if ctx was done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -20,8 +20,8 @@
 	}
 }
 
-// Group waits for the group. It returns the error of ctx if that was done
-// first; a goroutine then goes on waiting until the group is done.
+// Group waits for g. It returns the error of ctx if that was done first; a
+// goroutine then stays until g is done.
 func Group(ctx context.Context, g *sync.WaitGroup) error {
 	ended := make(chan struct{})
 	go func() {
@@ -36,16 +36,17 @@
 	}
 }
 
-// readyPoll is the time between two looks of Ready.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the time between two checks of Ready.
+const readyPollInterval = 5 * time.Millisecond
 
-// Ready waits until ready returns nil, or returns its error when ctx is done.
+// Ready polls ready until it returns nil; when ctx is done it returns the last
+// error of ready.
 func Ready(ctx context.Context, ready func() error) error {
 	for {
 		err := ready()
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		Sleep(ctx, readyPoll)
+		Sleep(ctx, readyPollInterval)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock tells time that goes on while the machine is suspended. The steady clock that
-// time.Now reads stands still then, so that what a host believed before would seem younger than it is.
+// Package clock measures time that includes suspensions of the machine. The monotonic clock that
+// time.Now reads stops during a suspension, so that cached state would seem younger than it is. The
+// package provides no timers or deadlines; begin with Clock.
 package clock
 
 import (
@@ -10,39 +11,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells time for ages: how old a belief is, and how long ago a request came. Its readings are
-// compared with each other alone: those of time.Now, timers and deadlines of contexts know nothing
-// of a suspension. A nil Clock is the steady clock, as on a machine that is never suspended.
+// Clock measures ages, such as that of cached state or of a received request. Compare its readings
+// with each other only: time.Now, timers and context deadlines do not include suspensions. A nil
+// Clock is the monotonic clock, as on a machine that is never suspended.
 type Clock struct{ now func() time.Time }
 
-// New returns the machine's clock, CLOCK_BOOTTIME. A reading is one call of the kernel.
+// New returns the machine's clock, CLOCK_BOOTTIME. A reading takes one system call.
 func New() *Clock {
-	began, before := time.Now(), sinceBoot()
-	return &Clock{now: func() time.Time { return began.Add(sinceBoot() - before) }}
+	startTime, bootReading := time.Now(), timeSinceBoot()
+	return &Clock{now: func() time.Time { return startTime.Add(timeSinceBoot() - bootReading) }}
 }
 
-// sinceBoot returns the time since the machine started, suspended or not.
-func sinceBoot() time.Duration {
+// timeSinceBoot returns the time since the machine booted, suspensions included.
+func timeSinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // each kernel since Linux 2.6.39 has it
+		panic(err) // every kernel since Linux 2.6.39 supports it
 	}
 	return time.Duration(t.Nano())
 }
 
-// Virtual returns a clock for tests, and a function that lets a suspension of the machine pass.
+// Virtual returns a clock for tests, and a function that simulates a suspension of the machine.
 func Virtual() (c *Clock, suspend func(time.Duration)) {
-	var asleep atomic.Int64
-	c = (*Clock)(nil).Plus(func() time.Duration { return time.Duration(asleep.Load()) })
-	return c, func(d time.Duration) { asleep.Add(int64(d)) }
+	var suspended atomic.Int64
+	c = (*Clock)(nil).Plus(func() time.Duration { return time.Duration(suspended.Load()) })
+	return c, func(d time.Duration) { suspended.Add(int64(d)) }
 }
 
-// Plus returns the clock of a machine that was suspended for some time more, as a function tells.
-func (c *Clock) Plus(asleep func() time.Duration) *Clock {
-	return &Clock{now: func() time.Time { return c.Now().Add(asleep()) }}
+// Plus returns a clock that is ahead of c by what suspended returns, as if the machine had been
+// suspended for that much longer.
+func (c *Clock) Plus(suspended func() time.Duration) *Clock {
+	return &Clock{now: func() time.Time { return c.Now().Add(suspended()) }}
 }
 
-// Now returns the time.
+// Now returns the current time of the clock.
 func (c *Clock) Now() time.Time {
 	if c == nil {
 		return time.Now()
@@ -50,35 +52,35 @@
 	return c.now()
 }
 
-// Since returns the time that has passed since a reading of Now.
+// Since returns the time that has elapsed since t, a reading of Now.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// asleep returns for how long the machine was suspended since the clock was made.
-func (c *Clock) asleep() time.Duration { return time.Until(c.Now()) }
+// suspendedFor returns how long the machine was suspended since the clock was created.
+func (c *Clock) suspendedFor() time.Duration { return time.Until(c.Now()) }
 
 const (
-	// lookEvery is the time between two looks at whether the machine was suspended.
-	lookEvery = 50 * time.Millisecond
-	// least is the shortest suspension that is told. Shorter ones are what the two clocks
-	// are read apart.
-	least = 10 * time.Millisecond
+	// watchInterval is the time between two checks for a suspension.
+	watchInterval = 50 * time.Millisecond
+	// minReportedSuspension is the shortest suspension that Watch reports. Smaller differences
+	// arise because the two clocks are not read at the same instant.
+	minReportedSuspension = 10 * time.Millisecond
 )
 
-// Watch calls woken after each suspension of the machine, soon after it has gone on, with how long it
-// was. It returns once ctx is done.
-func (c *Clock) Watch(ctx context.Context, woken func(time.Duration)) {
-	tick := time.NewTicker(lookEvery)
+// Watch calls onResume after each suspension of the machine, soon after it has resumed, with the
+// duration of the suspension. It returns once ctx is done.
+func (c *Clock) Watch(ctx context.Context, onResume func(time.Duration)) {
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	before := c.asleep()
+	reported := c.suspendedFor()
 	for {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		if now := c.asleep(); now-before >= least {
-			woken(now - before)
-			before = now
+		if now := c.suspendedFor(); now-reported >= minReportedSuspension {
+			onResume(now - reported)
+			reported = now
 		}
 	}
 }
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,6 +1,7 @@
-// Package listen takes the addresses of a process before any part of it is
-// made: some are told to others, and an address in use is found before anything
-// has started.
+// Package listen opens all listeners of a process before any of its modules is
+// created: some addresses are sent to other processes, and an address in use
+// must be found before anything has started. It does not serve connections.
+// Begin with All.
 package listen
 
 import (
@@ -15,14 +16,15 @@
 
 // Address is one address to listen on.
 type Address struct {
-	Name    string // for errors
-	Address string // host:port; port 0 takes a free one
+	Name    string // used in errors
+	Address string // host:port; port 0 selects a free one
 }
 
 // Func listens on an address, as net.Listen does.
 type Func func(network, address string) (net.Listener, error)
 
-// All listens on every address, or on none: the error names each that failed.
+// All listens on every address, or on none: the error names each one that
+// failed.
 func All(addresses ...Address) ([]net.Listener, error) { return AllOn(net.Listen, addresses...) }
 
 // AllOn is All with listen in place of net.Listen.
@@ -44,11 +46,11 @@
 	return all, nil
 }
 
-// Close closes what is open.
+// Close closes the listeners that are not nil.
 func Close(all ...net.Listener) {
 	for _, ln := range all {
 		if ln != nil {
-			_ = ln.Close() // closed already, if its module was started
+			_ = ln.Close() // fails if its module was started, and has closed it already
 		}
 	}
 }
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,6 @@
-// Package netdial opens TCP connections that end when the other side has gone
-// silent without a reset. It is the one place where that is set.
+// Package netdial opens TCP connections that fail when the other side stops
+// acknowledging data without a reset. It is the only place that sets this
+// timeout. Begin with New.
 package netdial
 
 import (
@@ -11,28 +12,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// SilentAfter is how long sent bytes may stay without a word of the other side's
-// kernel before the connection is given up. It is longer than the retransmissions
-// of a short loss, and shorter than callers wait: a new connection may work at once.
-const SilentAfter = 1500 * time.Millisecond
+// UserTimeout is how long sent data may stay unacknowledged before the kernel
+// closes the connection. It is longer than the retransmissions after a short
+// packet loss, and shorter than callers wait, so that a new connection, which
+// may work at once, can still be tried.
+const UserTimeout = 1500 * time.Millisecond
 
 // Func opens a connection, as net.Dialer's DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// New returns a dialer of such connections. timeout bounds the opening, 0: only
-// the context does. Idle connections are not probed: the first bytes sent on
-// one show that it is dead.
+// New returns a dialer of such connections. timeout limits the opening; if it
+// is 0, only the context does. Idle connections are not probed: the first data
+// sent on a dead one exposes it.
 func New(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: giveUpSilent}
+	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout}
 }
 
-func giveUpSilent(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket, as net.Dialer's
+// Control.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(SilentAfter.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -25,5 +25,5 @@
 		got, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	is.NoErr(err)
-	is.Equal(got, int(SilentAfter.Milliseconds()))
+	is.Equal(got, int(UserTimeout.Milliseconds()))
 }
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -9,8 +9,8 @@
 var all = []Outcome{NotSent, Rejected, Failed, Unknown, Done}
 
 // TestCombineExhaustive tries every list of up to four attempts: a request is
-// told as not run exactly when no attempt may have run, and as done exactly
-// when one attempt was answered.
+// reported as not run exactly when no attempt may have run, and as done exactly
+// when one attempt has a valid answer.
 func TestCombineExhaustive(t *testing.T) {
 	is := is.New(t)
 	var visit func(attempts []Outcome)
@@ -33,8 +33,9 @@
 	visit(nil)
 }
 
-// TestCombineLaws checks that the order and grouping of attempts do not
-// matter, so that entry and relay may each combine what they know.
+// TestCombineLaws checks that the order and grouping of attempts do not matter,
+// so that an entry host and a relay may each combine the outcomes that they
+// have.
 func TestCombineLaws(t *testing.T) {
 	is := is.New(t)
 	for _, a := range all {
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestForeignValue checks that a value of no meaning counts as unknown.
-func TestForeignValue(t *testing.T) {
+// TestInvalidValue checks that a value without a meaning counts as unknown.
+func TestInvalidValue(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Combine(Outcome(77)), Unknown)
 	is.True(!Outcome(77).NotRun())
--- a/internal/unit/unit.go
+++ b/internal/unit/unit.go
@@ -1,5 +1,5 @@
-// Package unit holds the value types of settings and service rules that carry
-// a unit in their text form.
+// Package unit holds the value types of settings and service rules whose text
+// form includes a unit.
 package unit
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Duration is a time.Duration whose JSON form is a string with a unit, such
-// as "250ms". A bare number is refused, because its unit would be a guess.
+// Duration is a time.Duration whose JSON form is a string with a unit, such as
+// "250ms". A bare number is rejected, because its unit would be ambiguous.
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the duration in the form of time.Duration.
+// String returns the duration in the format of time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalJSON writes the duration as a string with a unit.
