--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -49,8 +49,8 @@
 }
 
 // usesPlatform reports whether this host reads and writes the platform's
-// records: its id has one of the RecordHolders highest hashes, or it knows no
-// other host.
+// records: every host does if RecordHolders is 0; otherwise those whose ids
+// have the RecordHolders highest hashes, and a host that knows no other.
 func (m *Members) usesPlatform() bool {
 	if m.cfg.RecordHolders == 0 {
 		return true
@@ -87,8 +87,8 @@
 }
 
 // refreshRecords reads the records of all hosts, adds unknown hosts to the
-// table, removes records of dead hosts that fall to this host, and writes this
-// host's record if it is missing or outdated.
+// table, removes the records of dead hosts that this host is responsible for,
+// and writes this host's record if it is missing or outdated.
 func (m *Members) refreshRecords(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.PlatformTimeout.Std())
 	defer cancel()
@@ -112,7 +112,7 @@
 }
 
 // mergeRecord adds a host's record to the table, and removes the record if the
-// host has been dead for long and the removal falls to this host.
+// host has been dead for long and this host is responsible for the removal.
 func (m *Members) mergeRecord(ctx context.Context, o objstore.Object) {
 	var h Host
 	if json.Unmarshal(o.Value, &h) != nil || h.ID != o.Name || h.Peer == "" {
@@ -127,10 +127,10 @@
 	}
 }
 
-// shouldRemoveRecord reports whether the removal of h's record falls to this
-// host: h has been dead for half of ForgetAfter, and no alive host has a higher
-// hash for it. If hosts disagree on which of them that is, the second delete
-// fails; the version check also protects the record of a host that has
+// shouldRemoveRecord reports whether this host is responsible for removing h's
+// record: h has been dead for half of ForgetAfter, and no alive host has a
+// higher hash for it. If hosts disagree on which of them that is, the second
+// delete fails; the version check also protects the record of a host that has
 // restarted. m.mu is held.
 func (m *Members) shouldRemoveRecord(h Host) bool {
 	r, known := m.table.rows[h.ID]
