--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -46,7 +46,7 @@
 
 func (h *socketHost) stop() {
 	h.members.cancel()
-	h.members.work.Wait()
+	h.members.goroutines.Wait()
 	done, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = h.server.Stop(done)
@@ -78,7 +78,7 @@
 //
 //	go test ./internal/member -run '^$' -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
-	const settle, measured = 12 * time.Second, 20 * time.Second
+	const warmUp, measured = 12 * time.Second, 20 * time.Second
 	for _, n := range []int{3, 6, 12, 24, 48, 96, 240, 400} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			reg := prometheus.NewRegistry()
@@ -90,7 +90,7 @@
 				seed = h.server.Addr()
 			}
 			for b.Loop() {
-				time.Sleep(settle)
+				time.Sleep(warmUp)
 				cpu, calls, bytes := cpuTime(), counterTotal(reg, "rhubarbwood_peer_calls_total"), counterTotal(reg, "rhubarbwood_peer_bytes_total")
 				dials := counterTotal(reg, "rhubarbwood_peer_dials_total")
 				time.Sleep(measured)
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -88,7 +88,7 @@
 	if err == nil && req.TargetId != "" && !req.Indirect && reply.Self.GetId() != req.TargetId {
 		err = Error.New("host %q answered at %s, want host %q", reply.Self.GetId(), address, req.TargetId)
 	}
-	m.metrics.probes.WithLabelValues(kind, result(err)).Inc()
+	m.metrics.probes.WithLabelValues(kind, resultLabel(err)).Inc()
 	return err
 }
 
--- a/internal/member/faults_test.go
+++ b/internal/member/faults_test.go
@@ -35,17 +35,17 @@
 
 func (f *faults) host(rt *rapid.T) int { return rapid.IntRange(0, faultHosts-1).Draw(rt, "host") }
 
-// Cut partitions the network: it puts each host on one of two sides.
+// Cut divides the hosts into two partitions.
 func (f *faults) Cut(rt *rapid.T) {
 	sides := rapid.SliceOfN(rapid.IntRange(0, 1), faultHosts, faultHosts).Draw(rt, "sides")
 	f.net.withLock(func() {
 		for i, s := range sides {
-			f.net.side[address(i)] = s
+			f.net.partition[address(i)] = s
 		}
 	})
 }
 
-func (f *faults) Heal(*rapid.T) { f.net.withLock(func() { clear(f.net.side) }) }
+func (f *faults) Heal(*rapid.T) { f.net.withLock(func() { clear(f.net.partition) }) }
 
 func (f *faults) Freeze(rt *rapid.T) {
 	i := f.host(rt)
@@ -117,7 +117,7 @@
 // alive.
 func (f *faults) converge(rt *rapid.T) {
 	f.net.withLock(func() {
-		clear(f.net.side)
+		clear(f.net.partition)
 		clear(f.net.frozen)
 		f.net.dropMessage = func() bool { return false }
 	})
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -157,12 +157,12 @@
 		net.withLock(func() {
 			for i := range all {
 				if slices.Contains([]int{0, 1}, i%fleetDomains) {
-					net.side[address(i)] = 1
+					net.partition[address(i)] = 1
 				}
 			}
 		})
 		time.Sleep(time.Minute)
-		net.withLock(func() { clear(net.side) })
+		net.withLock(func() { clear(net.partition) })
 		eventually(t, time.Minute, "together", func() bool { return allListAlive(all, 60) })
 	})
 }
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -46,7 +46,7 @@
 	addresses := m.joinAddresses()
 	ctx = context.WithoutCancel(ctx) // each exchange has its own timeout
 	joined := make(chan struct{})
-	m.work.Go(func() { m.joinLoop(ctx, addresses, joined) })
+	m.goroutines.Go(func() { m.joinLoop(ctx, addresses, joined) })
 	timer := time.NewTimer(maxJoinWait)
 	defer timer.Stop()
 	select {
@@ -87,7 +87,7 @@
 		address := addresses[next%len(addresses)]
 		if !inFlight[address] && time.Since(began) < joinRetryPeriod {
 			inFlight[address] = true
-			m.work.Go(func() { results <- joinResult{address, m.requestJoin(ctx, address)} })
+			m.goroutines.Go(func() { results <- joinResult{address, m.requestJoin(ctx, address)} })
 		}
 		if len(inFlight) == 0 {
 			return
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -59,8 +59,8 @@
 	otherDomainsSync fullSync  // with hosts of other failure domains
 	announcedDead    bool      // this host has announced its end and must not refute it
 
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 var (
@@ -112,16 +112,16 @@
 func (m *Members) Start(ctx context.Context) error {
 	m.join(ctx)
 	m.log.Event(evStarted).Uint64("incarnation", m.Self().Incarnation).Int("hosts", len(m.Hosts())).Msg("")
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.work.Go(func() { m.probeLoop(run) })
-	m.work.Go(func() { m.announceLoop(run) })
-	m.work.Go(func() { m.startupSyncLoop(run) })
-	m.work.Go(func() {
+	m.goroutines.Go(func() { m.probeLoop(runCtx) })
+	m.goroutines.Go(func() { m.announceLoop(runCtx) })
+	m.goroutines.Go(func() { m.startupSyncLoop(runCtx) })
+	m.goroutines.Go(func() {
 		if m.cfg.RecordHolders > 0 {
-			m.joinFromRecords(run)
+			m.joinFromRecords(runCtx)
 		}
-		m.refreshLoop(run)
+		m.refreshLoop(runCtx)
 	})
 	return nil
 }
@@ -146,7 +146,7 @@
 	}
 	m.Leave(ctx)
 	m.cancel()
-	m.work.Wait()
+	m.goroutines.Wait()
 	m.advanceState(Dead)
 	m.pushState(ctx)
 	return nil
--- a/internal/member/members_test.go
+++ b/internal/member/members_test.go
@@ -125,12 +125,12 @@
 		all := startAll(t, net, 9)
 		net.withLock(func() {
 			for i := 5; i < 9; i++ {
-				net.side[address(i)] = 1
+				net.partition[address(i)] = 1
 			}
 		})
 		eventually(t, 20*time.Second, "apart", func() bool { return allListAlive(all[:5], 5) && allListAlive(all[5:], 4) })
 		time.Sleep(time.Hour)
-		net.withLock(func() { clear(net.side) })
+		net.withLock(func() { clear(net.partition) })
 		eventually(t, 20*time.Second, "together", func() bool { return allListAlive(all, 9) })
 	})
 }
@@ -238,7 +238,7 @@
 func (r *revisions) Revision() uint64 { return r.value.Load() }
 
 func (r *revisions) Hint(peer Host) {
-	r.self.work.Go(func() {
+	r.self.goroutines.Go(func() {
 		time.Sleep(2 * oneWayLatency) // the pull
 		r.set(r.net.host(peer.Peer).revisions.Revision())
 	})
@@ -320,7 +320,7 @@
 		time.Sleep(2 * maxRecordJoinDelay)
 		is.True(len(platform.Objects(objstore.KindMember)) >= 3)
 		is.True(len(platform.Objects(objstore.KindMember)) < 8)
-		net.withLock(func() { net.side[address(0)] = 1 }) // the only seed
+		net.withLock(func() { net.partition[address(0)] = 1 }) // the only seed
 		last := net.start(platform.Client(), 20, few)
 		eventually(t, 2*maxRecordJoinDelay, "others found", func() bool { return len(last.Hosts()) > 2 })
 		eventually(t, 20*time.Second, "together", func() bool { return len(last.Hosts()) >= 20 })
--- a/internal/member/metrics.go
+++ b/internal/member/metrics.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -34,7 +34,7 @@
 	mu          sync.Mutex
 	hosts       map[string]*Members // by peer address
 	frozen      map[string]bool     // addresses that neither send nor receive
-	side        map[string]int      // partition of an address; hosts of different partitions do not reach each other
+	partition   map[string]int      // hosts of different partitions do not reach each other; by address
 	cutPaths    map[[2]string]bool  // single paths that are cut, both ways
 	dropMessage func() bool         // whether to drop the next message
 
@@ -84,7 +84,7 @@
 
 func newNetwork() *network {
 	return &network{
-		hosts: map[string]*Members{}, frozen: map[string]bool{}, side: map[string]int{}, cutPaths: map[[2]string]bool{},
+		hosts: map[string]*Members{}, frozen: map[string]bool{}, partition: map[string]int{}, cutPaths: map[[2]string]bool{},
 		dropMessage: func() bool { return false }, domains: map[string]string{}, linkBusyUntil: map[string]time.Time{},
 	}
 }
@@ -116,7 +116,7 @@
 // message is lost.
 func (n *network) transmit(ctx context.Context, from, to string, m proto.Message) error {
 	n.mu.Lock()
-	blocked := n.cutPaths[[2]string{from, to}] || n.cutPaths[[2]string{to, from}] || n.frozen[from] || n.frozen[to] || n.side[from] != n.side[to] || n.dropMessage()
+	blocked := n.cutPaths[[2]string{from, to}] || n.cutPaths[[2]string{to, from}] || n.frozen[from] || n.frozen[to] || n.partition[from] != n.partition[to] || n.dropMessage()
 	n.mu.Unlock()
 	if blocked {
 		<-ctx.Done()
@@ -165,7 +165,7 @@
 	delete(n.hosts, address(i))
 	n.mu.Unlock()
 	m.cancel()
-	m.work.Wait()
+	m.goroutines.Wait()
 }
 
 // stopAll ends every host.
@@ -173,7 +173,7 @@
 	for i := range n.hosts {
 		m := n.hosts[i]
 		m.cancel()
-		m.work.Wait()
+		m.goroutines.Wait()
 	}
 }
 
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -90,10 +90,10 @@
 	target, found := m.table.nextProbeTarget(m.rng, m.self.FailureDomain)
 	m.mu.Unlock()
 	if found {
-		m.work.Go(func() { m.probe(ctx, target) })
+		m.goroutines.Go(func() { m.probe(ctx, target) })
 	}
 	if !found || round%roundsPerReconnect == 0 {
-		m.work.Go(func() { m.reconnect(ctx) })
+		m.goroutines.Go(func() { m.reconnect(ctx) })
 	}
 }
 
@@ -130,7 +130,7 @@
 	defer cancel()
 	answers := make(chan bool, len(helpers))
 	for _, h := range helpers {
-		m.work.Go(func() { answers <- m.requestIndirectProbe(ctx, h, target) })
+		m.goroutines.Go(func() { answers <- m.requestIndirectProbe(ctx, h, target) })
 	}
 	for range helpers {
 		if <-answers {
@@ -200,7 +200,7 @@
 		case <-m.announceRequested:
 		}
 		for _, t := range m.sampleLive(announceFanout) {
-			m.work.Go(func() {
+			m.goroutines.Go(func() {
 				_ = m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // the probes detect a host that is down
 			})
 		}
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -211,7 +211,7 @@
 
 // observePlatformCall counts a platform call and logs its failure.
 func (m *Members) observePlatformCall(call string, err error) {
-	m.metrics.platform.WithLabelValues(call, result(err)).Inc()
+	m.metrics.platform.WithLabelValues(call, resultLabel(err)).Inc()
 	if err != nil {
 		m.log.Event(evRecordFailed).Str("call", call).Err(err).Msg("")
 	}
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -73,10 +73,10 @@
 	otherDue = otherDue && m.rng.Float64() < crossDomainProbability(m.table.countByDomain(m.self.FailureDomain))
 	m.mu.Unlock()
 	if ownDue {
-		m.work.Go(func() { m.syncWith(ctx, own) })
+		m.goroutines.Go(func() { m.syncWith(ctx, own) })
 	}
 	if otherDue {
-		m.work.Go(func() { m.syncWith(ctx, other) })
+		m.goroutines.Go(func() { m.syncWith(ctx, other) })
 	}
 }
 
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -12,16 +12,16 @@
 type class string
 
 const (
-	control class = "control"
-	data    class = "data"
+	classControl class = "control"
+	classData    class = "data"
 )
 
 // classOf returns the class of a call by its service.
 func classOf(rpc string) class {
 	if strings.HasPrefix(rpc, "/rhubarbwood.peer.Members/") || strings.HasPrefix(rpc, "/rhubarbwood.peer.Configuration/") {
-		return control
+		return classControl
 	}
-	return data
+	return classData
 }
 
 // Values of the label "side" of the metrics.
@@ -58,7 +58,7 @@
 	}
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -107,7 +107,7 @@
 
 // dials returns how many data connections p has dialled.
 func dials(p *Pool) float64 {
-	return testutil.ToFloat64(p.opts.metrics.dials.WithLabelValues(string(data), "ok"))
+	return testutil.ToFloat64(p.opts.metrics.dials.WithLabelValues(string(classData), "ok"))
 }
 
 // silentPeer returns the address of a listener that accepts but never replies,
@@ -298,7 +298,7 @@
 	is.NoErr(reserve(t.Context(), p, s.Addr(), "now"))
 	_, err := peerpb.NewDRPCMembersClient(p.Conn(t.Context(), s.Addr())).Probe(t.Context(), &peerpb.ProbeRequest{})
 	is.True(err != nil) // the server lacks the service, but the call is control traffic
-	for _, cl := range []class{control, data} {
+	for _, cl := range []class{classControl, classData} {
 		sent := testutil.ToFloat64(clients.bytes.WithLabelValues(string(cl), "out"))
 		is.True(sent > 0)
 		got := func() float64 { return testutil.ToFloat64(m.bytes.WithLabelValues(string(cl), "in")) }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -25,7 +25,7 @@
 // Control calls go to random hosts: in a small fleet each host is called again
 // within seconds; in a large one it is not, and open connections would only
 // accumulate.
-var idleTimeouts = map[class]time.Duration{control: 10 * time.Second, data: 30 * time.Second}
+var idleTimeouts = map[class]time.Duration{classControl: 10 * time.Second, classData: 30 * time.Second}
 
 // Dialer provides connections to other hosts. A drpc connection carries one
 // call at a time, so concurrent calls use several.
@@ -35,8 +35,8 @@
 
 // Pool is the Dialer of a host; it reuses idle connections.
 type Pool struct {
-	opts options
-	idle map[class]*drpcpool.Pool[connKey, drpcpool.Conn]
+	opts      options
+	idlePools map[class]*drpcpool.Pool[connKey, drpcpool.Conn]
 
 	mu         sync.Mutex
 	usageByKey map[connKey]*connUsage
@@ -59,11 +59,11 @@
 func NewPool(opts ...Option) *Pool {
 	p := &Pool{
 		opts:       newOptions(opts),
-		idle:       map[class]*drpcpool.Pool[connKey, drpcpool.Conn]{},
+		idlePools:  map[class]*drpcpool.Pool[connKey, drpcpool.Conn]{},
 		usageByKey: map[connKey]*connUsage{},
 	}
 	for cl, expiry := range idleTimeouts {
-		p.idle[cl] = drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{Expiration: expiry, KeyCapacity: maxIdlePerHost})
+		p.idlePools[cl] = drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{Expiration: expiry, KeyCapacity: maxIdlePerHost})
 	}
 	return p
 }
@@ -81,7 +81,7 @@
 // Stop closes the idle connections.
 func (p *Pool) Stop(context.Context) error {
 	var problems []error
-	for _, idle := range p.idle {
+	for _, idle := range p.idlePools {
 		if err := idle.Close(); err != nil {
 			problems = append(problems, Error.New("close idle connections: %w", err))
 		}
@@ -93,7 +93,7 @@
 // one.
 func (p *Pool) idleOrDial(ctx context.Context, address, rpc string) drpc.Conn {
 	cl := classOf(rpc)
-	return p.idle[cl].Get(ctx, connKey{address, cl}, p.dial)
+	return p.idlePools[cl].Get(ctx, connKey{address, cl}, p.dial)
 }
 
 // dial opens a connection within the limits of the key.
@@ -103,7 +103,7 @@
 		return nil, notSent{err}
 	}
 	c, err := u.dialInSlot(ctx, p.opts.dial, k.address)
-	p.opts.metrics.dials.WithLabelValues(string(k.class), result(err)).Inc()
+	p.opts.metrics.dials.WithLabelValues(string(k.class), resultLabel(err)).Inc()
 	if err != nil {
 		p.releaseConn(k, u)
 		return nil, notSent{err}
@@ -209,5 +209,5 @@
 
 // count counts a call; the result of a streaming call is that of its start.
 func (c *conn) count(rpc string, err error) {
-	c.pool.opts.metrics.calls.WithLabelValues(sideClient, rpc, result(err)).Inc()
+	c.pool.opts.metrics.calls.WithLabelValues(sideClient, rpc, resultLabel(err)).Inc()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -19,12 +19,12 @@
 // Server serves the calls of other hosts. Modules register their drpc services
 // before Start.
 type Server struct {
-	address string
-	mux     *drpcmux.Mux
-	opts    options
-	ln      net.Listener
-	cancel  context.CancelFunc
-	done    chan struct{}
+	address   string
+	mux       *drpcmux.Mux
+	opts      options
+	ln        net.Listener
+	cancel    context.CancelFunc
+	serveDone chan struct{}
 
 	mu           sync.Mutex // guards the fields below
 	conns        map[*countedConn]struct{}
@@ -38,7 +38,7 @@
 func NewServer(address string, opts ...Option) *Server {
 	return &Server{
 		address: address, mux: drpcmux.New(), opts: newOptions(opts),
-		done: make(chan struct{}), conns: map[*countedConn]struct{}{},
+		serveDone: make(chan struct{}), conns: map[*countedConn]struct{}{},
 		callsDone: make(chan struct{}), connsClosed: make(chan struct{}),
 	}
 }
@@ -65,7 +65,7 @@
 	s.cancel = cancel
 	server := drpcserver.NewWithOptions(handler{s}, drpcserver.Options{Manager: s.opts.managerOptions(sideServer)})
 	go func() {
-		defer close(s.done)
+		defer close(s.serveDone)
 		_ = server.Serve(ctx, listener{s.ln, s, ctx}) // returns when ctx is done; callers report the errors of single connections
 	}()
 	return nil
@@ -92,7 +92,7 @@
 	}
 	s.cancel()
 	select {
-	case <-s.done:
+	case <-s.serveDone:
 	case <-time.After(closeTimeout):
 		return Error.New("stop: %d calls were cut off and did not end", abortedCalls)
 	}
@@ -206,7 +206,7 @@
 		return sendResult(stream, errStopping)
 	}
 	err := h.server.mux.HandleRPC(stream, rpc)
-	h.server.opts.metrics.calls.WithLabelValues(sideServer, rpc, result(err)).Inc()
+	h.server.opts.metrics.calls.WithLabelValues(sideServer, rpc, resultLabel(err)).Inc()
 	return sendResult(stream, err)
 }
 
