--- a/internal/member/metrics.go
+++ b/internal/member/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Kinds of probes, label "kind".
+// Values of the label "kind" of the probes.
 const (
 	kindDirect    = "direct"
 	kindIndirect  = "indirect"
@@ -48,7 +48,7 @@
 	}
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	if err != nil {
 		return "failed"
 	}
