--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -6,25 +6,25 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config tells how long requests are kept from targets.
+// Config sets for how long requests are quarantined.
 type Config struct {
-	// Hold is how long the first quarantine of a request lasts. After that the next one
-	// is tried at one target; if that ends too, the quarantine lasts four times longer.
+	// Hold is the duration of a request's first quarantine. After it, the next attempt is sent to
+	// one target alone; if that target ends too, the next quarantine is four times longer.
 	Hold unit.Duration `json:"hold"`
 }
 
 const (
 	defaultHold = time.Hour   // a request that ends its targets costs one target an hour, then one in four
-	leastHold   = time.Minute // below it such a request ends targets faster than they are repaired
+	minHold     = time.Minute // below it such a request ends targets faster than they are repaired
 )
 
-// DefaultConfig returns the settings of any site.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config { return Config{Hold: unit.Duration(defaultHold)} }
 
-// Validate reports every problem of the settings.
+// Validate returns an error if a setting is out of range.
 func (c Config) Validate() error {
-	if h := c.Hold.Std(); h < leastHold || h > longestHold {
-		return Error.New("hold %s: want %s to %s", c.Hold, leastHold, longestHold)
+	if h := c.Hold.Std(); h < minHold || h > maxHold {
+		return Error.New("hold %s: want %s to %s", c.Hold, minHold, maxHold)
 	}
 	return nil
 }
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -8,14 +8,14 @@
 
 var (
 	evQuarantined = event.Define(13001, "request_quarantined", plog.WarnLevel,
-		"Requests of one content are kept from targets, as targets end that run them: those of one caller, or those of anyone; hold is for how long, from who found it.",
-		"Look for 11010 of this content on all hosts: they name the requests and the targets. \"rhubarbwood quarantine\" lists what is held, and clears it once the targets are mended.",
+		"Requests with one content, from one caller or (of_anyone) from any, are not sent to targets, because targets end while they run them. hold is the duration, from the host that detected it.",
+		"Look for event 11010 with this content on all hosts: it names the requests and the targets. \"rhubarbwood quarantine\" lists the quarantined requests, and clears them once the targets are repaired.",
 		"content", "of_anyone", "strikes", "hold", "from")
 	evStored = event.Define(13002, "quarantine_stored", plog.InfoLevel,
-		"The store holds what is held against requests of one content, so that hosts that start all at once know it.", "none", "content", "strikes")
+		"The quarantine record of one content is in the store, where hosts read it that start while no other host runs.", "none", "content", "strikes")
 	evNotStored = event.Define(13003, "quarantine_not_stored", plog.WarnLevel,
-		"What is held against requests of one content could not be written to the store. It is tried again; the hosts tell it each other meanwhile.",
-		"Check the store, if it goes on.", "content", "error")
+		"The quarantine record of one content could not be written to the store. The write is retried; hosts exchange the record directly meanwhile.",
+		"Check the store if the event repeats.", "content", "error")
 	evUnreadable = event.Define(13004, "quarantine_unreadable", plog.WarnLevel,
-		"A record of requests in quarantine can't be read; the others hold.", "Remove it, if no newer release wrote it.", "name", "error")
+		"A quarantine record in the store is invalid and is ignored; the other records apply.", "Remove the record unless a newer release wrote it.", "name", "error")
 )
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whatever stands in the store under the kind, it is read or refused; what is read can be told to
-// others, and written again as it was.
+// Any object of the kind in the store is either decoded or refused; a decoded record can be encoded
+// again for the store and for other hosts.
 func FuzzStoredRecord(f *testing.F) {
 	good, err := encode(recordOf(testRequest("/x"), strikeOf(1, "s"), strikeOf(2, "t")))
 	if err != nil {
@@ -23,7 +23,7 @@
 		}
 		again, err := encode(r)
 		if err != nil {
-			return // a time of a year that JSON has no form for
+			return // a time in a year that JSON cannot encode
 		}
 		if read, err := decode(again); err != nil || read.Key != r.Key || len(read.Strikes) != len(r.Strikes) {
 			t.Fatalf("%v: %+v became %+v", err, r, read)
@@ -31,7 +31,7 @@
 		table := newTestTable()
 		table.Merge([]Record{r})
 		table.Merge(AllFromWire(AllToWire([]Record{r}, time.Now()), time.Now()))
-		if e := table.suspects[r.Key]; e != nil && len(e.strikes) > keptStrikes {
+		if e := table.suspects[r.Key]; e != nil && len(e.strikes) > maxStrikes {
 			t.Fatalf("%d strikes", len(e.strikes))
 		}
 	})
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -18,40 +18,39 @@
 const (
 	// storeTimeout bounds one call to the store.
 	storeTimeout = 2 * time.Second
-	// storeFirst and storeMost bound the time between tries to write a record.
-	storeFirst = 100 * time.Millisecond
-	storeMost  = 2 * time.Second
-	// mostUnstored is how many records may wait to be written. More are left to the
-	// hosts' memory.
-	mostUnstored = 64
+	// minWritePause and maxWritePause bound the pause between attempts to write a record.
+	minWritePause = 100 * time.Millisecond
+	maxWritePause = 2 * time.Second
+	// maxPendingWrites bounds the records that wait to be written. Further ones stay only in the memory of
+	// hosts.
+	maxPendingWrites = 64
 )
 
-// Keeper keeps the requests in quarantine in the store, for hosts that start when no other
-// host can tell them: a loss of all hosts would else let each such request end targets anew. It
-// is a kernel module.
+// Keeper stores the records of quarantined requests, for hosts that start when no other host can send them:
+// after a loss of all hosts each of these requests could otherwise end targets again. It is a kernel module.
 type Keeper struct {
 	table *Table
 	store objstore.Store
 	log   *event.Log
 
-	changed chan Key
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	pendingWrites chan Key
+	cancel        context.CancelFunc
+	done          sync.WaitGroup
 }
 
 // NewKeeper returns the keeper of a table.
 func NewKeeper(t *Table, store objstore.Store, log *event.Log) *Keeper {
-	k := &Keeper{table: t, store: store, log: log, changed: make(chan Key, mostUnstored)}
-	t.onOwn = func(key Key) {
+	k := &Keeper{table: t, store: store, log: log, pendingWrites: make(chan Key, maxPendingWrites)}
+	t.onQuarantineChange = func(key Key) {
 		select {
-		case k.changed <- key:
+		case k.pendingWrites <- key:
 		default:
 		}
 	}
 	return k
 }
 
-// Start begins to write what this host finds.
+// Start starts writing the changes that this host makes.
 func (k *Keeper) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
@@ -59,38 +58,38 @@
 	return nil
 }
 
-// Stop ends that.
+// Stop stops writing, and waits until the last write has ended.
 func (k *Keeper) Stop(ctx context.Context) error {
 	k.cancel()
 	return await.Group(ctx, &k.done)
 }
 
-// expireEvery is the time between two looks at what has lapsed; that takes a day.
-const expireEvery = time.Minute
+// expireInterval is the time between removals of expired records; records expire after a day.
+const expireInterval = time.Minute
 
 func (k *Keeper) run(ctx context.Context) {
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
 		case <-expire.C:
 			k.table.Expire()
-		case key := <-k.changed:
-			k.keep(ctx, key)
+		case key := <-k.pendingWrites:
+			k.writeWithRetries(ctx, key)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// keep writes what is held against one key until it is written.
-func (k *Keeper) keep(ctx context.Context, key Key) {
+// writeWithRetries writes the record of one key, and retries until it is written.
+func (k *Keeper) writeWithRetries(ctx context.Context, key Key) {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = storeFirst, storeMost
+	pause.InitialInterval, pause.MaxInterval = minWritePause, maxWritePause
 	for ctx.Err() == nil {
-		record, ok := k.table.knownOf(key)
+		record, ok := k.table.lookup(key)
 		if !ok {
-			return // it was pushed out, or lapsed
+			return // removed for lack of room, or expired
 		}
 		err := k.write(ctx, record)
 		if err == nil {
@@ -102,7 +101,7 @@
 	}
 }
 
-// write writes a record over the one that stands, with what that holds.
+// write writes a record, merged with the stored one if there is one.
 func (k *Keeper) write(ctx context.Context, r Record) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -111,13 +110,14 @@
 	if !errors.As(err, &conflict) || conflict.Current.Version == 0 {
 		return err
 	}
-	if standing, err := decode(conflict.Current.Value); err == nil {
-		r = combine(standing, r)
+	if current, err := decode(conflict.Current.Value); err == nil {
+		r = mergeRecords(current, r)
 	}
 	return Put(ctx, k.store, conflict.Current.Version, r)
 }
 
-// Read takes the records of the store. One that can't be read costs none of the others.
+// Read merges the records of the store into the table, and writes those that the store lost. An invalid
+// record does not affect the others.
 func (k *Keeper) Read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -129,41 +129,41 @@
 		k.log.Event(evUnreadable).Str("name", name).Err(err).Msg("")
 	}
 	k.table.Merge(records)
-	for _, key := range k.lost(records) {
-		k.keep(ctx, key)
+	for _, key := range k.missingFromStore(records) {
+		k.writeWithRetries(ctx, key)
 	}
 	return nil
 }
 
-// writtenWithin is the time in which the host that finds something of a request has written it.
-const writtenWithin = 10 * time.Second
+// maxWriteDelay is the time within which a host normally has written a quarantine that it detected.
+const maxWriteDelay = 10 * time.Second
 
-// lost returns the keys of which the store holds less than this host does: it came back from an older copy. Hosts that
-// start then would let the requests end targets again.
-func (k *Keeper) lost(stored []Record) []Key {
+// missingFromStore returns the keys of which the store holds less than this host, because the store was
+// restored from an older copy. Hosts that start afterwards would let these requests end targets again.
+func (k *Keeper) missingFromStore(stored []Record) []Key {
 	byKey := map[Key]Record{}
 	for _, r := range stored {
 		byKey[r.Key] = r
 	}
 	now := k.table.clock.Now()
-	var all []Key
+	var keys []Key
 	for _, key := range k.table.Held() {
-		known, _ := k.table.knownOf(key)
-		isOld := now.Sub(known.newest()) > writtenWithin // else its finder is about to write it
-		if _, there := byKey[key]; !there && isOld {
-			all = append(all, key)
+		known, _ := k.table.lookup(key)
+		isOld := now.Sub(known.newestStrikeAt()) > maxWriteDelay // otherwise the host that detected it is about to write it
+		if _, isStored := byKey[key]; !isStored && isOld {
+			keys = append(keys, key)
 		}
 	}
 	for key, r := range byKey {
-		if known, ok := k.table.knownOf(key); ok && len(r.Cleared) < len(known.Cleared) {
-			all = append(all, key)
+		if known, ok := k.table.lookup(key); ok && len(r.Cleared) < len(known.Cleared) {
+			keys = append(keys, key)
 		}
 	}
-	return all
+	return keys
 }
 
-// stored is a record as the store holds it.
-type stored struct {
+// storedRecord is the encoding of a Record in the store.
+type storedRecord struct {
 	Key     string         `json:"key"`
 	Strikes []storedStrike `json:"strikes"`
 	Cleared []uint64       `json:"cleared,omitempty"`
@@ -176,7 +176,7 @@
 	At       time.Time `json:"at"`
 }
 
-// List returns the records of the store, and why others can't be read, by name.
+// List returns the records of the store and, by name, the errors of those that are invalid.
 func List(ctx context.Context, store objstore.Store) (records []Record, unreadable map[string]error, err error) {
 	listing, err := store.List(ctx, objstore.KindQuarantine)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return records, unreadable, nil
 }
 
-// Put writes a record in place of the version that stands, 0 if none does.
+// Put writes a record over the given version, 0 if there must be none.
 func Put(ctx context.Context, store objstore.Store, version uint64, r Record) error {
 	value, err := encode(r)
 	if err != nil {
@@ -207,7 +207,7 @@
 }
 
 func encode(r Record) ([]byte, error) {
-	out := stored{Key: r.Key.String(), Cleared: r.Cleared}
+	out := storedRecord{Key: r.Key.String(), Cleared: r.Cleared}
 	for _, s := range r.Strikes {
 		out.Strikes = append(out.Strikes, storedStrike{ID: s.ID, Caller: s.Caller, Services: s.Services, At: s.At.Round(0)})
 	}
@@ -216,7 +216,7 @@
 }
 
 func decode(text []byte) (Record, error) {
-	var in stored
+	var in storedRecord
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Record{}, Error.New("decode request in quarantine: %w", err)
 	}
@@ -231,8 +231,8 @@
 	return r, nil
 }
 
-// combine returns what two records hold together.
-func combine(a, b Record) Record {
+// mergeRecords returns the union of two records of one key; cleared strikes stay cleared.
+func mergeRecords(a, b Record) Record {
 	both := newSuspect(b.Key)
 	both.clear(time.Time{}, slices.Concat(a.Cleared, b.Cleared)...)
 	for _, s := range slices.Concat(a.Strikes, b.Strikes) {
@@ -241,8 +241,8 @@
 	return Record{Key: b.Key, Strikes: both.strikes, Cleared: both.cleared}
 }
 
-// ClearStored drops all that the store holds against requests of a content, and returns of how many
-// keys. Hosts that keep them from targets learn of it when they next review the store.
+// ClearStored clears all stored strikes against requests of a content, and returns the number of keys. Hosts
+// apply it when they next read the store.
 func ClearStored(ctx context.Context, store objstore.Store, content string) (keys int, err error) {
 	listing, err := store.List(ctx, objstore.KindQuarantine)
 	if err != nil {
@@ -251,7 +251,7 @@
 	for _, o := range listing.Objects {
 		r, err := decode(o.Value)
 		if err != nil || r.Key.Content() != content || len(r.Strikes) == 0 {
-			continue // of another content, or cleared already
+			continue // of another content, or already cleared
 		}
 		for _, s := range r.Strikes {
 			r.Cleared = append(r.Cleared, s.ID)
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -1,6 +1,3 @@
-// Package quarantine keeps requests from the targets that end under them. It tells requests apart
-// by their content, so that what one attempt of a caller did to the targets is held against the
-// next, on every host.
 package quarantine
 
 import (
@@ -9,24 +6,24 @@
 	"encoding/hex"
 )
 
-// Lengths of the parts of a key, in bytes. A caller who wants to make a request with the content
-// of another one's has to find a second text for 80 bits of a cryptographic hash.
+// Lengths of the parts of a key, in bytes. To forge a request with the content hash of another one,
+// a caller has to find a second preimage for 80 bits of a cryptographic hash.
 const (
 	contentBytes = 10
 	callerBytes  = 6
 )
 
-// Key names requests of one content: those of one caller, or, where the part of the caller is
-// zero, those of anyone.
+// Key identifies requests by content: those of one caller or, if the caller part is zero, those of
+// any caller.
 type Key [contentBytes + callerBytes]byte
 
 // Caller is the hash of a caller's address.
 type Caller [callerBytes]byte
 
-// MarshalText writes the hash in hexadecimal digits.
+// MarshalText encodes the hash as hexadecimal digits.
 func (c Caller) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(c[:])), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText decodes the result of MarshalText.
 func (c *Caller) UnmarshalText(text []byte) error {
 	if n, err := hex.Decode(make([]byte, len(text)), text); err != nil || n != len(c) {
 		return Error.New("caller %q: want %d hexadecimal digits", text, 2*len(c))
@@ -35,15 +32,15 @@
 	return Error.Wrap(err)
 }
 
-// Request is the keys of a request. Two attempts of a caller at the same thing have the same
-// ones, on every host.
+// Request holds the keys of a request. Two attempts of one caller with the same content have the
+// same keys on every host.
 type Request struct {
 	OfCaller Key
-	OfAnyone Key // a caller may come from many addresses, and each of its copies end targets
+	OfAnyone Key // for callers with many addresses, whose copies of the request each end targets
 }
 
-// NewRequest returns the keys of a request. caller is the address that it came from, without the
-// port; uri is the path with its query.
+// NewRequest returns the keys of a request. caller is its source address without the port; uri is
+// the path with its query.
 func NewRequest(caller, method, host, uri string, body []byte) Request {
 	h := sha256.New()
 	for _, part := range []string{method, host, uri} {
@@ -58,23 +55,22 @@
 	r.OfCaller = r.OfAnyone
 	of := sha256.Sum256([]byte(caller))
 	copy(r.OfCaller[contentBytes:], of[:])
-	r.OfCaller[contentBytes] |= 1 // never zero
+	r.OfCaller[contentBytes] |= 1 // never zero, which means any caller
 	return r
 }
 
-// Content returns the part of the keys that tells what is asked, whoever asks, in hexadecimal
-// digits.
+// Content returns the hash of the request's content, without the caller, in hexadecimal digits.
 func (r Request) Content() string { return r.OfAnyone.Content() }
 
-// Content returns the part of the key that tells what is asked, in hexadecimal digits.
+// Content returns the content part of the key in hexadecimal digits.
 func (k Key) Content() string { return hex.EncodeToString(k[:contentBytes]) }
 
-// OfAnyone reports whether the key is that of requests of any caller.
+// OfAnyone reports whether the key is for requests of any caller.
 func (k Key) OfAnyone() bool { return k.caller() == Caller{} }
 
 func (k Key) caller() Caller { return Caller(k[contentBytes:]) }
 
-// ParseKey returns the key of a text that String made.
+// ParseKey parses the result of String.
 func ParseKey(text string) (Key, error) {
 	bytes, err := hex.DecodeString(text)
 	if err != nil || len(bytes) != len(Key{}) {
--- a/internal/quarantine/key_test.go
+++ b/internal/quarantine/key_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestKeysTellRequestsApart(t *testing.T) {
+func TestKeysDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	request := NewRequest("10.0.0.1", "POST", "a.example", "/one/x", []byte("body"))
 	is.Equal(request, NewRequest("10.0.0.1", "POST", "a.example", "/one/x", []byte("body")))
@@ -18,7 +18,7 @@
 		NewRequest("10.0.0.1", "POST", "b.example", "/one/x", []byte("body")),
 		NewRequest("10.0.0.1", "POST", "a.example", "/one/x?", []byte("body")),
 		NewRequest("10.0.0.1", "POST", "a.example", "/one/x", []byte("bod")),
-		NewRequest("10.0.0.1", "POST", "a.example", "/one/xb", []byte("ody")), // a part does not run into the next
+		NewRequest("10.0.0.1", "POST", "a.example", "/one/xb", []byte("ody")), // the boundary between parts is part of the hash
 		NewRequest("10.0.0.1", "POST", "a.exampl", "e/one/x", []byte("body")),
 	} {
 		is.True(!seen[other.OfAnyone] && !seen[other.OfCaller])
@@ -26,7 +26,8 @@
 	}
 }
 
-// Other callers ask the same thing under another key, and under the same one of anyone.
+// Requests of other callers with the same content have another caller key, and the same key of any
+// caller.
 func TestKeyOfAnyoneLeavesTheCallerOut(t *testing.T) {
 	is := is.New(t)
 	a, b := NewRequest("10.0.0.1", "GET", "a.example", "/x", nil), NewRequest("10.0.0.2", "GET", "a.example", "/x", nil)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Record is what is held against the requests of one key, as hosts tell it each other. Its
-// times are those of the host that has it.
+// Record holds the strikes against the requests of one key, in the form that hosts exchange. Its
+// times are by the clock of the host that has it.
 type Record struct {
 	Key     Key
 	Strikes []Strike
-	Cleared []uint64 // ids of strikes that do not count any more
+	Cleared []uint64 // ids of strikes that no longer count
 }
 
-// Until returns when a quarantine by the record ends, of which the first lasts for hold; the zero time
-// if there is none.
+// Until returns when a quarantine by the record ends, where the first one lasts for hold; the zero
+// time if there was none.
 func (r Record) Until(hold time.Duration) time.Time {
 	s := newSuspect(r.Key)
 	s.strikes = r.Strikes
 	return s.quarantinedUntil(hold)
 }
 
-// newest returns when the newest strike was.
-func (r Record) newest() time.Time {
+// newestStrikeAt returns the time of the newest strike.
+func (r Record) newestStrikeAt() time.Time {
 	var at time.Time
 	for _, s := range r.Strikes {
 		if s.At.After(at) {
@@ -32,29 +32,29 @@
 	return at
 }
 
-// record returns a copy of what is held against a key.
+// record returns a copy of the entry as a Record.
 func (e *entry) record(k Key) Record {
 	return Record{Key: k, Strikes: slices.Clone(e.strikes), Cleared: slices.Clone(e.cleared)}
 }
 
-// Known returns what is known of a request: what is held against it, and what was cleared lately.
+// Known returns the records of a request, with strikes and recently cleared ones.
 func (t *Table) Known(r Request) []Record {
 	if t.Empty() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []Record
+	var records []Record
 	for _, k := range r.keys() {
 		if e := t.suspects[k]; e != nil {
-			all = append(all, e.record(k))
+			records = append(records, e.record(k))
 		}
 	}
-	return all
+	return records
 }
 
-// Merge takes what other hosts hold. Strikes add up, whatever the order in which they
-// come; what was cleared stays so.
+// Merge adds the records of other hosts. The result does not depend on their order: strikes are
+// united, and cleared ones stay cleared.
 func (t *Table) Merge(records []Record) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -64,16 +64,15 @@
 	}
 	t.mu.Unlock()
 	if changed {
-		t.tell()
+		t.notifyFollowers()
 	}
 }
 
-// merge takes one record, and reports whether that changed anything. The caller holds the
-// lock.
+// merge adds one record, and reports whether it changed the table. The caller holds the lock.
 func (t *Table) merge(r Record, now time.Time) bool {
 	_, known := t.suspects[r.Key]
-	// What was cleared is kept also if the strikes were never heard of: a host that was not told yet
-	// may tell them next, and the request would be kept from targets again.
+	// Cleared ids are kept even if their strikes were never received: a host that lacks the clear
+	// may send the strikes next, and the request would be quarantined again.
 	if !known && len(r.Strikes) == 0 && len(r.Cleared) == 0 {
 		return false
 	}
@@ -82,13 +81,13 @@
 	changed := e.clear(now, r.Cleared...)
 	for _, s := range r.Strikes {
 		if s.At.After(now) {
-			s.At = now // the clock of the host that wrote it to the store is ahead
+			s.At = now // the clock of the host that wrote the strike to the store is ahead
 		}
 		changed = e.add(s) || changed
 	}
 	if changed {
 		t.renumber(e)
-		t.wake()
+		t.notifyWaiters()
 	}
 	if e.stance(now, t.hold) == Quarantined {
 		t.noteQuarantined(r.Key, e, before, "other hosts")
@@ -96,8 +95,8 @@
 	return changed
 }
 
-// knownOf returns what is known of a key; false if nothing is.
-func (t *Table) knownOf(k Key) (Record, bool) {
+// lookup returns the record of a key; false if there is none.
+func (t *Table) lookup(k Key) (Record, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.suspects[k]; e != nil {
@@ -106,8 +105,8 @@
 	return Record{}, false
 }
 
-// Since returns what changed after a mark for other hosts: all there is after a mark of
-// another process. The second result is the mark of the newest change.
+// Since returns the records that changed after a mark; all records if the mark is of another
+// process. The second result is the mark of the newest change.
 func (t *Table) Since(m Mark) ([]Record, Mark) {
 	if t == nil {
 		return nil, Mark{}
@@ -117,13 +116,13 @@
 	if m.Epoch != t.epoch {
 		m.Number = 0
 	}
-	newest := Mark{Epoch: t.epoch, Number: t.number}
-	if m.Number == t.number {
+	newest := Mark{Epoch: t.epoch, Number: t.lastNumber}
+	if m.Number == t.lastNumber {
 		return nil, newest
 	}
 	var all []Record
 	for k, e := range t.suspects {
-		if e.number > m.Number {
+		if e.changeNumber > m.Number {
 			all = append(all, e.record(k))
 		}
 	}
--- a/internal/quarantine/record_test.go
+++ b/internal/quarantine/record_test.go
@@ -14,14 +14,15 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// told returns what a table has for other hosts after a mark, as it comes over the wire.
-func told(t *Table, m Mark) ([]Record, Mark) {
+// exportSince returns the records that a table has for other hosts after a mark, as they are
+// received over the wire.
+func exportSince(t *Table, m Mark) ([]Record, Mark) {
 	records, mark := t.Since(m)
 	return AllFromWire(AllToWire(records, time.Now()), time.Now()), mark
 }
 
-// Hosts tell each other what they hold in any order, more than once and late. In the end all
-// hold the same: the strikes of all of them that were not cleared, as many as are kept.
+// Hosts send each other their records in any order, repeatedly and late. In the end all hold the
+// same strikes: those that were not cleared, up to the bound.
 func TestHostsComeToHoldTheSame(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -29,8 +30,8 @@
 			requests := []Request{testRequest("/a"), testRequest("/b")}
 			marks := map[[2]int]Mark{}
 			pass := func(from, to int) {
-				records, mark := told(tables[from], marks[[2]int{from, to}])
-				if rapid.Bool().Draw(rt, "mark kept") { // else it is told all of it again
+				records, mark := exportSince(tables[from], marks[[2]int{from, to}])
+				if rapid.Bool().Draw(rt, "mark kept") { // otherwise it receives all of them again
 					marks[[2]int{from, to}] = mark
 				}
 				tables[to].Merge(records)
@@ -42,7 +43,7 @@
 				request := rapid.SampledFrom(requests).Draw(rt, "request")
 				switch rapid.IntRange(0, 4).Draw(rt, "step") {
 				case 0, 1:
-					if strikes[request]++; strikes[request] > keptStrikes {
+					if strikes[request]++; strikes[request] > maxStrikes {
 						continue
 					}
 					id++
@@ -53,17 +54,17 @@
 					pass(at, rapid.IntRange(0, 2).Draw(rt, "to"))
 				}
 			}
-			for range 2 { // what one has goes to all, by way of any
+			for range 2 { // records reach every host, possibly by way of another
 				for from := range tables {
 					for to := range tables {
-						records, _ := told(tables[from], Mark{})
+						records, _ := exportSince(tables[from], Mark{})
 						tables[to].Merge(records)
 					}
 				}
 			}
 			for _, request := range requests {
 				for _, other := range tables[1:] {
-					if a, b := heldOf(tables[0], request), heldOf(other, request); !slices.Equal(a, b) {
+					if a, b := strikeIDs(tables[0], request), strikeIDs(other, request); !slices.Equal(a, b) {
 						rt.Fatalf("hosts hold %v and %v", a, b)
 					}
 				}
@@ -72,49 +73,49 @@
 	})
 }
 
-// heldOf returns the strikes that a table holds against the requests of a caller.
-func heldOf(t *Table, r Request) []uint64 {
-	held, _ := t.knownOf(r.OfCaller)
+// strikeIDs returns the ids of a table's strikes against the requests of a caller.
+func strikeIDs(t *Table, r Request) []uint64 {
+	record, _ := t.lookup(r.OfCaller)
 	var ids []uint64
-	for _, s := range held.Strikes {
+	for _, s := range record.Strikes {
 		ids = append(ids, s.ID)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// What is cleared on one host is cleared on those that had heard of it, and stays so when an
-// old record comes by another way.
+// A strike that one host clears is cleared on those that received it, and stays so when an old
+// record arrives from elsewhere.
 func TestClearedStaysCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, b, request := newTestTable(), newTestTable(), testRequest("/x")
 		a.Ended(request, 1, "s")
-		old, _ := told(a, Mark{})
+		old, _ := exportSince(a, Mark{})
 		b.Merge(old)
 		time.Sleep(time.Minute)
 		is.True(a.Answered(request, "s"))
-		records, _ := told(a, Mark{})
+		records, _ := exportSince(a, Mark{})
 		b.Merge(records)
 		time.Sleep(time.Second)
 		b.Merge(old)
 		stance, _ := b.Stance(request)
 		is.Equal(stance, Free)
 		b.Ended(request, 2, "s")
-		is.Equal(heldOf(b, request), []uint64{2})
+		is.Equal(strikeIDs(b, request), []uint64{2})
 	})
 }
 
-// A host is told what changed since it last asked, and all there is by a process that it has
-// not asked yet.
-func TestOnlyChangesAreTold(t *testing.T) {
+// A host receives the records that changed since its last request, and all records from a process
+// that it did not follow before.
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable()
 	for i := range 3 {
 		table.Ended(testRequest(fmt.Sprint(i)), 1, "s")
 	}
 	records, mark := table.Since(Mark{})
-	is.Equal(len(records), 6) // of the caller, and of anyone
+	is.Equal(len(records), 6) // of the caller, and of any caller
 	records, mark = table.Since(mark)
 	is.Equal(len(records), 0)
 	table.Ended(testRequest("1"), 2, "s")
@@ -124,8 +125,9 @@
 	is.Equal(len(records), 6)
 }
 
-// What a host finds is told once, all that belongs together at once; what it hears is not.
-func TestHostTellsWhatItFinds(t *testing.T) {
+// A host sends each change of its own once, changes in quick succession together; changes that it
+// received are not sent.
+func TestHostSendsItsOwnChangesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTestTable()
@@ -150,8 +152,8 @@
 	}
 }
 
-// A host that starts hears that a strike was cleared before it hears of the strike, from a host that had not been
-// told yet. It must not hold the strike, nor hand it on to those that have forgotten that it was cleared.
+// A host that has just started receives a clear before the strike, which a host without the clear
+// sends. It must neither add the strike nor send it to hosts that no longer keep the clear.
 func TestStrikeClearedBeforeItWasHeardOfIsNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -163,13 +165,13 @@
 
 		other := newTestTable()
 		other.Merge([]Record{recordOf(request, strikeOf(1, "s"))})
-		news, _ := told(started, Mark{})
+		news, _ := exportSince(started, Mark{})
 		other.Merge(news)
 		stance, _ = other.Stance(request)
 		is.Equal(stance, Free)
 
-		time.Sleep(rememberCleared + time.Second)
+		time.Sleep(clearedRetention + time.Second)
 		started.Expire()
-		is.True(started.Empty()) // it costs nothing for longer
+		is.True(started.Empty()) // the clear is not kept for longer
 	})
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -19,68 +19,68 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("quarantine")
 
-// Errors of Admit. Nothing was sent.
+// Errors of Admit. The request was not sent.
 var (
-	// ErrQuarantined means that the request is kept from targets.
+	// ErrQuarantined means that the request is quarantined.
 	ErrQuarantined = errors.New("targets that run the request end")
-	// ErrBusy means that the request may be tried by one attempt at a time, and another one
-	// did not end in time.
+	// ErrBusy means that attempts of the request are admitted one at a time, and another one did not
+	// end in time.
 	ErrBusy = errors.New("the request is being tried by another attempt")
 )
 
-// mostSuspects bounds the requests that something is held against: some 200 kB.
-const mostSuspects = 1024
+// maxSuspects bounds the number of keys with state, about 200 kB.
+const maxSuspects = 1024
 
-// Table is what a host holds against requests. Every method is safe for concurrent use.
+// Table is a host's state of all suspected and quarantined requests. It is safe for concurrent use.
 type Table struct {
 	hold  time.Duration
-	clock *clock.Clock // of the ages of strikes
+	clock *clock.Clock // for the ages of strikes
 	log   *event.Log
-	// onOwn is called with each key that this host put into quarantine, or cleared after
-	// that. It must not block.
-	onOwn func(Key)
-
-	size atomic.Int32 // of suspects
-
-	mu       sync.Mutex
-	suspects map[Key]*entry
-	changed  chan struct{} // closes at the next change
-	own      map[Key]bool  // that this host found something of, to be told
-	ownFound chan struct{} // has an element while there are any
-	epoch    uint64        // numbers count from it; drawn at the start
-	number   uint64        // of the newest change that is for other hosts
-	follow   []func()
+	// onQuarantineChange is called with each key that this host quarantined, or cleared after a
+	// quarantine. It must not block.
+	onQuarantineChange func(Key)
+
+	size atomic.Int32 // len(suspects), readable without the lock
+
+	mu          sync.Mutex
+	suspects    map[Key]*entry
+	changed     chan struct{} // closed at the next change
+	unsentKeys  map[Key]bool  // changed by this host and not yet returned by NextOwn
+	unsentReady chan struct{} // has an element while unsentKeys is not empty
+	epoch       uint64        // identifies this process's change numbers; random
+	lastNumber  uint64        // of the newest change that other hosts receive
+	followers   []func()
 }
 
-// entry is one suspect as this host holds it.
+// entry is a suspect with its state on this host.
 type entry struct {
 	suspect
-	number uint64 // of the newest change that is for other hosts; 0: none is
-	trying bool   // an attempt is being made alone
+	changeNumber uint64 // of the newest change that other hosts receive; 0: none
+	trying       bool   // an attempt was admitted alone and has not ended
 }
 
-// Mark names a change of one process's table.
+// Mark identifies a change of one process's table.
 type Mark struct{ Epoch, Number uint64 }
 
-// NewTable returns an empty table with valid settings.
+// NewTable returns an empty table. cfg must be valid.
 func NewTable(cfg Config, log *event.Log) *Table {
-	return &Table{hold: cfg.Hold.Std(), log: log, onOwn: func(Key) {}, suspects: map[Key]*entry{}, changed: make(chan struct{}),
-		own: map[Key]bool{}, ownFound: make(chan struct{}, 1), epoch: rand.Uint64() | 1}
+	return &Table{hold: cfg.Hold.Std(), log: log, onQuarantineChange: func(Key) {}, suspects: map[Key]*entry{}, changed: make(chan struct{}),
+		unsentKeys: map[Key]bool{}, unsentReady: make(chan struct{}, 1), epoch: rand.Uint64() | 1}
 }
 
-// Follow calls f after each change that is for other hosts, without a lock held. It is to
-// be called before the table is used.
-func (t *Table) Follow(f func()) { t.follow = append(t.follow, f) }
+// Follow calls f after each change that other hosts receive, without a lock held. Call it before
+// the table is used.
+func (t *Table) Follow(f func()) { t.followers = append(t.followers, f) }
 
-// Empty reports whether nothing is held against any request, so that its key need not be
-// made.
+// Empty reports whether the table has no entries, in which case callers need not compute a
+// request's keys.
 func (t *Table) Empty() bool { return t == nil || t.size.Load() == 0 }
 
-// GoBy makes the ages of strikes go by a clock that counts the time in which the machine is suspended.
-// It is to be called before the table is used.
+// GoBy sets the clock for the ages of strikes, one that includes the time in which the machine is
+// suspended. Call it before the table is used.
 func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
 
-// Stance returns how attempts of a request are to be made now, and for how long if not at all.
+// Stance returns how attempts of a request are admitted now and, if quarantined, for how long.
 func (t *Table) Stance(r Request) (s Stance, left time.Duration) {
 	if t.Empty() {
 		return Free, 0
@@ -92,7 +92,7 @@
 	return s, max(until.Sub(now), 0)
 }
 
-// stance is Stance. The caller holds the lock.
+// stance is Stance with the end time. The caller holds the lock.
 func (t *Table) stance(r Request, now time.Time) (strictest Stance, until time.Time) {
 	for _, e := range t.entries(r) {
 		strictest = max(strictest, e.stance(now, t.hold))
@@ -103,30 +103,30 @@
 	return strictest, until
 }
 
-// entries returns what there is of a request: of its caller and of anyone. The caller holds the
+// entries returns the entries of a request: of its caller and of any caller. The caller holds the
 // lock.
 func (t *Table) entries(r Request) []*entry {
-	var all []*entry
+	var entries []*entry
 	for _, k := range r.keys() {
 		if e := t.suspects[k]; e != nil {
-			all = append(all, e)
+			entries = append(entries, e)
 		}
 	}
-	return all
+	return entries
 }
 
 func (r Request) keys() [2]Key { return [2]Key{r.OfCaller, r.OfAnyone} }
 
-// Attempt is an attempt that wants to be made.
+// Attempt describes an attempt for Admit.
 type Attempt struct {
 	Request Request
 	Service string
 	Among   []string // services that the request is sent to
 }
 
-// Admit waits until an attempt may be made, and reports whether it is made alone; then
-// Left must follow. It fails with ErrQuarantined, with ErrBusy after a time, or with the
-// error of ctx.
+// Admit waits until an attempt is admitted, and reports whether it is admitted alone; Left must
+// follow then. It fails with ErrQuarantined, with ErrBusy at the time until, or with the error of
+// ctx.
 func (t *Table) Admit(ctx context.Context, a Attempt, until time.Time) (alone bool, err error) {
 	for {
 		alone, changed, err := t.admit(a)
@@ -139,7 +139,7 @@
 	}
 }
 
-// wait returns nil once a channel is closed.
+// wait returns nil once changed is closed.
 func wait(ctx context.Context, changed <-chan struct{}, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -153,8 +153,8 @@
 	}
 }
 
-// admit is Admit without the wait: it returns a channel that closes when it is worth
-// asking again.
+// admit is Admit without the wait: if the attempt has to wait, it returns a channel that is closed
+// at the next change.
 func (t *Table) admit(a Attempt) (alone bool, changed <-chan struct{}, err error) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -165,14 +165,14 @@
 	case Quarantined:
 		return false, nil, Error.Wrap(ErrQuarantined)
 	}
-	entries, tells := t.entries(a.Request), false
+	entries, clears := t.entries(a.Request), false
 	for _, e := range entries {
 		if e.trying {
 			return false, t.changed, nil
 		}
-		tells = tells || e.tells(a)
+		clears = clears || e.canClear(a)
 	}
-	if !tells {
+	if !clears {
 		return false, t.changed, nil
 	}
 	for _, e := range entries {
@@ -181,23 +181,23 @@
 	return true, nil, nil
 }
 
-// tells reports whether an attempt at a service can clear the request: a target of it ended,
-// or of none of the services that the request is sent to.
-func (e *entry) tells(a Attempt) bool {
-	return len(e.strikes) > 0 && (e.struck(a.Service) || !slices.ContainsFunc(a.Among, e.struck))
+// canClear reports whether an answer to the attempt can clear a strike: a target of its service
+// ended, or targets of none of the services that the request is sent to.
+func (e *entry) canClear(a Attempt) bool {
+	return len(e.strikes) > 0 && (e.hasStrikeOf(a.Service) || !slices.ContainsFunc(a.Among, e.hasStrikeOf))
 }
 
-// Left ends an attempt that was made alone.
+// Left ends an attempt that was admitted alone.
 func (t *Table) Left(r Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries(r) {
 		e.trying = false
 	}
-	t.wake()
+	t.notifyWaiters()
 }
 
-// Ended takes a strike against a request. It reports whether the request is in quarantine now.
+// Ended adds a strike against a request, and reports whether the request is quarantined now.
 func (t *Table) Ended(r Request, id uint64, service string) (quarantined bool) {
 	now := t.clock.Now()
 	strike := Strike{ID: id, Caller: r.OfCaller.caller(), Services: []string{service}, At: now}
@@ -208,20 +208,20 @@
 		if !e.add(strike) {
 			continue
 		}
-		t.found(k, e)
+		t.markUnsent(k, e)
 		if e.stance(now, t.hold) == Quarantined {
 			t.noteQuarantined(k, e, before, "this host")
-			t.onOwn(k)
+			t.onQuarantineChange(k)
 		}
 	}
-	t.wake()
+	t.notifyWaiters()
 	stance, _ := t.stance(r, now)
 	t.mu.Unlock()
-	t.tell()
+	t.notifyFollowers()
 	return stance == Quarantined
 }
 
-// noteQuarantined logs that requests of a key are in quarantine from now on.
+// noteQuarantined logs that a key has become quarantined.
 func (t *Table) noteQuarantined(k Key, e *entry, before Stance, from string) {
 	if before == Quarantined {
 		return
@@ -230,7 +230,7 @@
 		Dur("hold", e.quarantinedUntil(t.hold).Sub(t.clock.Now())).Str("from", from).Msg("")
 }
 
-// Strikes returns how many strikes there are against a request.
+// Strikes returns the number of strikes against a request.
 func (t *Table) Strikes(r Request) int {
 	if t.Empty() {
 		return 0
@@ -244,8 +244,8 @@
 	return most
 }
 
-// Answered takes an answer of a service to a request: a target lived on that ran it. Where targets of
-// the service had ended that clears a strike. It reports whether it did.
+// Answered records that a target of the service answered the request and did not end. If a target
+// of that service ended before, this clears a strike. It reports whether it did.
 func (t *Table) Answered(r Request, service string) bool {
 	if t.Empty() {
 		return false
@@ -255,74 +255,75 @@
 	cleared := false
 	for _, k := range r.keys() {
 		e := t.suspects[k]
-		if e == nil || !e.struck(service) {
+		if e == nil || !e.hasStrikeOf(service) {
 			continue
 		}
 		if !e.quarantinedUntil(t.hold).IsZero() {
-			t.onOwn(k) // the store knows of it
+			t.onQuarantineChange(k) // the store has the record
 		}
-		e.answered(now)
-		t.found(k, e)
+		e.clearOldest(now)
+		t.markUnsent(k, e)
 		cleared = true
 	}
-	t.wake()
+	t.notifyWaiters()
 	t.mu.Unlock()
 	if cleared {
-		t.tell()
+		t.notifyFollowers()
 	}
 	return cleared
 }
 
-// found notes that this host found something of a key, for the others to be told. The caller holds
-// the lock.
-func (t *Table) found(k Key, e *entry) {
+// markUnsent marks a key as changed by this host, to be sent to the others. The caller holds the
+// lock.
+func (t *Table) markUnsent(k Key, e *entry) {
 	t.renumber(e)
-	t.own[k] = true
+	t.unsentKeys[k] = true
 	select {
-	case t.ownFound <- struct{}{}:
-	default: // it is set already
+	case t.unsentReady <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// tellEvery is the time in which what is found is gathered before it is told: one target's end cuts
-// off many requests. The caller of one that failed asks another host a few ms later.
-const tellEvery = time.Millisecond
+// batchDelay is the time in which changes are collected before they are sent: the end of one target
+// cuts off many requests. It is short because the caller of a failed request retries at another
+// host a few ms later.
+const batchDelay = time.Millisecond
 
-// NextOwn waits until this host has found something of requests that the others are to be told, and
-// returns it; nil once ctx is done.
+// NextOwn waits until this host has made changes that other hosts need, and returns their records;
+// nil once ctx is done.
 func (t *Table) NextOwn(ctx context.Context) []Record {
 	select {
-	case <-t.ownFound:
+	case <-t.unsentReady:
 	case <-ctx.Done():
 		return nil
 	}
-	await.Sleep(ctx, tellEvery)
+	await.Sleep(ctx, batchDelay)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []Record
-	for k := range t.own {
+	var records []Record
+	for k := range t.unsentKeys {
 		if e := t.suspects[k]; e != nil {
-			all = append(all, e.record(k))
+			records = append(records, e.record(k))
 		}
 	}
-	clear(t.own)
-	return all
+	clear(t.unsentKeys)
+	return records
 }
 
-// renumber makes an entry the newest change. The caller holds the lock.
+// renumber assigns the next change number to an entry. The caller holds the lock.
 func (t *Table) renumber(e *entry) {
-	t.number++
-	e.number = t.number
+	t.lastNumber++
+	e.changeNumber = t.lastNumber
 }
 
-// tell tells the followers.
-func (t *Table) tell() {
-	for _, f := range t.follow {
+// notifyFollowers calls the functions set by Follow.
+func (t *Table) notifyFollowers() {
+	for _, f := range t.followers {
 		f()
 	}
 }
 
-// entry returns the entry of a key, a new one if there is none. The caller holds the lock.
+// entry returns the entry of a key, and creates it if needed. The caller holds the lock.
 func (t *Table) entry(k Key) *entry {
 	e := t.suspects[k]
 	if e == nil {
@@ -334,41 +335,41 @@
 	return e
 }
 
-// drop forgets a key. The caller holds the lock.
+// drop removes the entry of a key. The caller holds the lock.
 func (t *Table) drop(k Key) {
 	delete(t.suspects, k)
 	t.size.Store(int32(len(t.suspects)))
-	t.wake()
+	t.notifyWaiters()
 }
 
-// makeRoom forgets what has lapsed and, where that is not enough, the suspect with the least
-// strikes, the oldest of these. The caller holds the lock.
+// makeRoom removes expired entries and, if the table is still full, the entry with the fewest
+// strikes, the oldest among equals. The caller holds the lock.
 func (t *Table) makeRoom(now time.Time) {
-	if len(t.suspects) < mostSuspects {
+	if len(t.suspects) < maxSuspects {
 		return
 	}
 	t.expire(now)
-	for len(t.suspects) >= mostSuspects {
-		var least Key
-		var found *entry
+	for len(t.suspects) >= maxSuspects {
+		var victimKey Key
+		var victim *entry
 		for k, e := range t.suspects {
-			if found == nil || e.lessThan(found) {
-				least, found = k, e
+			if victim == nil || e.evictBefore(victim) {
+				victimKey, victim = k, e
 			}
 		}
-		t.drop(least)
+		t.drop(victimKey)
 	}
 }
 
-// lessThan orders what is forgotten first.
-func (e *entry) lessThan(other *entry) bool {
+// evictBefore reports whether e is removed before other for lack of room.
+func (e *entry) evictBefore(other *entry) bool {
 	if len(e.strikes) != len(other.strikes) || len(e.strikes) == 0 {
 		return len(e.strikes) < len(other.strikes)
 	}
-	return e.last().Before(other.last())
+	return e.lastStrikeAt().Before(other.lastStrikeAt())
 }
 
-// Expire forgets what has lapsed.
+// Expire removes expired entries.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -377,28 +378,28 @@
 
 func (t *Table) expire(now time.Time) {
 	for k, e := range t.suspects {
-		if e.lapsed(now, t.hold) {
+		if e.expired(now, t.hold) {
 			t.drop(k)
 		}
 	}
 }
 
-// Held returns the requests in quarantine.
+// Held returns the keys of quarantined requests.
 func (t *Table) Held() []Key {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []Key
+	var keys []Key
 	for k, e := range t.suspects {
 		if e.stance(now, t.hold) == Quarantined {
-			all = append(all, k)
+			keys = append(keys, k)
 		}
 	}
-	return all
+	return keys
 }
 
-// wake lets the attempts that wait look again. The caller holds the lock.
-func (t *Table) wake() {
+// notifyWaiters wakes the attempts that wait in Admit. The caller holds the lock.
+func (t *Table) notifyWaiters() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -32,14 +32,14 @@
 // recordOf returns what others hold against the requests of the caller.
 func recordOf(r Request, strikes ...Strike) Record { return Record{Key: r.OfCaller, Strikes: strikes} }
 
-// afar is later than any attempt of the tests waits.
-func afar() time.Time { return time.Now().Add(time.Hour) }
+// farFuture is later than any attempt in the tests waits.
+func farFuture() time.Time { return time.Now().Add(time.Hour) }
 
 func TestThreeStrikesPutARequestIntoQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
-		for n, want := range []Stance{Alone, Alone, Quarantined} {
+		for n, want := range []Stance{OneAtATime, OneAtATime, Quarantined} {
 			time.Sleep(time.Second)
 			is.Equal(table.Ended(request, uint64(n), "s"), want == Quarantined)
 			stance, _ := table.Stance(request)
@@ -50,9 +50,9 @@
 	})
 }
 
-// All parts of a query that end their targets at one blow are one strike, however many hosts
-// gather them.
-func TestWhatEndsAtOneBlowIsOneStrike(t *testing.T) {
+// Parts of a query that end their targets with one strike id count as one strike, however many
+// hosts gather them.
+func TestTargetsThatEndTogetherAreOneStrike(t *testing.T) {
 	is := is.New(t)
 	table, request := newTestTable(), testRequest("/x")
 	for i := range 30 {
@@ -60,12 +60,12 @@
 	}
 	table.Merge([]Record{recordOf(request, strikeOf(7, "elsewhere"))})
 	is.Equal(table.Strikes(request), 1)
-	is.Equal(len(table.Known(request)[0].Strikes[0].Services), mostServices)
+	is.Equal(len(table.Known(request)[0].Strikes[0].Services), maxServices)
 }
 
-// After the quarantine the request is tried by one attempt; each further strike holds it four
-// times longer.
-func TestQuarantineGrows(t *testing.T) {
+// After the quarantine one attempt at a time is admitted; each further strike quarantines the
+// request for four times longer.
+func TestFurtherQuarantinesLastLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
@@ -81,8 +81,8 @@
 			is.Equal(left, time.Second)
 			time.Sleep(2 * time.Second)
 			stance, _ = table.Stance(request)
-			is.Equal(stance, Alone)
-			hold *= holdGrowth
+			is.Equal(stance, OneAtATime)
+			hold *= holdGrowthFactor
 		}
 	})
 }
@@ -92,30 +92,30 @@
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
 		a := Attempt{Request: request, Service: "s", Among: []string{"s", "t"}}
-		alone, err := table.Admit(t.Context(), a, afar())
+		alone, err := table.Admit(t.Context(), a, farFuture())
 		is.NoErr(err)
-		is.True(!alone) // nothing is held against it
+		is.True(!alone) // there are no strikes against it
 		table.Ended(request, 1, "s")
-		alone, err = table.Admit(t.Context(), a, afar())
+		alone, err = table.Admit(t.Context(), a, farFuture())
 		is.NoErr(err)
 		is.True(alone)
 		_, err = table.Admit(t.Context(), a, time.Now().Add(time.Second))
 		is.True(errors.Is(err, ErrBusy))
 		ended, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = table.Admit(ended, a, afar())
+		_, err = table.Admit(ended, a, farFuture())
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		go func() {
 			time.Sleep(time.Second)
 			table.Left(request)
 		}()
-		alone, err = table.Admit(t.Context(), a, afar())
+		alone, err = table.Admit(t.Context(), a, farFuture())
 		is.NoErr(err)
-		is.True(alone) // the one before has left
+		is.True(alone) // the attempt before has ended
 	})
 }
 
-// An attempt at a shard whose targets stand says nothing of one at a shard whose target ended.
+// An attempt at a service whose targets did not end shows nothing about one whose target ended.
 func TestSuspectIsTriedWhereATargetEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -125,7 +125,7 @@
 		_, err := table.Admit(t.Context(), Attempt{Request: request, Service: "t", Among: among}, time.Now().Add(time.Second))
 		is.True(errors.Is(err, ErrBusy))
 		is.True(!table.Answered(request, "t"))
-		alone, err := table.Admit(t.Context(), Attempt{Request: request, Service: "s", Among: among}, afar())
+		alone, err := table.Admit(t.Context(), Attempt{Request: request, Service: "s", Among: among}, farFuture())
 		is.NoErr(err)
 		is.True(alone)
 		is.True(table.Answered(request, "s"))
@@ -133,16 +133,17 @@
 		is.Equal(stance, Free)
 		table.Left(request)
 		time.Sleep(time.Second)
-		// Where the services are others now, any of them will do.
+		// If none of the services has a strike, an attempt at any of them is admitted.
 		table.Ended(request, 2, "gone")
-		alone, err = table.Admit(t.Context(), Attempt{Request: request, Service: "t", Among: among}, afar())
+		alone, err = table.Admit(t.Context(), Attempt{Request: request, Service: "t", Among: among}, farFuture())
 		is.NoErr(err)
 		is.True(alone)
 	})
 }
 
-// What waits for its turn is let go by an answer, and turned away by the third strike.
-func TestWaitingAttemptsHearOfTheVerdict(t *testing.T) {
+// Waiting attempts are admitted after an answer that clears the request, and refused after the
+// third strike.
+func TestWaitingAttemptsObserveTheOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		verdict func(*Table, Request)
 		err     error
@@ -152,7 +153,7 @@
 			t.Answered(r, "s")
 		}, nil},
 		"quarantined": {func(t *Table, r Request) { t.Ended(r, 3, "s") }, ErrQuarantined},
-		"told": {func(t *Table, r Request) {
+		"received": {func(t *Table, r Request) {
 			t.Merge([]Record{recordOf(r, strikeOf(8, "s"), strikeOf(9, "s"))})
 		}, ErrQuarantined},
 	} {
@@ -163,13 +164,13 @@
 				table.Ended(request, 1, "s")
 				table.Ended(request, 2, "s")
 				a := Attempt{Request: request, Service: "s"}
-				_, err := table.Admit(t.Context(), a, afar())
+				_, err := table.Admit(t.Context(), a, farFuture())
 				is.NoErr(err)
 				go func() {
 					time.Sleep(time.Second)
 					c.verdict(table, request)
 				}()
-				alone, err := table.Admit(t.Context(), a, afar())
+				alone, err := table.Admit(t.Context(), a, farFuture())
 				is.True(errors.Is(err, c.err))
 				is.True(!alone)
 			})
@@ -177,21 +178,21 @@
 	}
 }
 
-// A flood of requests under which targets ended does not push out those in quarantine.
+// Many requests with single strikes do not displace a quarantined one.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table, request := newTestTable(), testRequest("/x")
 	for i := range uint64(3) {
 		table.Ended(request, i, "s")
 	}
-	for i := range 3 * mostSuspects {
+	for i := range 3 * maxSuspects {
 		table.Ended(testRequest(fmt.Sprint(i)), 1, "s")
 	}
-	is.Equal(len(table.suspects), mostSuspects)
+	is.Equal(len(table.suspects), maxSuspects)
 	is.Equal(table.Held(), []Key{request.OfCaller})
 }
 
-func TestWhatIsHeldLapses(t *testing.T) {
+func TestStrikesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTestTable()
@@ -199,26 +200,26 @@
 		for i := range uint64(3) {
 			table.Ended(testRequest("/held"), i, "s")
 		}
-		time.Sleep(remember + time.Second)
+		time.Sleep(strikeRetention + time.Second)
 		table.Expire()
 		stance, _ := table.Stance(testRequest("/once"))
 		is.Equal(stance, Free)
 		stance, _ = table.Stance(testRequest("/held"))
-		is.Equal(stance, Alone)
+		is.Equal(stance, OneAtATime)
 		time.Sleep(defaultHold)
 		table.Expire()
 		is.True(table.Empty())
-		// What was cleared is forgotten soon, so that no request need be looked at.
+		// Cleared strikes expire soon, so that requests need not be looked up any more.
 		table.Ended(testRequest("/x"), 1, "s")
 		time.Sleep(time.Second)
 		is.True(table.Answered(testRequest("/x"), "s"))
-		time.Sleep(rememberCleared + time.Second)
+		time.Sleep(clearedRetention + time.Second)
 		table.Expire()
 		is.True(table.Empty())
 	})
 }
 
-// A caller comes from many addresses: its copies end targets one after another.
+// One caller with many addresses ends targets by repeating a request from each of them.
 func TestContentThatEndsTargetsForSeveralCallersIsQuarantinedForAnyone(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable()
@@ -232,19 +233,20 @@
 	is.Equal(stance, Free)
 }
 
-// What ends targets when one caller asks it is answered to others: they are tried alone for a while.
+// A request that ends targets only for one caller is answered for others, whose attempts are
+// admitted one at a time for a while.
 func TestContentOfOneCallerIsNotQuarantinedForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, bad, good := newTestTable(), requestOf("10.0.0.1", "/x"), requestOf("10.0.0.2", "/x")
-		for i := range uint64(mostStrikes) {
+		for i := range uint64(quarantineStrikes) {
 			table.Ended(bad, i, "s")
 		}
 		stance, _ := table.Stance(bad)
 		is.Equal(stance, Quarantined)
-		for range mostStrikes {
+		for range quarantineStrikes {
 			stance, _ = table.Stance(good)
-			is.Equal(stance, Alone)
+			is.Equal(stance, OneAtATime)
 			is.True(table.Answered(good, "s"))
 		}
 		stance, _ = table.Stance(good)
@@ -254,7 +256,7 @@
 	})
 }
 
-// Targets end under the request two times of three: what is held against it grows all the same.
+// Targets end under the request two times out of three: strikes accumulate nevertheless.
 func TestRequestThatIsAnsweredNowAndThenIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -272,8 +274,8 @@
 	})
 }
 
-// Without a table nothing is held against any request.
-func TestNoTableHoldsNothing(t *testing.T) {
+// A nil table has no records.
+func TestNilTableIsEmpty(t *testing.T) {
 	is := is.New(t)
 	var table *Table
 	is.True(table.Empty())
@@ -281,27 +283,27 @@
 	is.Equal(len(records), 0)
 }
 
-// However often targets end under a request, the newest times count.
+// However often targets end under a request, the newest strikes count.
 func TestNewestStrikesAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
-		for i := range uint64(3 * keptStrikes) {
-			time.Sleep(longestHold)
+		for i := range uint64(3 * maxStrikes) {
+			time.Sleep(maxHold)
 			table.Ended(request, i, "s")
 		}
 		stance, left := table.Stance(request)
 		is.Equal(stance, Quarantined)
-		is.Equal(left, longestHold)
+		is.Equal(left, maxHold)
 	})
 }
 
-// Strikes of hosts that had not heard of the quarantine yet do not make it longer.
+// Strikes from hosts that had not received the quarantine yet do not extend it.
 func TestStrikesOfOneQuarantineDoNotLengthenIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
-		for i := range uint64(keptStrikes) {
+		for i := range uint64(maxStrikes) {
 			table.Ended(request, i, "s")
 		}
 		_, left := table.Stance(request)
@@ -309,14 +311,14 @@
 	})
 }
 
-// A request is not kept from targets for longer because the machine was suspended meanwhile.
+// The time in which the machine is suspended counts towards the quarantine.
 func TestHoldCountsTheTimeInWhichTheMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
 		machine, suspend := clock.Virtual()
 		table.GoBy(machine)
-		for i := range uint64(mostStrikes) {
+		for i := range uint64(quarantineStrikes) {
 			table.Ended(request, i, "s")
 		}
 		suspend(defaultHold - time.Second)
@@ -325,18 +327,18 @@
 		is.Equal(left, time.Second)
 		suspend(time.Second)
 		stance, _ = table.Stance(request)
-		is.Equal(stance, Alone)
+		is.Equal(stance, OneAtATime)
 	})
 }
 
-// What the store holds is dated by the clock of the host that wrote it, which may be ahead: a strike
-// that has not been yet holds no request for longer than one of now.
+// Strikes in the store are dated by the clock of the host that wrote them, which may be ahead: a
+// strike dated in the future must not quarantine a request for longer than one dated now.
 func TestStrikesOfAClockThatIsAheadHoldNoLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
 		var ahead []Strike
-		for i := range uint64(mostStrikes) {
+		for i := range uint64(quarantineStrikes) {
 			strike := strikeOf(i, "s")
 			strike.At = time.Now().Add(24 * time.Hour)
 			ahead = append(ahead, strike)
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -7,7 +7,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// ToWire encodes a record with ages as of now, as the clocks of hosts differ.
+// ToWire encodes a record with ages instead of times, because the clocks of hosts differ.
 func ToWire(r Record, now time.Time) *peerpb.RequestRecord {
 	out := &peerpb.RequestRecord{Key: r.Key[:], Cleared: r.Cleared}
 	for _, s := range r.Strikes {
@@ -16,8 +16,8 @@
 	return out
 }
 
-// FromWire decodes a record that was told at a time. It reports false for what can't be one.
-func FromWire(in *peerpb.RequestRecord, told time.Time) (Record, bool) {
+// FromWire decodes a record that was received at a time. It returns false if the record is invalid.
+func FromWire(in *peerpb.RequestRecord, receivedAt time.Time) (Record, bool) {
 	if len(in.GetKey()) != len(Key{}) {
 		return Record{}, false
 	}
@@ -26,27 +26,27 @@
 		if len(s.Caller) != callerBytes {
 			return Record{}, false
 		}
-		r.Strikes = append(r.Strikes, Strike{ID: s.Id, Caller: Caller(s.Caller), Services: s.Services, At: told.Add(-peer.Micros(max(s.AgeUs, 0)))})
+		r.Strikes = append(r.Strikes, Strike{ID: s.Id, Caller: Caller(s.Caller), Services: s.Services, At: receivedAt.Add(-peer.Micros(max(s.AgeUs, 0)))})
 	}
 	return r, true
 }
 
 // AllToWire encodes records.
-func AllToWire(all []Record, now time.Time) []*peerpb.RequestRecord {
-	out := make([]*peerpb.RequestRecord, 0, len(all))
-	for _, r := range all {
+func AllToWire(records []Record, now time.Time) []*peerpb.RequestRecord {
+	out := make([]*peerpb.RequestRecord, 0, len(records))
+	for _, r := range records {
 		out = append(out, ToWire(r, now))
 	}
 	return out
 }
 
-// AllFromWire decodes records, and leaves out what can't be one.
-func AllFromWire(in []*peerpb.RequestRecord, told time.Time) []Record {
-	var all []Record
-	for _, one := range in {
-		if r, ok := FromWire(one, told); ok {
-			all = append(all, r)
+// AllFromWire decodes records, and skips invalid ones.
+func AllFromWire(in []*peerpb.RequestRecord, receivedAt time.Time) []Record {
+	var records []Record
+	for _, record := range in {
+		if r, ok := FromWire(record, receivedAt); ok {
+			records = append(records, r)
 		}
 	}
-	return all
+	return records
 }
