--- a/internal/warmup/keeper.go
+++ b/internal/warmup/keeper.go
@@ -19,32 +19,33 @@
 const (
 	// storeTimeout bounds one call to the store.
 	storeTimeout = time.Second
-	// turnStep is the time between two hosts that write the same permit: the first has told it by then.
-	turnStep = 250 * time.Millisecond
-	// retryAfter is the time between two tries of this host to write a permit.
-	retryAfter = 250 * time.Millisecond
-	// lookEvery is the time between two looks while targets are cold and have no permit.
-	lookEvery = 20 * time.Millisecond
-	// mostCalls is how many permits are written at once: those of the targets of a failure domain that
-	// are back together are wanted within their warm-up, and the store has other calls to answer.
-	mostCalls = 8
+	// writerStagger is the delay between the writes of one permit by two hosts, in which the first host has sent it to
+	// the second.
+	writerStagger = 250 * time.Millisecond
+	// writeRetryDelay is the time between two attempts of this host to write one permit.
+	writeRetryDelay = 250 * time.Millisecond
+	// pollInterval is the time between two checks while there are cold targets without a permit.
+	pollInterval = 20 * time.Millisecond
+	// maxConcurrentWrites bounds concurrent writes to the store: targets of a failure domain that restart together need
+	// their permits within their warm-up, and the store has other calls to serve.
+	maxConcurrentWrites = 8
 )
 
-// Targets are the targets that want a permit.
+// Targets provides the cold targets that need a permit.
 type Targets interface {
-	// BecameCold tells when a target without a permit becomes cold.
+	// BecameCold returns a channel that receives when a target without a permit becomes cold.
 	BecameCold() <-chan struct{}
-	// ColdTargets returns those that are.
+	// ColdTargets returns the cold targets without a permit.
 	ColdTargets() []gateway.ColdTarget
 }
 
-// Peers are the hosts that write permits: those that watch the store.
+// Peers provides this host's turn among the hosts that write permits, those that watch the store, and sends permits.
 type Peers interface {
-	// TurnFor returns how many hosts write what belongs to a key before this one; false if it does not
+	// TurnFor returns how many hosts precede this one in writing what belongs to a key; false if this host does not
 	// write at all.
 	TurnFor(key string) (turn int, writes bool)
-	// TellPermits tells permits to these hosts.
-	TellPermits(ctx context.Context, all []discovery.Permit)
+	// TellPermits sends permits to the other hosts.
+	TellPermits(ctx context.Context, permits []discovery.Permit)
 }
 
 // Keeper writes the permits of cold targets, on the hosts that watch the store. It is a kernel module.
@@ -55,20 +56,20 @@
 	state   *discovery.State
 	log     *event.Log
 
-	since map[string]time.Time // when a target was first seen to want a permit, or this host last tried to write it
+	nextWrite map[string]time.Time // earliest time of this host's next attempt to write the permit, by target
 
-	missing map[string]time.Time // targets of permits in the store that are not registered, and since when
+	unregisteredSince map[string]time.Time // when the target of a stored permit was first found unregistered, by target
 
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// NewKeeper returns a keeper that tells the state of the permits that it writes or finds.
+// NewKeeper returns a keeper that applies the permits it writes or finds to state.
 func NewKeeper(targets Targets, peers Peers, store objstore.Store, state *discovery.State, log *event.Log) *Keeper {
-	return &Keeper{targets: targets, peers: peers, store: store, state: state, log: log, since: map[string]time.Time{}, missing: map[string]time.Time{}}
+	return &Keeper{targets: targets, peers: peers, store: store, state: state, log: log, nextWrite: map[string]time.Time{}, unregisteredSince: map[string]time.Time{}}
 }
 
-// Start begins to write permits.
+// Start starts writing permits.
 func (k *Keeper) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// Stop ends that.
+// Stop stops writing permits, and waits until the last call has ended.
 func (k *Keeper) Stop(ctx context.Context) error {
 	k.cancel()
 	return await.Group(ctx, &k.done)
 }
 
 func (k *Keeper) run(ctx context.Context) {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
@@ -94,26 +95,26 @@
 		case <-ctx.Done():
 			return
 		}
-		for wanted := k.targets.ColdTargets(); len(wanted) > 0 && ctx.Err() == nil; wanted = k.targets.ColdTargets() {
-			k.writeDue(ctx, wanted)
-			await.Sleep(ctx, lookEvery)
+		for cold := k.targets.ColdTargets(); len(cold) > 0 && ctx.Err() == nil; cold = k.targets.ColdTargets() {
+			k.writeDue(ctx, cold)
+			await.Sleep(ctx, pollInterval)
 		}
-		clear(k.since)
+		clear(k.nextWrite)
 	}
 }
 
-// writeDue writes the permits whose turn at this host has come.
-func (k *Keeper) writeDue(ctx context.Context, wanted []gateway.ColdTarget) {
+// writeDue writes the permits for which it is this host's turn.
+func (k *Keeper) writeDue(ctx context.Context, cold []gateway.ColdTarget) {
 	var calls errgroup.Group
-	calls.SetLimit(mostCalls)
+	calls.SetLimit(maxConcurrentWrites)
 	var mu sync.Mutex
-	var got []discovery.Permit
+	var written []discovery.Permit
 	now := time.Now()
 	era, ok := k.state.MayPermit()
 	if !ok {
 		return
 	}
-	for _, t := range wanted {
+	for _, t := range cold {
 		if !k.due(now, t.ID) {
 			continue
 		}
@@ -121,64 +122,64 @@
 			permit, err := k.write(ctx, t, era)
 			if err != nil {
 				k.log.Event(evNotWritten).Str("target", t.ID).Err(err).Msg("")
-				return nil // it is tried again
+				return nil // retried after writeRetryDelay
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			got = append(got, permit)
+			written = append(written, permit)
 			return nil
 		})
 	}
-	_ = calls.Wait() // it never fails
-	if len(got) == 0 {
+	_ = calls.Wait() // the functions return no error
+	if len(written) == 0 {
 		return
 	}
-	k.state.ApplyPermits(got)
-	k.tell(ctx, got)
+	k.state.ApplyPermits(written)
+	k.sendPermits(ctx, written)
 }
 
-// tellTimeout bounds how long permits are told to one host.
-const tellTimeout = time.Second
+// sendTimeout bounds sending permits to the other hosts.
+const sendTimeout = time.Second
 
-// tell tells the other hosts of permits.
-func (k *Keeper) tell(ctx context.Context, all []discovery.Permit) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+// sendPermits sends permits to the other hosts.
+func (k *Keeper) sendPermits(ctx context.Context, permits []discovery.Permit) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	k.done.Go(func() {
 		defer cancel()
-		k.peers.TellPermits(ctx, all)
+		k.peers.TellPermits(ctx, permits)
 	})
 }
 
-// due reports whether this host is to write the permit of a target now.
+// due reports whether this host should write the permit of a target now.
 func (k *Keeper) due(now time.Time, target string) bool {
 	turn, writes := k.peers.TurnFor(target)
 	if !writes {
 		return false
 	}
-	from, seen := k.since[target]
+	at, seen := k.nextWrite[target]
 	if !seen {
-		from = now.Add(time.Duration(turn) * turnStep)
-		k.since[target] = from
+		at = now.Add(time.Duration(turn) * writerStagger)
+		k.nextWrite[target] = at
 	}
-	if now.Before(from) {
+	if now.Before(at) {
 		return false
 	}
-	k.since[target] = now.Add(retryAfter)
+	k.nextWrite[target] = now.Add(writeRetryDelay)
 	return true
 }
 
-// errNone means that a target bears too little for any host.
-var errNone = errors.New("the target bears less than one request a second")
+// errBoundTooLow means that the target's bound is too low to give any host a request.
+var errBoundTooLow = errors.New("the target's bound is less than one request per second")
 
-// errLaterEra means that the store came back from an older copy that this host has not heard of yet: other hosts
-// may go by a permit that the store has lost.
-var errLaterEra = errors.New("the store is in another era than the registry that this host knows")
+// errEraMismatch means that the store was restored from an older copy, which this host has not observed yet: other
+// hosts may use a permit that the store has lost.
+var errEraMismatch = errors.New("the era of the store differs from the era of this host's copy of the registry")
 
-// write writes the permit of a target, or reads the one that stands, in an era.
+// write writes the permit of a target in an era, or reads the existing one.
 func (k *Keeper) write(ctx context.Context, t gateway.ColdTarget, era uint64) (discovery.Permit, error) {
 	hosts, each := policy.DivideCold(t.Bound, t.ID, t.Hosts)
 	if each == 0 {
-		return discovery.Permit{}, Error.Wrap(errNone)
+		return discovery.Permit{}, Error.Wrap(errBoundTooLow)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -187,7 +188,7 @@
 		return permit, err
 	}
 	if permit.Era != era {
-		return discovery.Permit{}, Error.Wrap(errLaterEra)
+		return discovery.Permit{}, Error.Wrap(errEraMismatch)
 	}
 	k.log.Event(evPermit).Str("target", t.ID).Strs("hosts", permit.Hosts).Int("each", permit.Each).Msg("")
 	return permit, nil
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -18,14 +18,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// fakeTargets are cold targets until they have a permit.
+// fakeTargets provides cold targets until they have a permit.
 type fakeTargets struct {
-	state *discovery.State
-	cold  []gateway.ColdTarget
-	told  chan struct{}
+	state      *discovery.State
+	cold       []gateway.ColdTarget
+	becameCold chan struct{}
 }
 
-func (f *fakeTargets) BecameCold() <-chan struct{} { return f.told }
+func (f *fakeTargets) BecameCold() <-chan struct{} { return f.becameCold }
 
 func (f *fakeTargets) ColdTargets() []gateway.ColdTarget {
 	var all []gateway.ColdTarget
@@ -37,13 +37,13 @@
 	return all
 }
 
-// fakePeers is a host with a turn.
+// fakePeers gives a host a fixed turn.
 type fakePeers struct {
 	turn   int
 	writes bool
 
 	mu   sync.Mutex
-	told []discovery.Permit
+	sent []discovery.Permit
 }
 
 func (f *fakePeers) TurnFor(string) (int, bool) { return f.turn, f.writes }
@@ -51,7 +51,7 @@
 func (f *fakePeers) TellPermits(_ context.Context, all []discovery.Permit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = append(f.told, all...)
+	f.sent = append(f.sent, all...)
 }
 
 // keepers are hosts that write permits to one store.
@@ -62,29 +62,29 @@
 	peers    []*fakePeers
 }
 
-// startKeepers starts a host for each turn, none of which writes if that is negative.
+// startKeepers starts a host for each turn; hosts with a negative turn do not write.
 func startKeepers(t *testing.T, cold []gateway.ColdTarget, turns ...int) *keepers {
 	k := &keepers{platform: objstoretest.New()}
 	for range turns {
 		k.states = append(k.states, discovery.NewState())
 	}
-	know(k.states...)
+	setRegistryKnown(k.states...)
 	for i, turn := range turns {
 		client, state := k.platform.Client(), k.states[i]
 		peers := &fakePeers{turn: turn, writes: turn >= 0}
-		targets := &fakeTargets{state: state, cold: cold, told: make(chan struct{}, 1)}
+		targets := &fakeTargets{state: state, cold: cold, becameCold: make(chan struct{}, 1)}
 		keeper := NewKeeper(targets, peers, client, state, event.Discard())
 		if err := keeper.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = keeper.Stop(context.Background()) })
-		targets.told <- struct{}{}
+		targets.becameCold <- struct{}{}
 		k.clients, k.peers = append(k.clients, client), append(k.peers, peers)
 	}
 	return k
 }
 
-// permit returns the permit of a target that a host holds.
+// permit returns a host's copy of the permit of a target.
 func (k *keepers) permit(host int, target string) discovery.Permit {
 	return k.states[host].View().Permits[target]
 }
@@ -93,24 +93,24 @@
 	return gateway.ColdTarget{ID: id, Bound: 23, Hosts: hosts}
 }
 
-// The first in turn writes the permit and tells it; a host that does not watch the store writes none.
+// The first host in turn writes the permit and sends it; a host that does not watch the store writes none.
 func TestFirstInTurnWritesThePermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := startKeepers(t, []gateway.ColdTarget{coldTarget("i-1", "a", "b")}, 0, 1, -1)
-		time.Sleep(turnStep / 2)
+		time.Sleep(writerStagger / 2)
 		is.Equal(k.permit(0, "i-1").Of("a"), 10)
 		is.Equal(k.permit(0, "i-1").Of("b"), 10)
-		is.Equal(k.peers[0].told, []discovery.Permit{k.permit(0, "i-1")})
+		is.Equal(k.peers[0].sent, []discovery.Permit{k.permit(0, "i-1")})
 		is.Equal(k.permit(1, "i-1"), discovery.Permit{})
-		time.Sleep(turnStep)
-		is.Equal(k.permit(1, "i-1"), k.permit(0, "i-1")) // it was not told, and found it in the store
+		time.Sleep(writerStagger)
+		is.Equal(k.permit(1, "i-1"), k.permit(0, "i-1")) // it received no permit, and found it in the store
 		is.Equal(k.permit(2, "i-1"), discovery.Permit{})
 		is.Equal(len(k.platform.Objects(objstore.KindPermit)), 1)
 	})
 }
 
-// Hosts that know different others, and write at the same moment, hold the same permit.
+// Hosts that know different sets of hosts write at the same moment, and get the same permit.
 func TestOnePermitStands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,8 +124,9 @@
 	})
 }
 
-// An answer of the store is lost, or the store is away for a while: the permit that stands is found later.
-func TestPermitIsFoundAfterTrouble(t *testing.T) {
+// A request to the store or its answer is lost, or the store is down or slow for a while: the permit is found
+// later.
+func TestPermitIsFoundAfterStoreFailure(t *testing.T) {
 	for name, trouble := range map[string]func(c *objstoretest.Client){
 		"answer lost":  func(c *objstoretest.Client) { c.LoseNextAnswers(1) },
 		"request lost": func(c *objstoretest.Client) { c.LoseNextRequests(1) },
@@ -140,11 +141,11 @@
 				is := is.New(t)
 				k := startKeepers(t, nil, 0)
 				trouble(k.clients[0])
-				targets := &fakeTargets{state: k.states[0], cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, told: make(chan struct{}, 1)}
+				targets := &fakeTargets{state: k.states[0], cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, becameCold: make(chan struct{}, 1)}
 				keeper := NewKeeper(targets, k.peers[0], k.clients[0], k.states[0], event.Discard())
 				is.NoErr(keeper.Start(t.Context()))
 				t.Cleanup(func() { _ = keeper.Stop(context.Background()) })
-				targets.told <- struct{}{}
+				targets.becameCold <- struct{}{}
 				time.Sleep(3 * time.Second)
 				is.Equal(k.permit(0, "i-1").Of("a"), 21)
 			})
@@ -152,8 +153,8 @@
 	}
 }
 
-// The store came back from an older copy, without a permit by which other hosts may still go, and this host has not heard of
-// that: a permit that it writes then counts on no host before the others have ceased to go by theirs.
+// The store was restored from an older copy, without a permit that other hosts may still use, and this host
+// has not observed that: its permit must not apply on any host before the others have stopped using theirs.
 func TestPermitWrittenAfterAnUnheardRestoreWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -161,24 +162,24 @@
 		state, client := k.states[0], k.clients[0]
 		k.platform.Restore(k.platform.Copy())
 		peers := k.peers[0]
-		targets := &fakeTargets{state: state, cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, told: make(chan struct{}, 1)}
+		targets := &fakeTargets{state: state, cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, becameCold: make(chan struct{}, 1)}
 		keeper := NewKeeper(targets, peers, client, state, event.Discard())
 		is.NoErr(keeper.Start(t.Context()))
 		t.Cleanup(func() { _ = keeper.Stop(context.Background()) })
-		targets.told <- struct{}{}
+		targets.becameCold <- struct{}{}
 		time.Sleep(time.Second)
 		state.ApplyTargets(discovery.TargetList{Revision: revision.Revision{Era: 1, Number: 1}}, time.Now())
-		time.Sleep(knownFor - time.Second)
+		time.Sleep(registryKnownFor - time.Second)
 		is.Equal(k.permit(0, "i-1"), discovery.Permit{})
-		is.Equal(len(peers.told), 0)
+		is.Equal(len(peers.sent), 0)
 		time.Sleep(2 * time.Second)
 		is.Equal(k.permit(0, "i-1").Of("a"), 21)
-		is.True(len(peers.told) > 0)
+		is.True(len(peers.sent) > 0)
 	})
 }
 
-// What another writer left in place of a permit is none, and the target gets nothing while it is cold.
-func TestForeignPermitIsNone(t *testing.T) {
+// An object that is not a valid permit is refused, and the target gets no requests while it is cold.
+func TestInvalidPermitIsRejected(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{`{}`, `7`, `{"target":"i-2","hosts":["a"],"each":3}`, `{"target":"i-1","hosts":[],"each":3}`, `{"target":"i-1","hosts":["a"],"each":0}`, `{"target":"i-1","hosts":"a","each":3}`} {
 		_, err := decode("i-1", objstore.Object{Value: []byte(text)})
@@ -186,8 +187,8 @@
 	}
 }
 
-// Permits of targets that are long gone leave the store, after every host has forgotten them; that of a target that is
-// registered, or was until just now, stays.
+// Permits of targets unregistered long ago are removed from the store, after every host has dropped them. The
+// permit of a target that is registered, or was until recently, stays.
 func TestPermitsOfTargetsLongGoneAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -203,23 +204,23 @@
 			<-expire.C
 			state.Expire(time.Now())
 		}
-		is.Equal(len(state.View().Permits), 2) // it may come back
+		is.Equal(len(state.View().Permits), 2) // the target may register again
 		for range 5 {
 			<-expire.C
 			state.Expire(time.Now())
 		}
 		is.Equal(len(state.View().Permits), 1)
-		is.Equal(len(k.platform.Objects(objstore.KindPermit)), 2) // other hosts may go by it
-		time.Sleep(storeKeeps)
+		is.Equal(len(k.platform.Objects(objstore.KindPermit)), 2) // other hosts may still use it
+		time.Sleep(unregisteredRetention)
 		left := k.platform.Objects(objstore.KindPermit)
 		is.Equal(len(left), 1)
 		is.Equal(left[0].Name, "there")
 	})
 }
 
-// Whatever stands in the store in place of a permit, it is read or refused.
+// Any object in place of a permit is decoded or refused.
 func FuzzPermit(f *testing.F) {
-	text, err := json.Marshal(stored{Target: "i-1", Hosts: []string{"a", "b"}, Each: 3})
+	text, err := json.Marshal(storedPermit{Target: "i-1", Hosts: []string{"a", "b"}, Each: 3})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -233,16 +234,17 @@
 	})
 }
 
-// at returns a revision of a store that tells no era.
+// at returns a revision of a store that sends no era.
 func at(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// knownFor is for how long hosts know the registry before targets are cold: longer than it takes until permits may be written.
-const knownFor = 5 * time.Second
+// registryKnownFor is how long hosts have had the registry when targets become cold: longer than it takes
+// until permits may be written.
+const registryKnownFor = 5 * time.Second
 
-// know lets hosts know the registry of the store for a while.
-func know(states ...*discovery.State) {
+// setRegistryKnown gives hosts the registry and waits for registryKnownFor.
+func setRegistryKnown(states ...*discovery.State) {
 	for _, state := range states {
 		state.ApplyTargets(discovery.TargetList{Revision: at(1)}, time.Now())
 	}
-	time.Sleep(knownFor)
+	time.Sleep(registryKnownFor)
 }
--- a/internal/warmup/sweep.go
+++ b/internal/warmup/sweep.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// sweepEvery is the time between two looks at the permits in the store.
-	sweepEvery = 10 * time.Minute
-	// storeKeeps is for how long the store keeps the permit of a target that is not registered: longer than
-	// any host does, so that a target that comes back has no second one.
-	storeKeeps = 2 * discovery.KeepPermits
-	// sweepKey names the sweep among what the hosts that watch the store divide.
+	// sweepInterval is the time between two sweeps of the permits in the store.
+	sweepInterval = 10 * time.Minute
+	// unregisteredRetention is how long the store keeps the permit of an unregistered target: longer than any
+	// host does, so that a target that registers again never gets a second permit.
+	unregisteredRetention = 2 * discovery.KeepPermits
+	// sweepKey identifies the sweep in Peers.TurnFor.
 	sweepKey = "sweep of permits"
 )
 
-// sweep removes the permits of targets that are long gone, on one of the hosts that write them.
+// sweep removes the permits of targets that were unregistered long ago, on one of the hosts that write them.
 func (k *Keeper) sweep(ctx context.Context) {
 	if turn, writes := k.peers.TurnFor(sweepKey); !writes || turn > 0 {
-		clear(k.missing) // another host counts
+		clear(k.unregisteredSince) // another host sweeps
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, sweepEvery/2)
+	ctx, cancel := context.WithTimeout(ctx, sweepInterval/2)
 	defer cancel()
 	listing, err := k.store.List(ctx, objstore.KindPermit)
 	if err != nil {
@@ -41,17 +41,17 @@
 		if registered[o.Name] {
 			continue
 		}
-		since, known := k.missing[o.Name]
+		since, known := k.unregisteredSince[o.Name]
 		if !known {
 			since = now
 		}
 		missing[o.Name] = since
-		if now.Sub(since) < storeKeeps {
+		if now.Sub(since) < unregisteredRetention {
 			continue
 		}
 		if err := k.store.Delete(ctx, objstore.KindPermit, o.Name, o.Version); err != nil {
 			k.log.Event(evNotRemoved).Str("target", o.Name).Err(err).Msg("")
 		}
 	}
-	k.missing = missing
+	k.unregisteredSince = missing
 }
