--- a/internal/policy/budget.go
+++ b/internal/policy/budget.go
@@ -3,106 +3,107 @@
 import "time"
 
 const (
-	// DefaultHedgeBudget is the hedges allowed per first try.
+	// DefaultHedgeBudget is the number of hedges allowed per first attempt.
 	DefaultHedgeBudget = 0.05
-	// DefaultRetryBudget is the retries allowed per first try.
+	// DefaultRetryBudget is the number of retries allowed per first attempt.
 	DefaultRetryBudget = 0.10
 
-	budgetBurst = 5.0 // tokens kept at most, of a budget that is not shared
-	budgetShare = 0.8 // of the ratio that is earned; the rest is for bursts
-	budgetFloor = 0.1 // tokens a second that come at least, of a budget that is not shared
-	floorPeriod = time.Second
+	budgetBurstTokens  = 5.0 // burst of a budget that is not shared
+	earnedFraction     = 0.8 // fraction of the ratio that first attempts earn; the rest covers bursts
+	minTokensPerSecond = 0.1 // minimum refill rate of a budget that is not shared
+	refillPeriod       = time.Second
 )
 
-// Budget bounds extra attempts to a ratio of the first tries. Over any span
-// of time it allows at most 0.8 * ratio * first tries + floor * seconds + burst,
-// so that the burst stays within the ratio once a hundred first tries or so
-// have been sent. The
-// floor comes only where the first tries earn less, so that a service with few
-// requests can retry at all; it is too small to matter to a target.
+// Budget is a token bucket that bounds extra attempts (hedges, retries) to a
+// ratio of the first attempts. Over any span of time it allows at most 0.8 *
+// ratio * first attempts + minimum rate * seconds + burst, so that the burst
+// stays within the ratio after about a hundred first attempts. The minimum rate
+// applies only where first attempts earn less, so that a service with few
+// requests can retry at all; it is too low to load a target.
 type Budget struct {
-	ratio  float64
-	burst  float64 // tokens kept at most
-	floor  float64 // tokens a second that come at least
-	tokens float64
-	earned float64 // by first tries since the last floor
-	lately float64 // by first tries in the period before that
-	shared bool    // keeps part of what was earned lately
-	last   time.Time
+	ratio            float64 // ratio of extra attempts that first attempts earn
+	burst            float64 // maximum number of tokens, unless earnings raise it; see maxTokens
+	minRate          float64 // minimum refill rate, tokens per second
+	tokens           float64
+	earnedThisPeriod float64   // tokens earned by first attempts since periodStart
+	earnedLastPeriod float64   // tokens earned in the previous period, per refillPeriod
+	shared           bool      // share of an Allowance: earnings of the previous period raise the maximum
+	periodStart      time.Time // start of the current refill period
 }
 
-// NewBudget returns a budget of ratio extra attempts per first try. A ratio
+// NewBudget returns a budget of ratio extra attempts per first attempt. A ratio
 // of zero or less allows none.
 func NewBudget(ratio float64) *Budget {
-	return &Budget{ratio: budgetShare * ratio, burst: budgetBurst, floor: budgetFloor}
+	return &Budget{ratio: earnedFraction * ratio, burst: budgetBurstTokens, minRate: minTokensPerSecond}
 }
 
-// Allowance is what all hosts together may add to the first tries: Ratio extra
-// attempts per first try and Slack more in any span of Window.
+// Allowance bounds the extra attempts of all hosts together: Ratio extra
+// attempts per first attempt, plus Slack in any span of Window.
 type Allowance struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Parts of a host's share of the slack. Together with the ratio they leave a
-// fifth of the slack for hosts that count too few others, or restart.
+// Fractions of a host's share of the slack. With earnedFraction they leave a
+// fifth of the slack unused, for hosts that undercount the others or restart.
 const (
-	slackBurst = 0.5 // may be spent at once
-	slackFloor = 0.3 // comes back in the course of a window
+	burstSlackFraction  = 0.5 // available at once
+	refillSlackFraction = 0.3 // refilled in the course of one window
 )
 
-// earnedBurst is how many periods' earnings a shared budget keeps at least. A host
-// that does the work of many has their earnings but only its own share of the slack,
-// and a pause of one target calls for several further attempts at once. It is less than a
-// tenth of what the ratio allows over ten periods, and a fifth of that is never earned.
-const earnedBurst = 0.7
+// burstEarningPeriods is the number of periods whose earnings a shared budget
+// can hold, at the least. A host that gathers for many others has their
+// earnings but only its own share of the slack, and a pause of one target calls
+// for several extra attempts at once. 0.7 periods are less than a tenth of what
+// the ratio allows over ten periods, and a fifth of that is never earned.
+const burstEarningPeriods = 0.7
 
-// NewShare returns the part of one of several hosts in an allowance; see SetShare. It
-// may be spent from the start: a host whose share is less than one attempt a window could
-// not hedge at all otherwise.
+// NewShare returns one host's share of an allowance; see SetShare. The burst is
+// available from the start: otherwise a host whose share is less than one
+// attempt per window could not hedge at all.
 func NewShare(a Allowance, weight, draw float64) *Budget {
-	b := &Budget{ratio: budgetShare * a.Ratio, shared: true}
+	b := &Budget{ratio: earnedFraction * a.Ratio, shared: true}
 	b.SetShare(a, weight, draw)
 	b.tokens = b.burst
 	return b
 }
 
-// SetShare changes the weight of this host among those that share the allowance, 0 to 1;
-// the weights of all are 1 at most. Where that is less than one attempt at once, draw,
-// from 0 to 1 and different on each host, picks the hosts that get a whole one: one for
-// each would come to many times the slack where hosts are many. What was earned is kept
-// as far as it fits.
+// SetShare sets the weight of this host among those that share the allowance, 0
+// to 1; the weights of all hosts sum to at most 1. Where the burst of a share
+// is less than one attempt, draw, from 0 to 1 and different on each host,
+// selects the hosts that get a burst of one; one for every host would exceed
+// the slack many times in a large fleet. Tokens are kept up to the new maximum.
 func (b *Budget) SetShare(a Allowance, weight, draw float64) {
 	share := a.Slack * weight
-	b.burst, b.floor = slackBurst*share, slackFloor*share/a.Window.Seconds()
+	b.burst, b.minRate = burstSlackFraction*share, refillSlackFraction*share/a.Window.Seconds()
 	if b.burst < 1 {
 		if draw < b.burst {
-			b.floor /= b.burst
+			b.minRate /= b.burst
 			b.burst = 1
 		} else {
-			b.burst, b.floor = 0, 0
+			b.burst, b.minRate = 0, 0
 		}
 	}
-	b.tokens = min(b.tokens, b.most())
+	b.tokens = min(b.tokens, b.maxTokens())
 }
 
-// First counts a first try, which earns its part of an extra attempt.
+// First records a first attempt, which earns a fraction of a token.
 func (b *Budget) First(now time.Time) {
 	if b.ratio <= 0 {
 		return
 	}
-	b.raise(now)
-	b.earned += b.ratio
-	b.tokens = min(b.tokens+b.ratio, b.most())
+	b.refill(now)
+	b.earnedThisPeriod += b.ratio
+	b.tokens = min(b.tokens+b.ratio, b.maxTokens())
 }
 
-// Take spends one extra attempt, and reports false if the budget is used up.
+// Take spends one token, and returns false if there is none.
 func (b *Budget) Take(now time.Time) bool {
 	if b.ratio <= 0 {
 		return false
 	}
-	b.raise(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -110,25 +111,26 @@
 	return true
 }
 
-// most returns the tokens kept at most.
-func (b *Budget) most() float64 {
+// maxTokens returns the capacity of the bucket.
+func (b *Budget) maxTokens() float64 {
 	if !b.shared {
 		return b.burst
 	}
-	return max(b.burst, earnedBurst*b.lately, 1)
+	return max(b.burst, burstEarningPeriods*b.earnedLastPeriod, 1)
 }
 
-// raise adds what the floor gives above the first tries, once a period.
-func (b *Budget) raise(now time.Time) {
-	if b.last.IsZero() {
-		b.last = now
+// refill adds, once per period, what the minimum rate gives above the earnings
+// of that period.
+func (b *Budget) refill(now time.Time) {
+	if b.periodStart.IsZero() {
+		b.periodStart = now
 	}
-	past := now.Sub(b.last)
-	if past < floorPeriod {
+	elapsed := now.Sub(b.periodStart)
+	if elapsed < refillPeriod {
 		return
 	}
-	missing := max(b.floor*past.Seconds()-b.earned, 0)
-	b.lately = b.earned * floorPeriod.Seconds() / past.Seconds()
-	b.tokens = min(b.tokens+missing, b.most())
-	b.earned, b.last = 0, now
+	shortfall := max(b.minRate*elapsed.Seconds()-b.earnedThisPeriod, 0)
+	b.earnedLastPeriod = b.earnedThisPeriod * refillPeriod.Seconds() / elapsed.Seconds()
+	b.tokens = min(b.tokens+shortfall, b.maxTokens())
+	b.earnedThisPeriod, b.periodStart = 0, now
 }
--- a/internal/policy/callers.go
+++ b/internal/policy/callers.go
@@ -3,123 +3,130 @@
 import "time"
 
 const (
-	// unknownRoundTrip is taken where the network does not tell the round trip to
-	// a caller: a safe prior, as an answer that leaves a few milliseconds early
-	// loses little and one that comes late loses nearly all.
-	unknownRoundTrip = 12 * time.Millisecond
-	// writeLagFirst is the prior of how late an answer leaves after it was due:
-	// a late timer, the merge and the write.
-	writeLagFirst = 3 * time.Millisecond
-	// writeLagLeast keeps the estimate able to grow again.
-	writeLagLeast = 500 * time.Microsecond
-	// mostReserve is the part of the objective that is kept at most, whatever
-	// was observed.
-	mostReserve = 0.5
+	// defaultRoundTrip stands in for the round trip to a caller where the
+	// network does not measure it. It is on the high side: an answer that leaves
+	// a few milliseconds early loses little, a late one loses nearly everything.
+	defaultRoundTrip = 12 * time.Millisecond
+	// initialWriteLag is the initial estimate of the delay between the time an
+	// answer is due and the time it is written: timer latency, merge and write.
+	initialWriteLag = 3 * time.Millisecond
+	// minWriteLag keeps the estimate above zero, so that it can grow again.
+	minWriteLag = 500 * time.Microsecond
+	// maxReserveFraction bounds the part of the objective that is reserved,
+	// whatever was observed.
+	maxReserveFraction = 0.5
 
-	// lateShare is the part of the objective that a caller has spent when its
-	// request is taken to be late: too little is left to be in time.
-	lateShare = 0.8
-	// likeShare is the least part of the usual time that a repeat still has. A
-	// caller that waits for less is one of another kind, not a late one.
-	likeShare = 0.25
-	// waitVotes bounds how long a time that callers no longer wait is taken to
-	// be the usual one: so many requests with another one outvote it.
-	waitVotes = 100
-	// waitDecay is the part by which the longest wait seen falls with each
-	// request, while no kept connection tells the usual one.
-	waitDecay = 0.01
+	// lateSpentFraction is the part of the objective that, once spent before the
+	// request arrived, makes the request late: too little is left to answer in
+	// time.
+	lateSpentFraction = 0.8
+	// minRetryWaitFraction is the smallest remaining wait of a retry, as a part
+	// of the wait at a first attempt. A caller with a shorter one has another
+	// timeout and is not a late retry.
+	minRetryWaitFraction = 0.25
+	// maxWaitVotes bounds the votes for commonWait, so that as many requests
+	// with another wait replace it after callers change their timeout.
+	maxWaitVotes = 100
+	// longestWaitDecay is the part by which the longest observed wait falls with
+	// each request. That wait is used while no reused connection has shown the
+	// common one.
+	longestWaitDecay = 0.01
 )
 
-// Arrival is what a host sees of a caller when it has read its request.
+// Arrival describes a request as it was read from its caller.
 type Arrival struct {
 	At        time.Time
-	RoundTrip time.Duration // to the caller and back, with its variation; 0: not known
-	Waits     time.Duration // that the caller waits from here on; 0: not said
-	First     bool          // the first request on its connection
+	RoundTrip time.Duration // to the caller and back, variation included; 0: unknown
+	Waits     time.Duration // remaining time that the caller waits for the answer; 0: not stated
+	First     bool          // first request on its connection
 }
 
-// Callers learns what part of a route's objective is left when a request is
-// read, and how much of it the answer's way back takes. An objective counts from
-// the moment at which a caller wants its answer to the moment at which it has
-// it: a new connection, an earlier attempt and the network take their part.
+// Callers estimates, for one route, how much of the objective is left when a
+// request is read, and how much of it the way of the answer takes. An objective
+// counts from the moment a caller wants its answer to the moment it has it;
+// connection setup, an earlier attempt and the network spend part of it.
 //
-// It answers the load pattern of targets that pause or are silent: every query
-// that lacks a part then leaves at the last moment, and a fixed reserve that is
-// too short for one deployment makes all these answers late.
+// It serves the load pattern of targets that pause or do not answer: every
+// query that lacks a part is then answered at the last moment, and a fixed
+// reserve that is too short for one deployment makes all these answers late.
 type Callers struct {
-	usual   time.Duration // that callers wait at their first attempt
-	votes   int           // for usual, by requests on kept connections
-	longest time.Duration // wait seen, decaying
-	lag     Tail          // of how late answers leave
+	commonWait      time.Duration // most frequent remaining wait on reused connections
+	commonWaitVotes int           // majority vote for commonWait
+	longestWait     time.Duration // longest remaining wait observed, decaying
+	writeLag        TailEstimate  // delay between the time an answer is due and the time it is written
 }
 
-// NewCallers returns what is known of the callers of a route without requests.
-func NewCallers() Callers { return Callers{lag: NewTail(writeLagFirst, writeLagLeast)} }
+// NewCallers returns the estimates of a route before its first request.
+func NewCallers() Callers { return Callers{writeLag: NewTailEstimate(initialWriteLag, minWriteLag)} }
 
-// Observe takes one arrival into account, before it is judged.
+// Observe records an arrival. Call it before Late or AnswerBy for the same
+// arrival.
 func (c *Callers) Observe(a Arrival) {
 	if a.Waits <= 0 {
 		return
 	}
-	c.longest = max(c.longest-time.Duration(waitDecay*float64(c.longest)), a.Waits)
+	c.longestWait = max(c.longestWait-time.Duration(longestWaitDecay*float64(c.longestWait)), a.Waits)
 	if a.First {
-		return // part of its time may be spent
+		return // connection setup or an earlier attempt may have spent part of its wait
 	}
 	switch {
-	case a.Waits == c.usual:
-		c.votes = min(c.votes+1, waitVotes)
-	case c.votes > 0:
-		c.votes--
+	case a.Waits == c.commonWait:
+		c.commonWaitVotes = min(c.commonWaitVotes+1, maxWaitVotes)
+	case c.commonWaitVotes > 0:
+		c.commonWaitVotes--
 	default:
-		c.usual, c.votes = a.Waits, 1
+		c.commonWait, c.commonWaitVotes = a.Waits, 1
 	}
 }
 
-// usualWait is the time that callers wait at their first attempt; 0: not known.
-func (c *Callers) usualWait() time.Duration {
-	if c.votes > 0 {
-		return c.usual
+// firstAttemptWait returns how long callers wait at their first attempt; 0:
+// unknown.
+func (c *Callers) firstAttemptWait() time.Duration {
+	if c.commonWaitVotes > 0 {
+		return c.commonWait
 	}
-	return c.longest
+	return c.longestWait
 }
 
-// Spent returns how long ago the caller began to wait when it sent the request.
+// Spent returns how long before sending the request the caller began to wait.
 func (c *Callers) Spent(a Arrival) time.Duration {
 	if !a.First {
 		return 0
 	}
-	opening := a.RoundTrip
-	if a.Waits <= 0 || !c.alike(a) {
-		return opening
+	connectTime := a.RoundTrip
+	if a.Waits <= 0 || !c.mayBeRetry(a) {
+		return connectTime
 	}
-	return max(c.usualWait()-a.Waits, opening)
+	return max(c.firstAttemptWait()-a.Waits, connectTime)
 }
 
-// alike reports whether the caller may be one of the usual kind.
-func (c *Callers) alike(a Arrival) bool {
-	return a.Waits > time.Duration(likeShare*float64(c.usualWait()))
+// mayBeRetry reports whether the remaining wait is long enough for a retry by a
+// caller with the common timeout.
+func (c *Callers) mayBeRetry(a Arrival) bool {
+	return a.Waits > time.Duration(minRetryWaitFraction*float64(c.firstAttemptWait()))
 }
 
-// Late reports whether the caller has spent most of the objective before it sent
-// the request: an earlier attempt was refused or lost.
+// Late reports whether the caller spent most of the objective before it sent
+// the request, because an earlier attempt was refused or lost.
 func (c *Callers) Late(a Arrival, objective time.Duration) bool {
-	return objective > 0 && a.Waits > 0 && c.Spent(a) > time.Duration(lateShare*float64(objective))
+	return objective > 0 && a.Waits > 0 && c.Spent(a) > time.Duration(lateSpentFraction*float64(objective))
 }
 
 // AnswerBy returns when an answer that lacks parts must leave to reach its
-// caller within the objective. For a late request that moment is counted anew
-// from its arrival.
+// caller within the objective. For a late request the objective counts from its
+// arrival.
 func (c *Callers) AnswerBy(a Arrival, objective time.Duration) time.Time {
-	reserve := a.RoundTrip
-	if reserve <= 0 {
-		reserve = unknownRoundTrip
+	reserved := a.RoundTrip
+	if reserved <= 0 {
+		reserved = defaultRoundTrip
 	}
-	reserve += c.lag.Estimate()
+	reserved += c.writeLag.Estimate()
 	if !c.Late(a, objective) {
-		reserve += c.Spent(a)
+		reserved += c.Spent(a)
 	}
-	return a.At.Add(objective - min(reserve, time.Duration(mostReserve*float64(objective))))
+	return a.At.Add(objective - min(reserved, time.Duration(maxReserveFraction*float64(objective))))
 }
 
-// Wrote tells how long after it was due an answer that lacks parts had left.
-func (c *Callers) Wrote(lag time.Duration) { c.lag.Observe(lag) }
+// Wrote records the delay between the time an answer that lacks parts was due
+// and the time it was written.
+func (c *Callers) Wrote(lag time.Duration) { c.writeLag.Observe(lag) }
--- a/internal/policy/callers_test.go
+++ b/internal/policy/callers_test.go
@@ -9,24 +9,25 @@
 
 const callerObjective = 100 * time.Millisecond
 
-func waits(d time.Duration) Arrival {
+// newArrival returns a first request on its connection, whose caller waits for d more.
+func newArrival(d time.Duration) Arrival {
 	return Arrival{At: time.Unix(100, 0), Waits: d, First: true}
 }
 
-func TestLateRepeatIsToldByTheTimeThatItsCallerWaits(t *testing.T) {
+func TestLateRetryIsDetectedByItsRemainingWait(t *testing.T) {
 	is := is.New(t)
 	c := NewCallers()
 	late := func(d time.Duration) bool {
-		c.Observe(waits(d))
-		return c.Late(waits(d), callerObjective)
+		c.Observe(newArrival(d))
+		return c.Late(newArrival(d), callerObjective)
 	}
 	is.True(!late(600 * time.Millisecond))
-	is.True(!late(540 * time.Millisecond)) // came back at once, in time
+	is.True(!late(540 * time.Millisecond)) // retried at once after a refusal, in time
 	is.True(late(400 * time.Millisecond))
-	is.True(!late(100 * time.Millisecond)) // a caller of another kind
-	is.True(!late(0))                      // one that does not say
-	is.True(!c.Late(waits(400*time.Millisecond), 0))
-	is.True(!late(30 * time.Second)) // one that waits for long counts only for a while
+	is.True(!late(100 * time.Millisecond)) // a caller with another timeout
+	is.True(!late(0))                      // not stated
+	is.True(!c.Late(newArrival(400*time.Millisecond), 0))
+	is.True(!late(30 * time.Second)) // a long wait counts only until it has decayed
 	for range 500 {
 		late(600 * time.Millisecond)
 	}
@@ -34,8 +35,8 @@
 	is.True(late(400 * time.Millisecond))
 }
 
-// Requests on kept connections tell what callers wait at first, so one caller in
-// 25 that waits for longer makes no repeat of the others.
+// Requests on reused connections show the common wait, so one caller in 25 with a longer
+// timeout does not make the requests of the others look like late retries.
 func TestPatientCallersMakeNobodyLate(t *testing.T) {
 	is := is.New(t)
 	c := NewCallers()
@@ -46,19 +47,19 @@
 		}
 		c.Observe(a)
 		if i > 1 {
-			is.True(!c.Late(waits(790*time.Millisecond), callerObjective))
+			is.True(!c.Late(newArrival(790*time.Millisecond), callerObjective))
 		}
 	}
-	is.True(c.Late(waits(700*time.Millisecond), callerObjective))
+	is.True(c.Late(newArrival(700*time.Millisecond), callerObjective))
 }
 
 func TestAnswerLeavesInTimeForItsCaller(t *testing.T) {
 	const full = 800 * time.Millisecond
 	for name, x := range map[string]struct {
 		arrival Arrival
-		want    time.Duration // after the arrival, before the lag of the write
+		want    time.Duration // after the arrival, without the write lag
 	}{
-		"nothing known":         {Arrival{First: true}, callerObjective - unknownRoundTrip},
+		"nothing known":         {Arrival{First: true}, callerObjective - defaultRoundTrip},
 		"near, kept connection": {Arrival{RoundTrip: time.Millisecond, Waits: full}, 99 * time.Millisecond},
 		"far, kept connection":  {Arrival{RoundTrip: 16 * time.Millisecond, Waits: full}, 84 * time.Millisecond},
 		"far, new connection":   {Arrival{RoundTrip: 16 * time.Millisecond, Waits: full - 17*time.Millisecond, First: true}, 67 * time.Millisecond},
@@ -71,7 +72,7 @@
 			c := NewCallers()
 			c.Observe(Arrival{Waits: full})
 			x.arrival.At = time.Unix(100, 0)
-			want := x.want - writeLagFirst
+			want := x.want - initialWriteLag
 			if name == "very far" {
 				want = x.want
 			}
@@ -92,5 +93,5 @@
 	for range 2000 {
 		c.Wrote(0)
 	}
-	is.Equal(c.AnswerBy(a, callerObjective).Sub(a.At), callerObjective-2*time.Millisecond-writeLagLeast)
+	is.Equal(c.AnswerBy(a, callerObjective).Sub(a.At), callerObjective-2*time.Millisecond-minWriteLag)
 }
--- a/internal/policy/choose.go
+++ b/internal/policy/choose.go
@@ -2,21 +2,21 @@
 
 import "math/rand/v2"
 
-// remotePenalty is how much more a choice in another failure domain must cost
-// less to be taken: a hop of a millisecond and a link that may be cut.
+// remotePenalty multiplies the cost of options in other failure domains, for a
+// hop of about a millisecond and a link that may be cut.
 const remotePenalty = 1.25
 
-// Option is one replica or relay that may be asked.
+// Option is a candidate replica, relay or helper for one attempt.
 type Option struct {
-	Cost   float64 // expected time, or work in flight; lower is better
-	Local  bool    // in the own failure domain
-	Barred bool    // ejected, leaving or suspect: only when nothing else is left
+	Cost   float64 // expected time, or requests in flight; lower is better
+	Local  bool    // in the host's own failure domain
+	Barred bool    // ejected, leaving or suspect: chosen only if no other option exists
 }
 
-// Choose returns the index of the option to ask, -1 if there is none: of two
-// taken at random the cheaper one, the own failure domain first unless it is
-// the more loaded. Two choices keep the hosts from all running to the one
-// that looks best at the moment.
+// Choose returns the index of the option to use, -1 if there is none: the
+// cheaper of two random options, where remotePenalty favours the own failure
+// domain. Power of two choices keeps hosts from all selecting the option that
+// looks best at the moment.
 func Choose(rng *rand.Rand, options []Option) int {
 	open := candidates(options)
 	switch len(open) {
@@ -31,12 +31,14 @@
 		j++
 	}
 	a, b := open[i], open[j]
-	if options[b].weight() < options[a].weight() {
+	if options[b].weightedCost() < options[a].weightedCost() {
 		return b
 	}
 	return a
 }
 
+// candidates returns the indexes of the options that are not barred, or of all
+// if every one is.
 func candidates(options []Option) []int {
 	var open, barred []int
 	for i, o := range options {
@@ -52,7 +54,8 @@
 	return open
 }
 
-func (o Option) weight() float64 {
+// weightedCost returns the cost including remotePenalty.
+func (o Option) weightedCost() float64 {
 	if o.Local {
 		return o.Cost
 	}
--- a/internal/policy/class.go
+++ b/internal/policy/class.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// class is the requests of one urgency that wait, in the order of arrival.
-type class[T any] struct {
-	waiting      []*Waiter[T]
-	shortAt      time.Time // when the queue was last short
-	overloadedAt time.Time // when one was last refused for want of room
+// waitList holds the waiting requests of one urgency class, in the order of
+// arrival.
+type waitList[T any] struct {
+	waiting        []*Waiter[T]
+	lastShortAt    time.Time // when the list was last no longer than the length that may stand
+	lastEvictionAt time.Time // when a request was last evicted for lack of room
 }
 
-func (c *class[T]) len() int { return len(c.waiting) }
+func (c *waitList[T]) len() int { return len(c.waiting) }
 
-func (c *class[T]) add(w *Waiter[T]) { c.waiting = append(c.waiting, w) }
+func (c *waitList[T]) add(w *Waiter[T]) { c.waiting = append(c.waiting, w) }
 
-func (c *class[T]) overloaded(now time.Time) bool {
-	return !c.overloadedAt.IsZero() && now.Sub(c.overloadedAt) < overloadHold
+// overloaded reports whether a request was evicted recently.
+func (c *waitList[T]) overloaded(now time.Time) bool {
+	return !c.lastEvictionAt.IsZero() && now.Sub(c.lastEvictionAt) < overloadSpan
 }
 
-// noteLength is called after each change with the length that may stand.
-func (c *class[T]) noteLength(now time.Time, short int) {
-	if c.len() <= short || c.shortAt.IsZero() {
-		c.shortAt = now
+// recordLength records the length after a change; short is the length that may
+// stand.
+func (c *waitList[T]) recordLength(now time.Time, short int) {
+	if c.len() <= short || c.lastShortAt.IsZero() {
+		c.lastShortAt = now
 	}
 }
 
-// standing reports whether the queue has been long for so long that no burst
-// explains it.
-func (c *class[T]) standing(now time.Time) bool { return now.Sub(c.shortAt) > burstSpan }
+// standing reports whether the list has been too long for longer than a burst
+// lasts.
+func (c *waitList[T]) standing(now time.Time) bool { return now.Sub(c.lastShortAt) > maxBurstSpan }
 
-// below returns how many have a lower rank.
-func (c *class[T]) below(rank float64) int {
+// countBelow returns the number of requests with a lower rank.
+func (c *waitList[T]) countBelow(rank float64) int {
 	n := 0
 	for _, w := range c.waiting {
 		if w.Rank < rank {
@@ -39,32 +42,32 @@
 	return n
 }
 
-// take removes and returns the first that fits, by rank or by arrival; nil if
-// none does. fits is asked again only of those that are next in turn.
-func (c *class[T]) take(ranked bool, fits func(T) bool) *Waiter[T] {
+// removeNext removes and returns the first request that fits, by rank or by
+// arrival; nil if none does. Requests after it are not passed to fits.
+func (c *waitList[T]) removeNext(ranked bool, fits func(T) bool) *Waiter[T] {
 	if !ranked {
-		return c.takeFirst(fits)
+		return c.removeFirst(fits)
 	}
-	return c.takeLowest(fits)
+	return c.removeLowestRank(fits)
 }
 
-func (c *class[T]) takeFirst(fits func(T) bool) *Waiter[T] {
+func (c *waitList[T]) removeFirst(fits func(T) bool) *Waiter[T] {
 	for i, w := range c.waiting {
 		if fits == nil || fits(w.Item) {
-			c.drop(i)
+			c.removeAt(i)
 			return w
 		}
 	}
 	return nil
 }
 
-func (c *class[T]) takeLowest(fits func(T) bool) *Waiter[T] {
+func (c *waitList[T]) removeLowestRank(fits func(T) bool) *Waiter[T] {
 	refused := make(map[*Waiter[T]]bool)
 	for len(refused) < len(c.waiting) {
-		i := c.lowest(refused)
+		i := c.lowestRank(refused)
 		w := c.waiting[i]
 		if fits == nil || fits(w.Item) {
-			c.drop(i)
+			c.removeAt(i)
 			return w
 		}
 		refused[w] = true
@@ -72,51 +75,51 @@
 	return nil
 }
 
-func (c *class[T]) lowest(but map[*Waiter[T]]bool) int {
-	least := -1
+func (c *waitList[T]) lowestRank(excluded map[*Waiter[T]]bool) int {
+	lowest := -1
 	for i, w := range c.waiting {
-		if !but[w] && (least < 0 || w.Rank < c.waiting[least].Rank) {
-			least = i
+		if !excluded[w] && (lowest < 0 || w.Rank < c.waiting[lowest].Rank) {
+			lowest = i
 		}
 	}
-	return least
+	return lowest
 }
 
-// evict removes and returns the last to arrive, or the one with the highest
-// rank, of equal ones the last to arrive.
-func (c *class[T]) evict(ranked bool) *Waiter[T] {
-	most := len(c.waiting) - 1
-	for i := most - 1; i >= 0 && ranked; i-- {
-		if c.waiting[i].Rank > c.waiting[most].Rank {
-			most = i
+// evict removes and returns the last request to arrive or, if ranked, the one
+// with the highest rank, the last to arrive among equal ranks.
+func (c *waitList[T]) evict(ranked bool) *Waiter[T] {
+	victim := len(c.waiting) - 1
+	for i := victim - 1; i >= 0 && ranked; i-- {
+		if c.waiting[i].Rank > c.waiting[victim].Rank {
+			victim = i
 		}
 	}
-	w := c.waiting[most]
-	c.drop(most)
+	w := c.waiting[victim]
+	c.removeAt(victim)
 	return w
 }
 
-func (c *class[T]) remove(w *Waiter[T]) bool { return cutOut(&c.waiting, w) }
+func (c *waitList[T]) remove(w *Waiter[T]) bool { return removeWaiter(&c.waiting, w) }
 
-// sift removes and returns those for which out is true.
-func (c *class[T]) sift(out func(*Waiter[T]) bool) []*Waiter[T] {
-	var gone []*Waiter[T]
+// removeIf removes and returns the requests for which match is true.
+func (c *waitList[T]) removeIf(match func(*Waiter[T]) bool) []*Waiter[T] {
+	var removed []*Waiter[T]
 	kept := c.waiting[:0]
 	for _, w := range c.waiting {
-		if out(w) {
-			gone = append(gone, w)
+		if match(w) {
+			removed = append(removed, w)
 			continue
 		}
 		kept = append(kept, w)
 	}
 	clear(c.waiting[len(kept):])
 	c.waiting = kept
-	return gone
+	return removed
 }
 
-func (c *class[T]) drop(i int) { c.waiting = append(c.waiting[:i], c.waiting[i+1:]...) }
+func (c *waitList[T]) removeAt(i int) { c.waiting = append(c.waiting[:i], c.waiting[i+1:]...) }
 
-func cutOut[T any](list *[]*Waiter[T], w *Waiter[T]) bool {
+func removeWaiter[T any](list *[]*Waiter[T], w *Waiter[T]) bool {
 	for i, x := range *list {
 		if x == w {
 			*list = append((*list)[:i], (*list)[i+1:]...)
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever hosts there are, what they may send together stays within the bound.
+// Whatever the hosts, the sum of their parts stays within the bound.
 func TestPartsOfAColdTargetStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.Float64Range(0, 200).Draw(t, "bound")
@@ -30,26 +30,26 @@
 	})
 }
 
-// Different targets are warmed by different hosts, so that each host has some.
+// Different targets are assigned to different hosts, so that every host gets some of them.
 func TestColdTargetsSpreadOverHosts(t *testing.T) {
 	is := is.New(t)
 	var hosts []string
 	for i := range 21 {
 		hosts = append(hosts, fmt.Sprint("host-", i))
 	}
-	parts := map[string]int{}
+	targetsByHost := map[string]int{}
 	for i := range 100 {
 		warmers, each := DivideCold(23, fmt.Sprint("target-", i), hosts)
 		is.Equal(len(warmers), 7)
 		is.Equal(each, 3)
 		for _, w := range warmers {
-			parts[w]++
+			targetsByHost[w]++
 		}
 	}
-	is.Equal(len(parts), len(hosts))
+	is.Equal(len(targetsByHost), len(hosts))
 }
 
-// In no second does a host send more than its part, and requests that are not urgent leave some of it.
+// A host never exceeds its part in any second, and requests that are not urgent leave a reserve.
 func TestColdWindowHoldsInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 12).Draw(t, "limit")
--- a/internal/policy/cover_test.go
+++ b/internal/policy/cover_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// rotating returns the holders of shards whose three targets stand in neighbouring
+// rotatingHolders returns the holders of shards whose three targets are in neighbouring
 // domains of five.
-func rotating(shards int) []Domains {
+func rotatingHolders(shards int) []Domains {
 	var all []Domains
 	for i := range shards {
 		all = append(all, DomainSet(i%5)|DomainSet((i+1)%5)|DomainSet((i+2)%5))
@@ -26,14 +26,14 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	second := map[int]int{}
 	for range 100 {
-		cells := Cover(rng, rotating(90), 2, allFive)
+		cells := Cover(rng, rotatingHolders(90), 2, allFive)
 		is.Equal(len(cells), 2)
-		is.Equal(cells[0].Domain, 2) // the own one first
+		is.Equal(cells[0].Domain, 2) // the own domain first
 		is.Equal(len(cells[0].Shards), 54)
 		is.Equal(len(cells[1].Shards), 36)
 		second[cells[1].Domain]++
 	}
-	is.Equal(len(second), 2) // equals take turns
+	is.Equal(len(second), 2) // chosen at random among equals
 	is.True(second[0] >= 30 && second[4] >= 30)
 }
 
@@ -44,7 +44,7 @@
 	cells := Cover(rng, holders, 1, allFive)
 	is.Equal(len(cells), 1)
 	is.Equal(cells[0].Domain, 1)
-	far := Cover(rng, holders, 4, allFive) // holds none
+	far := Cover(rng, holders, 4, allFive) // holds none of the shards
 	is.Equal(len(far), 1)
 	is.True(far[0].Domain < 3)
 }
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	holders := slices.Repeat([]Domains{DomainSet(0)}, 10)
-	for i := range leastCell - 1 {
+	for i := range minCellShards - 1 {
 		holders[i] = DomainSet(1)
 	}
 	cells := Cover(rng, holders, 0, allFive)
@@ -63,14 +63,14 @@
 
 func TestNoOpenDomainLeavesOneCellAnywhere(t *testing.T) {
 	is := is.New(t)
-	cells := Cover(rand.New(rand.NewPCG(1, 1)), rotating(90), 2, 0)
+	cells := Cover(rand.New(rand.NewPCG(1, 1)), rotatingHolders(90), 2, 0)
 	is.Equal(len(cells), 1)
 	is.Equal(cells[0].Domain, AnyDomain)
 	is.Equal(len(cells[0].Shards), 90)
 }
 
-// Whatever the targets, each shard is in one cell, and only shards of the first cell may
-// be asked from a domain without a target of theirs.
+// Whatever the targets, each shard is in exactly one cell, and only shards of the first
+// cell may be queried from a domain without a target of theirs.
 func TestCoverHoldsEveryShardOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := rapid.SliceOfN(rapid.Map(rapid.Uint64Range(0, 255), func(n uint64) Domains { return Domains(n) }), 1, 60).Draw(t, "holders")
--- a/internal/policy/extra_test.go
+++ b/internal/policy/extra_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetHoldsOverEveryWindow checks the bound of Budget over every span
-// between two extra attempts of a random history.
+// The bound of Budget holds over every span between two extra attempts of a
+// random history.
 func TestBudgetHoldsOverEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.SampledFrom([]float64{0.01, 0.05, 0.1, 0.5}).Draw(t, "ratio")
@@ -40,8 +40,8 @@
 			for _, s := range history[i:] {
 				first += s.first
 				taken += s.taken
-				seconds := (s.at - history[max(i-1, 0)].at + floorPeriod).Seconds()
-				bound := budgetShare*ratio*float64(first) + budgetFloor*seconds + budgetBurst
+				seconds := (s.at - history[max(i-1, 0)].at + refillPeriod).Seconds()
+				bound := earnedFraction*ratio*float64(first) + minTokensPerSecond*seconds + budgetBurstTokens
 				if float64(taken) > bound+1e-6 {
 					t.Fatalf("%d extra attempts for %d first tries in %.1f s", taken, first, seconds)
 				}
@@ -54,14 +54,14 @@
 	is := is.New(t)
 	b := NewBudget(0.1)
 	taken := 0
-	for i := range 100000 { // 1,000 a second, every one fails
+	for i := range 100000 { // 1,000 per second, all of which fail
 		now := at(time.Duration(i) * time.Millisecond)
 		b.First(now)
 		if b.Take(now) {
 			taken++
 		}
 	}
-	is.True(taken <= 8000) // the floor adds nothing
+	is.True(taken <= 8000) // the minimum rate adds nothing
 	is.True(taken >= 7990)
 }
 
@@ -71,7 +71,7 @@
 	b.First(start)
 	is.True(!b.Take(start))
 	is.True(b.Take(at(20 * time.Second)))
-	is.True(!NewBudget(0).Take(at(time.Hour))) // off is off
+	is.True(!NewBudget(0).Take(at(time.Hour))) // a ratio of zero allows none
 	is.True(!NewBudget(-1).Take(at(time.Hour)))
 }
 
@@ -85,7 +85,7 @@
 	}
 	d, known := h.Delay()
 	is.True(known)
-	is.True(d >= 98*time.Millisecond && d <= 100*time.Millisecond) // raised to 0.9875
+	is.True(d >= 98*time.Millisecond && d <= 100*time.Millisecond) // the quantile is raised to 0.9875
 	h = NewHedger(0.9, 0.8)
 	for i := range 1000 {
 		h.Observe(start, time.Duration(i%100+1)*time.Millisecond)
@@ -94,9 +94,10 @@
 	is.True(d >= 89*time.Millisecond && d <= 92*time.Millisecond)
 }
 
-// TestEverydayHedgesLeaveMostOfTheBudget plays a service whose overtaken tries
-// are never observed, so that the quantile alone would be too low.
-func TestEverydayHedgesLeaveMostOfTheBudget(t *testing.T) {
+// The latency of a hedged attempt is never observed, so the quantile of the
+// observed latencies is too low: without hedgedLatencyFactor, hedges at healthy
+// targets would use up most of the budget.
+func TestRoutineHedgesLeaveMostOfTheBudget(t *testing.T) {
 	is := is.New(t)
 	h, rng := NewHedger(0.95, 0.05), seeded()
 	hedges, now := 0, start
@@ -145,7 +146,7 @@
 func TestRampGrowsToFullWork(t *testing.T) {
 	is := is.New(t)
 	var r Ramp
-	is.Equal(r.Share(start), 1.0) // the zero ramp is warm
+	is.Equal(r.Share(start), 1.0) // the zero Ramp does not limit
 	r.Restart(start, 10*time.Second)
 	last := 0.0
 	for s := range 10 {
@@ -153,7 +154,7 @@
 		is.True(share > last)
 		last = share
 	}
-	is.Equal(r.Share(start), rampStart)
+	is.Equal(r.Share(start), initialRampShare)
 	is.Equal(r.Share(at(10*time.Second)), 1.0)
 }
 
@@ -162,14 +163,14 @@
 		expected := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "expected"))
 		draw := rapid.Float64Range(0, 0.9999).Draw(t, "draw")
 		d := RetryAfter(expected, draw)
-		if d < retryAfterLowest || d > retryAfterHighest {
-			t.Fatalf("come back after %v", d)
+		if d < minRetryAfter || d > maxRetryAfter {
+			t.Fatalf("retry after %v", d)
 		}
 	})
 }
 
-// A host that does the work of many keeps what that work earns, and stays within
-// the ratio over a window all the same.
+// A host that gathers for many others may spend what its first attempts earn,
+// and still stays within the ratio over a window.
 func TestBudgetOfABusyHostIsNotCutToItsShare(t *testing.T) {
 	is := is.New(t)
 	a := Allowance{Ratio: 0.2, Slack: 158, Window: 10 * time.Second}
@@ -188,7 +189,7 @@
 		return firsts, taken
 	}
 	spend(3 * time.Second)
-	_, idle := spend(2 * time.Second) // a pause calls for several at once
+	_, idle := spend(2 * time.Second) // a pause of a target calls for several at once
 	is.True(idle >= 5)
 	firsts, taken := 0, 0
 	for range 10 {
--- a/internal/policy/hedge.go
+++ b/internal/policy/hedge.go
@@ -8,66 +8,68 @@
 
 const (
 	// DefaultHedgeQuantile is the quantile of a replica set's latency after
-	// which a second try starts.
+	// which a hedge starts.
 	DefaultHedgeQuantile = 0.95
 
-	hedgeWindow     = 10 * time.Second // latencies older than two windows are forgotten
-	hedgeMinSamples = 20               // before which no hedge is sent
-	hedgeLowest     = time.Millisecond // shortest delay
-	hedgeReserve    = 5                // hedges that a new replica set may send at once
-	everyday        = 0.25             // part of the budget for the slow tries of healthy targets
-	overtaken       = 1.25             // times the delay that a hedged try is taken to last
-	delayMost       = 4.0              // times the median
-	histLowest      = 1                // microseconds
-	histHighest     = 60_000_000
-	histDigits      = 2
+	hedgeWindow           = 10 * time.Second // latencies older than two windows are dropped
+	hedgeMinSamples       = 20               // before the first hedge, and between updates of the delay
+	minHedgeDelay         = time.Millisecond
+	initialHedges         = 5    // hedges that a new replica set may send before first attempts earn any
+	routineHedgeFraction  = 0.25 // part of the budget for slow attempts at healthy targets
+	hedgedLatencyFactor   = 1.25 // assumed latency of a hedged attempt, in delays
+	maxDelayOverMedian    = 4.0  // maximum delay, in medians
+	histMinMicros         = 1
+	histMaxMicros         = 60_000_000
+	histSignificantDigits = 2
 )
 
-// Hedger decides when the second try of a request starts: after a quantile of
-// the replica set's own latency, within a budget of the first tries, and
-// never while the replica set is saturated, as a hedge then only adds load.
+// Hedger decides when a hedge, the second attempt of a request, starts: after a
+// quantile of the replica set's own latency, within a budget of the first
+// attempts, and never while the replica set is saturated, as a hedge then only
+// adds load.
 type Hedger struct {
-	quantile float64
-	budget   *Budget
-	now, old *hdrhistogram.Histogram
-	since    time.Time
-	samples  int
-	delay    time.Duration
+	quantile          float64
+	budget            *Budget
+	current, previous *hdrhistogram.Histogram
+	windowStart       time.Time
+	samples           int
+	delay             time.Duration
 }
 
 // NewHedger returns the hedger of a replica set. quantile is 0..1 and budget
-// the hedges per first try; a budget of zero or less turns hedging off.
+// the hedges per first attempt; a budget of zero or less turns hedging off.
 //
-// The quantile is raised until everyday hedges take a quarter of the budget:
-// what was spent on those is missing when a target turns slow.
+// The quantile is raised until routine hedges, those of slow attempts at
+// healthy targets, take a quarter of the budget: hedges spent on those are not
+// available when a target becomes slow.
 func NewHedger(quantile, budget float64) *Hedger {
 	h := &Hedger{
-		quantile: max(quantile, 1-everyday*budget),
+		quantile: max(quantile, 1-routineHedgeFraction*budget),
 		budget:   NewBudget(budget),
-		now:      newHistogram(),
-		old:      newHistogram(),
+		current:  newHistogram(),
+		previous: newHistogram(),
 	}
-	h.budget.tokens = hedgeReserve
+	h.budget.tokens = initialHedges
 	return h
 }
 
-// First counts a first try.
+// First records a first attempt.
 func (h *Hedger) First(now time.Time) { h.budget.First(now) }
 
-// Observe takes the latency of a valid answer, from the send of the attempt
-// that gave it.
+// Observe records the latency of a valid answer, from the send of the attempt
+// that returned it.
 func (h *Hedger) Observe(now time.Time, latency time.Duration) {
-	h.turn(now)
-	us := min(max(latency.Microseconds(), histLowest), histHighest)
-	_ = h.now.RecordValue(us) // in range by construction
+	h.rotate(now)
+	us := min(max(latency.Microseconds(), histMinMicros), histMaxMicros)
+	_ = h.current.RecordValue(us) // cannot fail: us is within the histogram's range
 	h.samples++
 	if h.samples%hedgeMinSamples == 0 {
-		h.refresh()
+		h.updateDelay()
 	}
 }
 
-// Delay returns how long to wait for the first try before a hedge, and false
-// if too little is known or hedging is off.
+// Delay returns how long to wait for the first attempt before a hedge, and
+// false if there are too few samples or hedging is off.
 func (h *Hedger) Delay() (time.Duration, bool) {
 	if h.delay == 0 || h.budget.ratio <= 0 {
 		return 0, false
@@ -75,38 +77,41 @@
 	return h.delay, true
 }
 
-// Take asks for one hedge when its delay has passed. saturated tells whether
-// the replica set has no place to spare. The try that is hedged counts as a
-// slow one: what it would have taken is not known when the hedge wins, and the
-// quantile of the known latencies alone would be too low.
+// Take spends one hedge after its delay has passed. It returns false if the
+// budget is used up or the replica set is saturated, which means that it has no
+// free slot. The hedged attempt is recorded with hedgedLatencyFactor times the
+// delay: its full latency is unknown if the hedge wins, and a quantile over the
+// known latencies alone would be too low.
 func (h *Hedger) Take(now time.Time, saturated bool) bool {
 	if saturated || !h.budget.Take(now) {
 		return false
 	}
-	h.Observe(now, time.Duration(overtaken*float64(h.delay)))
+	h.Observe(now, time.Duration(hedgedLatencyFactor*float64(h.delay)))
 	return true
 }
 
-func (h *Hedger) turn(now time.Time) {
-	if h.since.IsZero() {
-		h.since = now
+// rotate starts a new window once the current one is over.
+func (h *Hedger) rotate(now time.Time) {
+	if h.windowStart.IsZero() {
+		h.windowStart = now
 	}
-	if now.Sub(h.since) < hedgeWindow {
+	if now.Sub(h.windowStart) < hedgeWindow {
 		return
 	}
-	h.old, h.now = h.now, h.old
-	h.now.Reset()
-	h.since = now
+	h.previous, h.current = h.current, h.previous
+	h.current.Reset()
+	h.windowStart = now
 }
 
-func (h *Hedger) refresh() {
-	both := hdrhistogram.Import(h.old.Export())
-	both.Merge(h.now)
+// updateDelay computes the delay from the latencies of both windows.
+func (h *Hedger) updateDelay() {
+	both := hdrhistogram.Import(h.previous.Export())
+	both.Merge(h.current)
 	us := float64(both.ValueAtQuantile(h.quantile * 100))
-	most := delayMost * float64(both.ValueAtQuantile(50))
-	h.delay = max(time.Duration(min(us, most))*time.Microsecond, hedgeLowest)
+	limit := maxDelayOverMedian * float64(both.ValueAtQuantile(50))
+	h.delay = max(time.Duration(min(us, limit))*time.Microsecond, minHedgeDelay)
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histLowest, histHighest, histDigits)
+	return hdrhistogram.New(histMinMicros, histMaxMicros, histSignificantDigits)
 }
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -6,113 +6,121 @@
 )
 
 const (
-	// handOverShare is the part of an objective that the parts of a query may
-	// occupy the own link before another host gathers them: less than that costs
-	// no more than the hop.
-	handOverShare = 0.05
-	// widerLink is how many times faster the link of a helper must be. The merged
-	// answer still crosses the own link, and a helper serves others too.
-	widerLink = 4
-
-	// A silent helper is given takenFactor times what helpers usually take to say
-	// that they took a query. takenFirst is the prior: a round trip between failure
-	// domains and a busy processor.
-	takenFactor = 2
-	takenFirst  = 6 * time.Millisecond
-	takenLeast  = 2 * time.Millisecond
-	takenShare  = 0.2 // of what is left of an objective at most
-
-	// backFirst is the prior of how long after it was due a helper's answer is here: a
-	// hop between failure domains and two hosts with narrow links. A host of a large fleet
-	// sees a query in seconds and goes by it for long; parts that come later are told one by
-	// one, so too long a time costs nothing, and too short a one makes answers late while targets of many
-	// shards are slow or gone.
-	backFirst = 6 * time.Millisecond
-	backLeast = time.Millisecond
-
-	// A helper that was silent or broke off is set aside, twice as long each time
-	// in a row.
-	helperAsideFirst   = time.Second
-	helperAsideLongest = 16 * time.Second
+	// handOverFraction is the part of an objective that the parts of a query may
+	// occupy the own link before another host gathers the query: below it the
+	// parts cost no more than the extra hop.
+	handOverFraction = 0.05
+	// minLinkRatio is how many times faster the link of a helper must be. The
+	// merged answer still crosses the own link, and a helper serves other hosts
+	// too.
+	minLinkRatio = 4
+
+	// A helper that has not acknowledged a query is given up after
+	// ackTimeoutFactor times the usual acknowledgement time. initialAckTime is
+	// the initial estimate of that: a round trip between failure domains and a
+	// busy processor.
+	ackTimeoutFactor = 2
+	initialAckTime   = 6 * time.Millisecond
+	minAckTime       = 2 * time.Millisecond
+	maxAckFraction   = 0.2 // maximum, as a part of what is left of the objective
+
+	// initialReturnLag is the initial estimate of the delay between the time a
+	// helper's answer was due and its arrival: a hop between failure domains and
+	// two hosts with narrow links. A host in a large fleet gathers one query
+	// every few seconds, so the initial value applies for long. Too high a value
+	// costs nothing, as parts that arrive later are sent one by one; too low a
+	// value makes answers late while targets of many shards are slow or gone.
+	initialReturnLag = 6 * time.Millisecond
+	minReturnLag     = time.Millisecond
+
+	// A helper that did not answer or broke off gets no queries for a time that
+	// doubles with each failure in a row.
+	minHelperBackOff = time.Second
+	maxHelperBackOff = 16 * time.Second
 )
 
-// HandsOver reports whether a host should leave the parts of a query, so many
-// bytes, to one with another link rate, in Mbit/s. A rate of 0 is not known.
+// HandsOver reports whether a host should leave gathering the parts of a query,
+// of so many bytes, to a helper. own and helper are link rates in Mbit/s, 0:
+// unknown.
 //
-// It answers the load pattern of many parts on a narrow link: 36 parts of 1.3 KB
-// occupy one of 14 Mbit/s for 27 ms, and an urgent query waits behind them.
+// It serves the load pattern of many parts on a narrow link: 36 parts of 1.3 KB
+// occupy a link of 14 Mbit/s for 27 ms, and an urgent query waits behind them.
 func HandsOver(own, helper float64, bytes int, objective time.Duration) bool {
 	if !IsNarrow(own, helper) || objective <= 0 {
 		return false
 	}
-	return linkTime(own, bytes) > time.Duration(handOverShare*float64(objective))
+	return linkTime(own, bytes) > time.Duration(handOverFraction*float64(objective))
 }
 
-// IsNarrow reports whether a link is so much narrower than another one, in Mbit/s, that
-// the host there should gather for the one here. A rate of 0 is not known.
-func IsNarrow(link, other float64) bool { return link > 0 && other >= widerLink*link }
+// IsNarrow reports whether a link is so much slower than another, in Mbit/s,
+// that the host at the other link should gather for the host at this one. A
+// rate of 0 is unknown.
+func IsNarrow(link, other float64) bool { return link > 0 && other >= minLinkRatio*link }
 
-// linkTime returns how long bytes occupy a link with a rate in Mbit/s, more than 0.
+// linkTime returns how long bytes occupy a link with a rate in Mbit/s, which
+// must be above 0.
 func linkTime(rate float64, bytes int) time.Duration {
 	const bitsPerByte, perMega = 8, 1e6
 	return time.Duration(float64(bytes) * bitsPerByte / (rate * perMega) * float64(time.Second))
 }
 
-// Helper is what a host knows of another that may gather for it. The zero value
-// knows nothing.
+// Helper is the state that a host keeps of another host that may gather for it.
+// The zero value is a helper without observations.
 type Helper struct {
-	inFlight int // queries of this host
-	told     int // queries at work there, by its newest answer
-	asideTo  time.Time
-	asideFor time.Duration
+	inFlight     int       // queries that this host sent and that have not ended
+	reportedLoad int       // queries in progress at the helper, by its latest report
+	backOffUntil time.Time // no queries are sent before
+	backOff      time.Duration
 }
 
-// Sent tells that a query went to the helper. Ended must follow.
+// Sent records a query sent to the helper. Ended must follow.
 func (h *Helper) Sent() { h.inFlight++ }
 
-// Told takes the number of queries that the helper says it gathers.
-func (h *Helper) Told(load int) { h.told = load }
+// Told sets the number of queries that the helper reports to be gathering.
+func (h *Helper) Told(load int) { h.reportedLoad = load }
 
-// Ended tells that a query came back, or that the helper was silent or broke off.
-// The latter sets it aside.
-func (h *Helper) Ended(now time.Time, well bool) {
+// Ended records the end of a query. Without ok, because the helper did not
+// answer or broke off, the helper gets no queries for a while.
+func (h *Helper) Ended(now time.Time, ok bool) {
 	h.inFlight--
-	if well {
-		h.asideFor = 0
+	if ok {
+		h.backOff = 0
 		return
 	}
-	h.asideFor = min(max(2*h.asideFor, helperAsideFirst), helperAsideLongest)
-	h.asideTo = now.Add(h.asideFor)
+	h.backOff = min(max(2*h.backOff, minHelperBackOff), maxHelperBackOff)
+	h.backOffUntil = now.Add(h.backOff)
 }
 
-// Barred reports whether the helper is set aside.
-func (h *Helper) Barred(now time.Time) bool { return now.Before(h.asideTo) }
+// Barred reports whether the helper is backed off after a failure.
+func (h *Helper) Barred(now time.Time) bool { return now.Before(h.backOffUntil) }
 
-// Option returns the helper as a choice.
+// Option returns the helper as a candidate for Choose.
 func (h *Helper) Option(local bool) Option {
-	return Option{Cost: float64(1 + h.inFlight + h.told), Local: local}
+	return Option{Cost: float64(1 + h.inFlight + h.reportedLoad), Local: local}
 }
 
-// Helping is what a host learns of all its helpers.
+// Helping estimates the response times of all helpers of a host.
 type Helping struct {
-	taking Tail // time until a helper says that it took a query
-	back   Tail // time from when its answer was due until that is here
+	ackTime   TailEstimate // until a helper acknowledges a query
+	returnLag TailEstimate // between the time an answer was due and its arrival
 }
 
-// NewHelping returns what is known before the first query.
+// NewHelping returns the estimates before the first query.
 func NewHelping() Helping {
-	return Helping{taking: NewTail(takenFirst, takenLeast), back: NewTail(backFirst, backLeast)}
+	return Helping{ackTime: NewTailEstimate(initialAckTime, minAckTime), returnLag: NewTailEstimate(initialReturnLag, minReturnLag)}
 }
 
-// Took takes the time until a helper said that it took a query.
-func (h *Helping) Took(after time.Duration) { h.taking.Observe(after) }
+// Took records the time until a helper acknowledged a query.
+func (h *Helping) Took(after time.Duration) { h.ackTime.Observe(after) }
 
-// CameBack takes how long after it was due an answer that lacks parts was here.
-func (h *Helping) CameBack(lag time.Duration) { h.back.Observe(lag) }
+// CameBack records the delay between the time an answer that lacks parts was
+// due and its arrival.
+func (h *Helping) CameBack(lag time.Duration) { h.returnLag.Observe(lag) }
 
-// Patience returns how long a silent helper is waited for, with so much left of the
-// objective, and the time kept for its answer's way back.
-func (h *Helping) Patience(left time.Duration) (silent, back time.Duration) {
-	most := time.Duration(math.Max(takenShare*float64(left), 0))
-	return min(takenFactor*h.taking.Estimate(), most), h.back.Estimate()
+// Patience returns how long to wait for a helper's acknowledgement, if left of
+// the objective remains, and how much time to reserve for the return of its
+// answer.
+func (h *Helping) Patience(left time.Duration) (ackTimeout, returnLag time.Duration) {
+	maxWait := time.Duration(math.Max(maxAckFraction*float64(left), 0))
+	return min(ackTimeoutFactor*h.ackTime.Estimate(), maxWait), h.returnLag.Estimate()
 }
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -36,21 +36,21 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var h Helper
-	aside := func(after time.Duration) bool { return h.Barred(now.Add(after)) }
-	is.True(!aside(0))
+	backedOff := func(after time.Duration) bool { return h.Barred(now.Add(after)) }
+	is.True(!backedOff(0))
 	h.Sent()
 	h.Ended(now, false)
-	is.True(aside(helperAsideFirst - 1))
-	is.True(!aside(helperAsideFirst))
+	is.True(backedOff(minHelperBackOff - 1))
+	is.True(!backedOff(minHelperBackOff))
 	h.Sent()
 	h.Ended(now, false)
-	is.True(aside(2*helperAsideFirst - 1))
-	is.True(!aside(2 * helperAsideFirst))
+	is.True(backedOff(2*minHelperBackOff - 1))
+	is.True(!backedOff(2 * minHelperBackOff))
 	h.Sent()
 	h.Ended(now, true)
 	h.Sent()
 	h.Ended(now, false)
-	is.True(!aside(helperAsideFirst)) // forgiven by the answer in between
+	is.True(!backedOff(minHelperBackOff)) // reset by the answer in between
 }
 
 func TestHelperWithMoreWorkCostsMore(t *testing.T) {
@@ -66,21 +66,21 @@
 func TestSilentHelperIsWaitedForAsLongAsUsual(t *testing.T) {
 	is := is.New(t)
 	helping := NewHelping()
-	within := func(left time.Duration) time.Duration {
+	ackTimeout := func(left time.Duration) time.Duration {
 		silent, _ := helping.Patience(left)
 		return silent
 	}
 	const left = 140 * time.Millisecond
-	is.Equal(within(left), 2*takenFirst)
+	is.Equal(ackTimeout(left), 2*initialAckTime)
 	for range 500 {
 		helping.Took(time.Millisecond)
 	}
-	is.Equal(within(left), 2*takenLeast)
+	is.Equal(ackTimeout(left), 2*minAckTime)
 	for range 200 {
 		helping.Took(100 * time.Millisecond)
 	}
-	is.Equal(within(left), 28*time.Millisecond) // a fifth of what is left
-	is.Equal(within(-left), time.Duration(0))
+	is.Equal(ackTimeout(left), 28*time.Millisecond) // a fifth of what is left
+	is.Equal(ackTimeout(-left), time.Duration(0))
 }
 
 func TestWayBackFromAHelperIsObserved(t *testing.T) {
@@ -90,7 +90,7 @@
 		_, back := helping.Patience(time.Second)
 		return back
 	}
-	is.Equal(back(), backFirst)
+	is.Equal(back(), initialReturnLag)
 	for range 200 {
 		helping.CameBack(8 * time.Millisecond)
 	}
@@ -98,5 +98,5 @@
 	for range 2000 {
 		helping.CameBack(0)
 	}
-	is.Equal(back(), backLeast)
+	is.Equal(back(), minReturnLag)
 }
--- a/internal/policy/limiter.go
+++ b/internal/policy/limiter.go
@@ -5,80 +5,83 @@
 	"time"
 )
 
-// Signal is what one finished attempt shows about the target's load.
+// Signal classifies the outcome of one attempt as an indication of the target's
+// load.
 type Signal uint8
 
 const (
-	// Served is a valid answer; its latency counts.
+	// Served is a valid answer; its latency is a sample.
 	Served Signal = iota
-	// Shed is a refusal for load: the target is over its capacity.
+	// Shed is a refusal because of load: the target is over its capacity.
 	Shed
-	// Errored is an error that tells nothing of load.
+	// Errored is an error that does not indicate load.
 	Errored
-	// Abandoned is an attempt given up before an answer came. The latency is
+	// Abandoned is an attempt given up before an answer arrived. Its latency is
 	// a lower bound.
 	Abandoned
 )
 
 const (
-	shedFactor     = 0.7  // of the limit that is left after a shed answer
-	queueFactor    = 0.9  // of the limit that is left after a window with a standing queue
-	growStep       = 1.0  // requests added after a healthy, saturated window
-	growFactor     = 1.25 // the same below a limit of one
-	standingQueue  = 2.0  // window minimum over base latency that shows a queue in the target
-	windowSamples  = 16   // answers in a window
-	windowSpan     = 100 * time.Millisecond
-	baseDrift      = 1.01 // growth of the base latency each window, so that it can rise
-	lowestFraction = 0.5  // of the fair share: the lowest limit
-
-	backOffFirst     = 2 * time.Millisecond
-	backOffLongest   = time.Second
-	backOffDoublings = 10
+	shedFactor          = 0.7  // of the limit remains after a shed answer
+	standingQueueFactor = 0.9  // of the limit remains after a window with a standing queue
+	limitIncrement      = 1.0  // requests added after a healthy, saturated window
+	limitGrowthFactor   = 1.25 // the same for a limit below one
+	standingQueueRatio  = 2.0  // ratio of the window's minimum latency to the base latency that indicates a queue in the target
+	minWindowSamples    = 16   // answers
+	minWindowSpan       = 100 * time.Millisecond
+	baseLatencyGrowth   = 1.01 // per window, so that the base latency can rise again
+	minLimitFraction    = 0.5  // of the share of slots, for shares up to one request
+
+	minBackOff          = 2 * time.Millisecond
+	maxBackOff          = time.Second
+	maxBackOffDoublings = 10 // bounds the shift in backOffPause
 )
 
 // Limiter bounds the requests that one relay has in flight at one target. It
 // starts at the relay's share of the target's slots, falls when the target
-// sheds or when its latency shows a standing queue, and grows while it is the
-// limit that binds and the target is healthy.
+// sheds or when its latency indicates a standing queue, and grows while the
+// limit binds and the target is healthy.
 //
-// A share below one request, when the relays outnumber the slots, is kept by
-// pacing: between two requests the relay leaves the target alone for as long
-// as the limit demands.
+// Where relays outnumber slots, a share below one request is enforced by
+// pacing: between two requests the relay pauses for as long as the limit
+// requires.
 type Limiter struct {
-	limit    float64
-	lowest   float64
-	ceiling  float64
-	inFlight int
-	peak     int       // most in flight in this window
-	pausedTo time.Time // pacing and back-off
-	sheds    int       // in a row
-	base     time.Duration
-	lastCut  time.Time
-	window   window
-}
-
+	limit        float64
+	minLimit     float64
+	maxLimit     float64
+	inFlight     int
+	peakInFlight int       // most requests in flight in this window
+	pausedUntil  time.Time // by pacing or back-off
+	shedsInARow  int
+	baseLatency  time.Duration // lowest recent minimum latency of a window; drifts up
+	lastDecrease time.Time
+	window       window
+}
+
+// window collects the samples between two adjustments of the limit.
 type window struct {
-	since   time.Time
-	samples int
-	least   time.Duration
-	shed    bool
+	since      time.Time
+	samples    int
+	minLatency time.Duration
+	shed       bool
 }
 
-// NewLimiter returns the limiter of one target. slots are the requests that
-// the target runs at once, relays those who share it, ceiling the connections
-// that this relay may hold to it. Values below one count as one.
+// NewLimiter returns the limiter of one target. slots is the number of requests
+// that the target runs at once, relays the number of relays that share it,
+// ceiling the number of connections that this relay may have to it. Values
+// below one count as one.
 func NewLimiter(slots, relays, ceiling int) *Limiter {
 	slots, relays, ceiling = max(slots, 1), max(relays, 1), max(ceiling, 1)
 	share := float64(slots) / float64(relays)
 	return &Limiter{
-		limit:   math.Min(math.Max(share, 1), float64(ceiling)),
-		lowest:  math.Min(share, 1) * lowestFraction,
-		ceiling: float64(ceiling),
+		limit:    math.Min(math.Max(share, 1), float64(ceiling)),
+		minLimit: math.Min(share, 1) * minLimitFraction,
+		maxLimit: float64(ceiling),
 	}
 }
 
-// Acquire takes a place for one request, and reports false if there is none.
-// Every place taken must be given back with Release.
+// Acquire takes a slot for one request, and returns false if none is free.
+// Release must follow each success.
 func (l *Limiter) Acquire(now time.Time) bool {
 	if !l.Free(now) {
 		return false
@@ -87,124 +90,131 @@
 	return true
 }
 
-// Take takes a place that Free has shown.
+// Take takes a slot after Free has returned true.
 func (l *Limiter) Take(time.Time) {
 	l.inFlight++
-	l.peak = max(l.peak, l.inFlight)
+	l.peakInFlight = max(l.peakInFlight, l.inFlight)
 }
 
 // Free reports whether Acquire would succeed.
 func (l *Limiter) Free(now time.Time) bool {
-	if now.Before(l.pausedTo) {
+	if now.Before(l.pausedUntil) {
 		return false
 	}
 	return l.inFlight == 0 || float64(l.inFlight+1) <= l.limit
 }
 
-// Wait returns how long pacing keeps the limiter closed; 0 if it does not.
-// The owner sets a timer for it, as no Release may come.
-func (l *Limiter) Wait(now time.Time) time.Duration { return max(l.pausedTo.Sub(now), 0) }
+// Wait returns for how long pacing or back-off blocks the limiter; 0 if it does
+// not. The owner sets a timer for it, because no Release may follow.
+func (l *Limiter) Wait(now time.Time) time.Duration { return max(l.pausedUntil.Sub(now), 0) }
 
-// Release gives a place back and learns from the attempt. latency is the time
-// from send to answer, or to giving up.
+// Release returns a slot and updates the limit by the outcome. latency is the
+// time from send to answer, or until the attempt was given up.
 func (l *Limiter) Release(now time.Time, latency time.Duration, s Signal) {
 	l.inFlight = max(l.inFlight-1, 0)
-	l.learn(now, latency, s)
-	l.pause(now, l.pacing(latency))
-	l.pause(now, l.backOff(s))
+	l.update(now, latency, s)
+	l.pauseFor(now, l.pacingPause(latency))
+	l.pauseFor(now, l.backOffPause(s))
 }
 
-// Limit returns the current limit. Below one it is a share of the time.
+// Limit returns the current limit. Below one it is a fraction of the time.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// InFlight returns the places taken.
+// InFlight returns the number of slots taken.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-func (l *Limiter) learn(now time.Time, latency time.Duration, s Signal) {
+// update applies the outcome of an attempt to the limit.
+func (l *Limiter) update(now time.Time, latency time.Duration, s Signal) {
 	if l.window.since.IsZero() {
 		l.window.since = now
 	}
 	switch s {
 	case Shed:
 		l.window.shed = true
-		l.cut(now, now.Add(-latency), shedFactor)
+		l.decrease(now, now.Add(-latency), shedFactor)
 	case Served:
-		l.sample(latency)
-		if l.window.samples >= windowSamples && now.Sub(l.window.since) >= windowSpan {
+		l.addSample(latency)
+		if l.window.samples >= minWindowSamples && now.Sub(l.window.since) >= minWindowSpan {
 			l.closeWindow(now)
 		}
 	case Errored, Abandoned:
 	}
 }
 
-func (l *Limiter) sample(latency time.Duration) {
-	if l.window.samples == 0 || latency < l.window.least {
-		l.window.least = latency
+func (l *Limiter) addSample(latency time.Duration) {
+	if l.window.samples == 0 || latency < l.window.minLatency {
+		l.window.minLatency = latency
 	}
 	l.window.samples++
 }
 
+// closeWindow adjusts the limit by the samples of the window and starts the
+// next one.
 func (l *Limiter) closeWindow(now time.Time) {
-	w, peak := l.window, l.peak
-	l.window, l.peak = window{since: now}, l.inFlight
-	standing := l.base > 0 && float64(w.least) > standingQueue*float64(l.base)
-	l.base = nextBase(l.base, w.least)
+	w, peak := l.window, l.peakInFlight
+	l.window, l.peakInFlight = window{since: now}, l.inFlight
+	standing := l.baseLatency > 0 && float64(w.minLatency) > standingQueueRatio*float64(l.baseLatency)
+	l.baseLatency = nextBaseLatency(l.baseLatency, w.minLatency)
 	switch {
 	case w.shed:
 	case standing:
-		l.cut(now, now, queueFactor)
+		l.decrease(now, now, standingQueueFactor)
 	case float64(peak+1) > l.limit:
-		l.grow()
+		l.increase()
 	}
 }
 
-func nextBase(base, least time.Duration) time.Duration {
+// nextBaseLatency returns the base latency after a window.
+func nextBaseLatency(base, windowMin time.Duration) time.Duration {
 	if base == 0 {
-		return least
+		return windowMin
 	}
-	return min(time.Duration(float64(base)*baseDrift)+1, least)
+	return min(time.Duration(float64(base)*baseLatencyGrowth)+1, windowMin)
 }
 
-// cut lowers the limit, once for all requests that were sent before the last
-// cut, as they tell of the same overload.
-func (l *Limiter) cut(now, sent time.Time, factor float64) {
-	if sent.Before(l.lastCut) {
+// decrease lowers the limit, once for all requests that were sent before the
+// last decrease, because they met the same overload.
+func (l *Limiter) decrease(now, sent time.Time, factor float64) {
+	if sent.Before(l.lastDecrease) {
 		return
 	}
-	l.lastCut = now
-	l.limit = math.Max(l.limit*factor, l.lowest)
+	l.lastDecrease = now
+	l.limit = math.Max(l.limit*factor, l.minLimit)
 }
 
-func (l *Limiter) grow() {
-	next := l.limit + growStep
+// increase raises the limit after a window in which it was the constraint.
+func (l *Limiter) increase() {
+	next := l.limit + limitIncrement
 	if l.limit < 1 {
-		next = math.Min(l.limit*growFactor, 1)
+		next = math.Min(l.limit*limitGrowthFactor, 1)
 	}
-	l.limit = math.Min(next, l.ceiling)
+	l.limit = math.Min(next, l.maxLimit)
 }
 
-func (l *Limiter) pause(now time.Time, d time.Duration) {
-	if until := now.Add(d); until.After(l.pausedTo) {
-		l.pausedTo = until
+// pauseFor blocks the limiter for d from now, unless it is blocked for longer.
+func (l *Limiter) pauseFor(now time.Time, d time.Duration) {
+	if until := now.Add(d); until.After(l.pausedUntil) {
+		l.pausedUntil = until
 	}
 }
 
-// pacing returns the pause that keeps a limit below one.
-func (l *Limiter) pacing(latency time.Duration) time.Duration {
+// pacingPause returns the pause after an attempt that enforces a limit below
+// one.
+func (l *Limiter) pacingPause(latency time.Duration) time.Duration {
 	if l.limit >= 1 {
 		return 0
 	}
 	return time.Duration(float64(latency) * (1/l.limit - 1))
 }
 
-// backOff returns the pause after shed answers in a row. It doubles, because a
-// target that sheds everything answers at once and pacing alone would go on
-// asking it.
-func (l *Limiter) backOff(s Signal) time.Duration {
+// backOffPause returns the pause after a shed answer. It doubles with each one
+// in a row: a target that sheds everything answers at once, so that pacing
+// alone would keep sending to it.
+func (l *Limiter) backOffPause(s Signal) time.Duration {
 	if s != Shed {
-		l.sheds = 0
+		l.shedsInARow = 0
 		return 0
 	}
-	l.sheds++
-	return min(backOffFirst<<min(l.sheds-1, backOffDoublings), backOffLongest)
+	l.shedsInARow++
+	return min(minBackOff<<min(l.shedsInARow-1, maxBackOffDoublings), maxBackOff)
 }
--- a/internal/policy/limiter_test.go
+++ b/internal/policy/limiter_test.go
@@ -26,8 +26,8 @@
 			if l.InFlight() != inFlight || inFlight > ceiling {
 				t.Fatalf("%d in flight, %d counted, ceiling %d", inFlight, l.InFlight(), ceiling)
 			}
-			if l.Limit() > float64(ceiling) || l.Limit() < l.lowest {
-				t.Fatalf("limit %v outside %v..%d", l.Limit(), l.lowest, ceiling)
+			if l.Limit() > float64(ceiling) || l.Limit() < l.minLimit {
+				t.Fatalf("limit %v outside %v..%d", l.Limit(), l.minLimit, ceiling)
 			}
 		}
 	})
@@ -55,26 +55,26 @@
 func TestLimiterBacksOffFromATargetThatShedsEverything(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter(2, 9, 2)
-	now, asked := start, 0
+	now, sent := start, 0
 	for now.Before(at(10 * time.Second)) {
 		if l.Acquire(now) {
-			asked++
+			sent++
 			l.Release(now, time.Millisecond, Shed)
 		}
 		now = now.Add(time.Millisecond)
 	}
-	is.True(asked < 30) // doubling pauses: about one a second in the end
-	is.True(l.Wait(now) <= backOffLongest)
+	is.True(sent < 30) // with doubling pauses, about one per second in the end
+	is.True(l.Wait(now) <= maxBackOff)
 }
 
 func TestLimiterShrinksOnAStandingQueueAndGrowsBack(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter(8, 1, 8)
-	now := busy(l, start, 2*time.Second, 5*time.Millisecond)
+	now := saturate(l, start, 2*time.Second, 5*time.Millisecond)
 	is.Equal(l.Limit(), 8.0)
-	now = busy(l, now, 2*time.Second, 25*time.Millisecond)
+	now = saturate(l, now, 2*time.Second, 25*time.Millisecond)
 	is.True(l.Limit() < 4) // every answer of a window waited in the target
-	now = busy(l, now, 3*time.Second, 5*time.Millisecond)
+	now = saturate(l, now, 3*time.Second, 5*time.Millisecond)
 	is.Equal(l.Limit(), 8.0)
 	is.True(l.Free(now))
 }
@@ -96,19 +96,19 @@
 	l := NewLimiter(2, 9, 2)
 	l.limit = 0.25
 	const latency = 5 * time.Millisecond
-	asked := 0
+	sent := 0
 	for now := start; now.Before(at(time.Second)); now = now.Add(time.Millisecond) {
 		if l.Acquire(now) {
-			asked++
+			sent++
 			now = now.Add(latency)
 			l.Release(now, latency, Errored)
 		}
 	}
-	is.True(asked >= 45 && asked <= 50) // a quarter of 200
+	is.True(sent >= 45 && sent <= 50) // a quarter of the 200 that would fit
 }
 
-// busy keeps the limiter saturated with answers of one latency.
-func busy(l *Limiter, now time.Time, span, latency time.Duration) time.Time {
+// saturate keeps the limiter saturated with answers of one latency.
+func saturate(l *Limiter, now time.Time, span, latency time.Duration) time.Time {
 	for end := now.Add(span); now.Before(end); now = now.Add(latency) {
 		n := 0
 		for l.Acquire(now) {
--- a/internal/policy/main_test.go
+++ b/internal/policy/main_test.go
@@ -15,7 +15,7 @@
 	os.Exit(m.Run())
 }
 
-// start is an arbitrary first moment of the tests' clock.
+// start is an arbitrary origin of the tests' clock.
 var start = time.Unix(1_000_000, 0)
 
 func at(d time.Duration) time.Time { return start.Add(d) }
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -6,297 +6,290 @@
 )
 
 const (
-	latencyWeight  = 0.1  // of the newest answer in the mean latency
-	quickWeight    = 0.05 // the same for NewQuickOutlier: a pause that several requests meet must not look like a slow target
-	failureWeight  = 0.2  // of the newest outcome in the failure ratio
-	failureEject   = 0.5  // failure ratio from which a target is set aside
-	shedWeight     = 0.1  // of the newest answer in the ratio of shed attempts
-	slowRatio      = 3.0  // latency over the best of the others from which it is
-	lateRatio      = 2.0  // the same for one attempt that was given up; it counts as a failure
-	minOutcomes    = 5    // before which nothing is judged
-	trialOutcomes  = 20   // good ones after which an ejection is forgotten
-	ejectFirst     = time.Second
-	ejectLongest   = 30 * time.Second
-	failurePenalty = 8.0 // cost of a target that always fails, in latencies
-	// shedPenalty is the cost of a target that sheds everything, in latencies. A
-	// shed attempt costs little time but one of the few further attempts, so such a
-	// target is asked when the others have no place. It is not set aside: what it
-	// takes it serves.
-	shedPenalty    = 40.0
-	initialLatency = 5 * time.Millisecond
-	shortest       = 1e-4                   // seconds, of a first latency
-	quickRun       = 2                      // slow or failed attempts in a row that set a target aside
-	failedSpan     = 150 * time.Millisecond // that a run of failed attempts must last
-	slowSpan       = 250 * time.Millisecond // that a run with a slow one must last: longer than most pauses for garbage collection
-	trustOwn       = 500 * time.Millisecond // for which a host's own good answer goes before what others say
-	forgetHalf     = 10 * time.Second       // without an answer, halves latency and failures
+	latencyWeight      = 0.1  // of the newest answer in the mean latency
+	quickLatencyWeight = 0.05 // the same for NewQuickOutlier: a pause that several requests meet must not look like a slow target
+	failureWeight      = 0.2  // of the newest outcome in the failure ratio
+	ejectFailureRatio  = 0.5  // failure ratio from which a target is ejected
+	shedWeight         = 0.1  // of the newest answer in the ratio of shed attempts
+	slowRatio          = 3.0  // latency, relative to the best other target, above which a target is slow
+	lateRatio          = 2.0  // the same for one abandoned attempt, which then counts as a failure
+	minOutcomes        = 5    // before a target is evaluated
+	ejectResetAnswers  = 20   // good answers after an ejection that reset ejectTime
+	minEjectTime       = time.Second
+	maxEjectTime       = 30 * time.Second
+	failurePenalty     = 8.0 // cost of a target that always fails, in latencies
+	// shedPenalty is the cost of a target that sheds everything, in latencies. A shed attempt takes little time but
+	// uses up one of the few extra attempts, so such a target is used when the others have no free slot. It is not
+	// ejected: it serves what it accepts.
+	shedPenalty            = 40.0
+	initialLatency         = 5 * time.Millisecond
+	minFirstLatencySeconds = 1e-4
+	minBadRun              = 2                      // slow or failed attempts in a row that eject a target
+	minFailedRunSpan       = 150 * time.Millisecond // minimum duration of a run of failed attempts
+	minSlowRunSpan         = 250 * time.Millisecond // minimum duration of a run with a slow attempt: longer than most pauses for garbage collection
+	ownAnswerPrecedence    = 500 * time.Millisecond // for which a host's own good answer overrides an ejection reported by another host
+	historyHalfLife        = 10 * time.Second       // without an answer, after which latency and failures count half
 )
 
-// Outlier judges one target of a replica set by its own answers, which
-// outweigh whatever its status says. A target that fails, or answers many
-// times slower than the others, is set aside for a time that doubles when it
-// is soon found bad again; after that time one request at a time probes it.
+// Outlier tracks the health of one target of a replica set by the outcomes of attempts, which take precedence over
+// the target's status. A target that fails, or answers many times slower than the others, is ejected for a time
+// that doubles if it is soon ejected again; after that time one attempt at a time probes it.
 type Outlier struct {
-	latency   float64 // moving average, seconds
-	failures  float64 // moving average, 0..1, of failed and late attempts
-	sheds     float64 // moving average, 0..1, of attempts that were refused for load
-	outcomes  int
-	good      int // since the last ejection
-	ejected   bool
-	ejectedAt time.Time
-	ejectedTo time.Time
-	ejectFor  time.Duration
-	probing   bool
-	seen      time.Time // newest attempt judged
-	running   []flight  // attempts in flight
-
-	quick    bool      // a short run of slow attempts is enough to set aside
-	slowRun  int       // slow or failed attempts in a row
-	slowSeen bool      // one of them was slow
-	slowFrom time.Time // when the first of them was sent
-	wellAt   time.Time // newest valid answer that was not slow
+	latency        float64 // moving average, in seconds
+	failures       float64 // moving average of failed and late attempts, 0..1
+	sheds          float64 // moving average of attempts refused because of load, 0..1
+	outcomes       int
+	goodSinceEject int
+	ejected        bool
+	ejectedAt      time.Time
+	probeAt        time.Time     // earliest time of the next probe
+	ejectTime      time.Duration // duration of the last ejection; 0 after enough good answers
+	probing        bool
+	updatedAt      time.Time // time of the newest outcome, or of state received from another host
+	inFlight       []pendingAttempt
+
+	quick         bool      // see NewQuickOutlier
+	badRun        int       // slow or failed attempts in a row
+	badRunHasSlow bool      // one of them was slow
+	badRunStart   time.Time // when the first of them was sent
+	lastGoodAt    time.Time // time of the newest valid answer that was not slow
 
 	report   Report
-	reportAt time.Time // when it came; zero: the target has told none
+	reportAt time.Time // arrival of report; zero if the target sent none
 }
 
-// flight is an attempt in flight.
-
-type flight struct {
+// pendingAttempt is an attempt in flight.
+type pendingAttempt struct {
 	sent  time.Time
-	scale float64 // of its latency; see ObserveScaled
+	scale float64 // factor of its latency; see ObserveScaled
 }
 
-// NewOutlier returns the state of a target of which nothing is known.
+// NewOutlier returns the state of a target without observations.
 func NewOutlier() *Outlier { return &Outlier{latency: initialLatency.Seconds()} }
 
-// NewQuickOutlier is NewOutlier for a target that gets so few requests that a
-// mean would learn too late: a short run of slow or failed attempts sets it
-// aside. Its latencies must be scaled to those of a typical answer.
+// NewQuickOutlier is NewOutlier for a target that gets so few requests that a moving average reacts too late: a
+// short run of slow or failed attempts ejects it. Its latencies must be scaled to those of a typical answer.
 func NewQuickOutlier() *Outlier {
 	o := NewOutlier()
 	o.quick = true
 	return o
 }
 
-// Sent tells that an attempt went to the target.
+// Sent records that an attempt was sent to the target.
 func (o *Outlier) Sent(now time.Time) { o.SentScaled(now, 1) }
 
-// SentScaled is Sent for an attempt whose latency will be scaled.
+// SentScaled is Sent for an attempt that ends with ObserveScaled.
 func (o *Outlier) SentScaled(now time.Time, scale float64) {
-	o.running = append(o.running, flight{now, scale})
+	o.inFlight = append(o.inFlight, pendingAttempt{now, scale})
 	if o.ProbeDue(now) {
 		o.probing = true
 	}
 }
 
-// Unsent takes back the newest Sent: no attempt was made.
+// Unsent reverts the newest Sent: no attempt was made.
 func (o *Outlier) Unsent(now time.Time) {
-	o.ended(now)
+	o.removeInFlight(now)
 	o.probing = false
 }
 
-// Observe takes the end of one attempt. best is the lowest latency among the
-// other targets of the replica set, 0 if there is none.
+// Observe records the outcome of an attempt. best is the lowest latency among the other targets of the replica
+// set, 0 if there is none.
 func (o *Outlier) Observe(now time.Time, latency time.Duration, s Signal, best time.Duration) {
 	o.ObserveScaled(now, latency, 1, s, best)
 }
 
-// ObserveScaled is Observe where the latency counts times scale, so that
-// attempts at requests of different kinds can be compared; best is scaled.
+// ObserveScaled is Observe with the latency multiplied by scale, so that attempts at requests of different kinds
+// can be compared. best is scaled already.
 func (o *Outlier) ObserveScaled(now time.Time, latency time.Duration, scale float64, s Signal, best time.Duration) {
 	sent := now.Add(-latency)
-	o.ended(sent)
+	o.removeInFlight(sent)
 	latency = time.Duration(scale * float64(latency))
-	o.countRun(now, sent, latency, s, best)
+	o.updateBadRun(now, sent, latency, s, best)
 	if o.ejected && !o.probing {
-		if o.quick && sent.After(o.ejectedAt) && s == Served && o.slowRun == 0 {
-			o.judgeProbe(now, latency, s, best) // asked for want of any other target, and well
+		if o.quick && sent.After(o.ejectedAt) && s == Served && o.badRun == 0 {
+			o.finishProbe(now, latency, s, best) // sent because no other target was available, and succeeded
 		}
-		return // sent before the ejection, or for want of any other target
+		return // sent before the ejection, or because no other target was available
 	}
 	if o.probing {
-		o.judgeProbe(now, latency, s, best)
+		o.finishProbe(now, latency, s, best)
 		return
 	}
-	o.fade(now)
+	o.decay(now)
 	o.outcomes++
-	o.blend(latency, s)
-	o.blendFailure(latency, s, best)
-	o.blendSheds(s)
-	if o.bad(best) {
+	o.updateLatency(latency, s)
+	o.updateFailures(latency, s, best)
+	o.updateSheds(s)
+	if o.shouldEject(best) {
 		if o.quick {
-			o.latency = max(o.latency, latency.Seconds()) // the mean lags behind
+			o.latency = max(o.latency, latency.Seconds()) // the moving average lags behind
 		}
 		o.eject(now)
 		return
 	}
-	o.forgive(s)
+	o.countGoodAnswer(s)
 }
 
-// countRun counts the slow or failed attempts in a row. One that was held up at a target that says
-// since that it works as usual has met a pause, which is over.
-func (o *Outlier) countRun(now, sent time.Time, latency time.Duration, s Signal, best time.Duration) {
+// updateBadRun counts the slow or failed attempts in a row. An attempt counts as paused, not as slow, if the target
+// has reported its usual speed since the attempt was sent: the pause is over.
+func (o *Outlier) updateBadRun(now, sent time.Time, latency time.Duration, s Signal, best time.Duration) {
 	paused := o.reportAt.After(sent) && o.report.Slowness < slowRatio
 	slow := best > 0 && latency.Seconds() > slowRatio*best.Seconds() && !paused
 	switch {
 	case s == Errored || slow:
-		if o.slowRun == 0 {
-			o.slowFrom, o.slowSeen = sent, false
+		if o.badRun == 0 {
+			o.badRunStart, o.badRunHasSlow = sent, false
 		}
-		o.slowRun++
-		o.slowSeen = o.slowSeen || slow
+		o.badRun++
+		o.badRunHasSlow = o.badRunHasSlow || slow
 	case s == Served:
-		o.slowRun, o.wellAt = 0, now
+		o.badRun, o.lastGoodAt = 0, now
 	}
 }
 
-// SetAsideUntil returns when a target that is set aside is probed; the zero
-// time if it is not.
+// SetAsideUntil returns when an ejected target may be probed; the zero time if the target is not ejected.
 func (o *Outlier) SetAsideUntil() time.Time {
 	if !o.ejected {
 		return time.Time{}
 	}
-	return o.ejectedTo
+	return o.probeAt
 }
 
-// Learn takes what another host has judged of the target: its scaled latency
-// and the ratio of failed attempts. A bad target is set aside for probeAfter. It
-// reports false if what this host saw itself just now says otherwise.
-func (o *Outlier) Learn(now time.Time, latency time.Duration, failures float64, bad bool, probeAfter time.Duration) bool {
-	if o.ejected == bad {
+// Learn applies the state that another host reports: scaled latency, ratio of failed attempts, and whether the
+// target is ejected. An ejected target is probed after probeAfter. It returns false if a recent answer to this
+// host contradicts the ejection.
+func (o *Outlier) Learn(now time.Time, latency time.Duration, failures float64, ejected bool, probeAfter time.Duration) bool {
+	if o.ejected == ejected {
 		return true
 	}
-	if bad && now.Sub(o.wellAt) < trustOwn {
+	if ejected && now.Sub(o.lastGoodAt) < ownAnswerPrecedence {
 		return false
 	}
 	o.latency, o.failures = latency.Seconds(), failures
 	o.outcomes = max(o.outcomes, minOutcomes)
-	o.seen = now
-	o.slowRun, o.good = 0, 0
-	o.ejected = bad
+	o.updatedAt = now
+	o.badRun, o.goodSinceEject = 0, 0
+	o.ejected = ejected
 	o.probing = false
-	if bad {
+	if ejected {
 		o.ejectedAt = now
-		o.ejectFor = max(o.ejectFor, ejectFirst)
-		o.ejectedTo = now.Add(probeAfter)
+		o.ejectTime = max(o.ejectTime, minEjectTime)
+		o.probeAt = now.Add(probeAfter)
 	}
 	return true
 }
 
-// Postpone moves the next probe of a target that is set aside.
+// Postpone moves the next probe of an ejected target.
 func (o *Outlier) Postpone(now time.Time, probeAfter time.Duration) {
 	if o.ejected {
-		o.ejectedTo = now.Add(probeAfter)
+		o.probeAt = now.Add(probeAfter)
 	}
 }
 
-// Latency returns the moving average of the time to an answer.
+// Latency returns the moving average of the latency.
 func (o *Outlier) Latency() time.Duration {
 	return time.Duration(o.latency * float64(time.Second))
 }
 
-// Known reports whether enough attempts have ended to judge the target.
+// Known reports whether there were enough outcomes to evaluate the target.
 func (o *Outlier) Known() bool { return o.outcomes >= minOutcomes }
 
 // FailureRatio returns the moving average of failed attempts, 0..1.
 func (o *Outlier) FailureRatio() float64 { return o.failures }
 
-// Ejected reports whether the target is set aside, until a probe finds it
-// well.
+// Ejected reports whether the target is ejected. It is until a probe succeeds.
 func (o *Outlier) Ejected(time.Time) bool { return o.ejected }
 
-// ProbeDue reports whether one attempt may try a target that is set aside.
+// ProbeDue reports whether one attempt may probe an ejected target.
 func (o *Outlier) ProbeDue(now time.Time) bool {
-	return o.ejected && !o.probing && !now.Before(o.ejectedTo)
+	return o.ejected && !o.probing && !now.Before(o.probeAt)
 }
 
-// Cost returns the expected time to an answer with the given requests in
-// flight ahead, in seconds; failures count as many times the latency. What was
-// seen long ago counts less and less, so that a target once slow is tried
-// again; an attempt in flight counts as an answer that took that long.
+// Cost returns the expected time to an answer, in seconds, behind the given requests in flight; failures add a
+// multiple of the latency. Past observations lose weight over time, so that a target that was slow is tried again;
+// an attempt in flight counts as an answer that took as long as it has run.
 func (o *Outlier) Cost(now time.Time, inFlight int, limit float64) float64 {
-	faded := o.faded(now)
-	per := max(o.latency*faded, o.oldest(now)) * (1 + failurePenalty*o.failures*faded)
-	return per * (1 + float64(inFlight)/math.Max(limit, 1))
+	weight := o.historyWeight(now)
+	perRequest := max(o.latency*weight, o.oldestInFlight(now)) * (1 + failurePenalty*o.failures*weight)
+	return perRequest * (1 + float64(inFlight)/math.Max(limit, 1))
 }
 
-// Expected is Cost for a target that may rarely be asked: what was seen long
-// ago counts less and less, and typical, the latency of the other targets of
-// the set, takes its place. A target that is not known is expected to be typical, so
-// that it does not look better than those that are. What the target has just told of
-// itself goes before what was seen.
+// Expected is Cost for a target that may get few requests: as past observations lose weight, typical, the latency
+// of the other targets of the set, replaces them. A target with too few observations is expected to be typical, so
+// that it does not look better than the others. A fresh report of the target overrides the observed latency.
 func (o *Outlier) Expected(now time.Time, inFlight int, limit float64, typical time.Duration) float64 {
-	faded := o.faded(now)
+	weight := o.historyWeight(now)
 	latency := o.latency
 	if t := typical.Seconds(); t > 0 {
 		if !o.Known() {
-			faded = min(faded, float64(o.outcomes)/minOutcomes)
+			weight = min(weight, float64(o.outcomes)/minOutcomes)
 		}
-		latency = t + (latency-t)*faded
+		latency = t + (latency-t)*weight
 	}
-	if o.reportAt.After(now.Add(-reportFresh)) {
-		latency = o.report.expected(typical).Seconds()
+	if o.reportAt.After(now.Add(-maxReportAge)) {
+		latency = o.report.expectedLatency(typical).Seconds()
 	}
-	per := max(latency, o.oldest(now)) * (1 + failurePenalty*o.failures*faded + shedPenalty*o.sheds*faded)
-	return per * (1 + float64(inFlight)/math.Max(limit, 1))
+	perRequest := max(latency, o.oldestInFlight(now)) * (1 + failurePenalty*o.failures*weight + shedPenalty*o.sheds*weight)
+	return perRequest * (1 + float64(inFlight)/math.Max(limit, 1))
 }
 
-// faded returns the weight of what was seen, after a time without an answer.
-func (o *Outlier) faded(now time.Time) float64 {
-	if o.seen.IsZero() {
+// historyWeight returns the weight of past observations, which falls with the time since the last one.
+func (o *Outlier) historyWeight(now time.Time) float64 {
+	if o.updatedAt.IsZero() {
 		return 1
 	}
-	return math.Exp2(-max(now.Sub(o.seen).Seconds(), 0) / forgetHalf.Seconds())
+	return math.Exp2(-max(now.Sub(o.updatedAt).Seconds(), 0) / historyHalfLife.Seconds())
 }
 
-func (o *Outlier) fade(now time.Time) {
-	part := o.faded(now)
-	o.latency *= part
-	o.failures *= part
-	o.sheds *= part
-	o.seen = now
+// decay applies historyWeight to the averages before a new outcome.
+func (o *Outlier) decay(now time.Time) {
+	weight := o.historyWeight(now)
+	o.latency *= weight
+	o.failures *= weight
+	o.sheds *= weight
+	o.updatedAt = now
 }
 
-func (o *Outlier) judgeProbe(now time.Time, latency time.Duration, s Signal, best time.Duration) {
+// finishProbe ends a probe: the target is ejected again, or admitted after a good answer.
+func (o *Outlier) finishProbe(now time.Time, latency time.Duration, s Signal, best time.Duration) {
 	o.probing = false
-	well := s == Served && (best == 0 || latency.Seconds() <= slowRatio*best.Seconds())
-	if !well {
+	healthy := s == Served && (best == 0 || latency.Seconds() <= slowRatio*best.Seconds())
+	if !healthy {
 		o.eject(now)
 		return
 	}
 	o.ejected = false
-	o.good = 0
+	o.goodSinceEject = 0
 	o.latency = latency.Seconds()
 	o.failures /= 2
-	o.seen = now
+	o.updatedAt = now
 }
 
-// blend takes a latency into the mean. That of an abandoned attempt is a
-// lower bound, and so counts only when it is above the mean.
-func (o *Outlier) blend(latency time.Duration, s Signal) {
+// updateLatency adds a latency to the moving average. That of an abandoned attempt is a lower bound, so it counts
+// only if it is above the average.
+func (o *Outlier) updateLatency(latency time.Duration, s Signal) {
 	seconds := latency.Seconds()
 	switch {
 	case o.outcomes == 1:
-		o.latency = max(seconds, shortest)
+		o.latency = max(seconds, minFirstLatencySeconds)
 	case s == Served || (s == Abandoned && seconds > o.latency):
-		o.latency += o.weight() * (seconds - o.latency)
+		o.latency += o.latencySmoothing() * (seconds - o.latency)
 	}
 }
 
-// weight returns that of the newest answer in the mean latency.
-func (o *Outlier) weight() float64 {
+// latencySmoothing returns the weight of the newest answer in the moving average of the latency.
+func (o *Outlier) latencySmoothing() float64 {
 	if o.quick {
-		return quickWeight
+		return quickLatencyWeight
 	}
 	return latencyWeight
 }
 
-// blendFailure counts a failed attempt. One that was given up much later than the others
-// answer counts as one, as how long it would have taken will never be known; but not at a
-// quick one, where those in flight and runs of slow ones tell of it: after each pause it would
-// look as if it failed, and the work went to other failure domains.
-func (o *Outlier) blendFailure(latency time.Duration, s Signal, best time.Duration) {
+// updateFailures adds an outcome to the failure ratio. An attempt abandoned much later than the others answer
+// counts as a failure, because its full latency remains unknown. Not so with a quick Outlier, where attempts in
+// flight and bad runs cover this: each pause would look like a failure, and requests would move to other failure
+// domains.
+func (o *Outlier) updateFailures(latency time.Duration, s Signal, best time.Duration) {
 	late := !o.quick && best > 0 && latency.Seconds() > lateRatio*best.Seconds()
 	switch {
 	case s == Served:
@@ -306,7 +299,8 @@
 	}
 }
 
-func (o *Outlier) blendSheds(s Signal) {
+// updateSheds adds an outcome to the ratio of shed attempts.
+func (o *Outlier) updateSheds(s Signal) {
 	switch s {
 	case Served:
 		o.sheds -= shedWeight * o.sheds
@@ -315,65 +309,67 @@
 	}
 }
 
-// ended forgets the attempt in flight that was sent nearest to a time.
-func (o *Outlier) ended(sent time.Time) {
+// removeInFlight removes the attempt in flight whose send time is nearest to sent.
+func (o *Outlier) removeInFlight(sent time.Time) {
 	nearest := -1
-	for i, f := range o.running {
-		if nearest < 0 || f.sent.Sub(sent).Abs() < o.running[nearest].sent.Sub(sent).Abs() {
+	for i, f := range o.inFlight {
+		if nearest < 0 || f.sent.Sub(sent).Abs() < o.inFlight[nearest].sent.Sub(sent).Abs() {
 			nearest = i
 		}
 	}
 	if nearest >= 0 {
-		o.running = append(o.running[:nearest], o.running[nearest+1:]...)
+		o.inFlight = append(o.inFlight[:nearest], o.inFlight[nearest+1:]...)
 	}
 }
 
-// oldest returns how long the oldest attempt in flight has run, in seconds.
-func (o *Outlier) oldest(now time.Time) float64 {
+// oldestInFlight returns the longest scaled time that an attempt in flight has run, in seconds.
+func (o *Outlier) oldestInFlight(now time.Time) float64 {
 	longest := 0.0
-	for _, f := range o.running {
-		longest = max(longest, f.scale*now.Sub(f.sent).Seconds())
+	for _, attempt := range o.inFlight {
+		longest = max(longest, attempt.scale*now.Sub(attempt.sent).Seconds())
 	}
 	return longest
 }
 
-func (o *Outlier) forgive(s Signal) {
-	if s != Served || o.ejectFor == 0 {
+// countGoodAnswer resets ejectTime after enough good answers since the last ejection.
+func (o *Outlier) countGoodAnswer(s Signal) {
+	if s != Served || o.ejectTime == 0 {
 		return
 	}
-	o.good++
-	if o.good >= trialOutcomes {
-		o.ejectFor = 0
+	o.goodSinceEject++
+	if o.goodSinceEject >= ejectResetAnswers {
+		o.ejectTime = 0
 	}
 }
 
-func (o *Outlier) bad(best time.Duration) bool {
+// shouldEject reports whether the observations eject the target.
+func (o *Outlier) shouldEject(best time.Duration) bool {
 	if o.quick {
-		return o.longRun() || (o.Known() && o.failures >= failureEject)
+		return o.badRunIsLong() || (o.Known() && o.failures >= ejectFailureRatio)
 	}
 	if !o.Known() {
 		return false
 	}
 	slow := best > 0 && o.latency > slowRatio*best.Seconds()
-	return slow || o.failures >= failureEject
+	return slow || o.failures >= ejectFailureRatio
 }
 
-// longRun reports whether slow or failed attempts in a row have lasted longer
-// than a pause. With a span of 250 ms in place of 150 for slow ones, nine hosts
-// sent 45 in place of 53 MB to other failure domains in 58 s at 320 queries a
-// second: most targets that were set aside had only paused.
-func (o *Outlier) longRun() bool {
-	span := failedSpan
-	if o.slowSeen {
-		span = slowSpan
+// badRunIsLong reports whether the slow or failed attempts in a row have lasted longer than a pause. With 250 ms
+// in place of 150 ms for runs with a slow attempt, nine hosts sent 45 in place of 53 MB to other failure domains
+// in 58 s at 320 queries per second: most ejected targets had only paused.
+func (o *Outlier) badRunIsLong() bool {
+	span := minFailedRunSpan
+	if o.badRunHasSlow {
+		span = minSlowRunSpan
 	}
-	return o.slowRun >= quickRun && o.seen.Sub(o.slowFrom) >= span
+	return o.badRun >= minBadRun && o.updatedAt.Sub(o.badRunStart) >= span
 }
 
+// eject ejects the target, for twice as long as the last time.
 func (o *Outlier) eject(now time.Time) {
 	o.ejected = true
 	o.ejectedAt = now
-	o.slowRun = 0
-	o.ejectFor = min(max(2*o.ejectFor, ejectFirst), ejectLongest)
-	o.ejectedTo = now.Add(o.ejectFor)
+	o.badRun = 0
+	o.ejectTime = min(max(2*o.ejectTime, minEjectTime), maxEjectTime)
+	o.probeAt = now.Add(o.ejectTime)
 }
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -11,21 +11,22 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// overload drives the queues of several services that serve on average one
-// shard a millisecond each, with queries over all of them, and counts the
-// queries that every service granted in their budget.
+// overload drives the queues of several services, each of which serves one
+// shard per millisecond on average, with queries over all of them.
 type overload struct {
 	services int
-	offered  int // queries a millisecond, on average
+	offered  int // queries per millisecond, on average
 	budget   time.Duration
 	ranked   bool
-	withdraw bool // a refused shard takes the query out of the other queues
+	withdraw bool // a refused shard withdraws the query from the other queues
 }
 
-// around returns 0 to 2n, n on average.
-func around(rng *rand.Rand, n int) int { return rng.IntN(n+1) + rng.IntN(n+1) }
+// randomAround returns 0 to 2n, n on average.
+func randomAround(rng *rand.Rand, n int) int { return rng.IntN(n+1) + rng.IntN(n+1) }
 
-func (o overload) whole(span time.Duration) (whole int) {
+// wholeQueries returns the number of queries that every service granted by
+// their deadline.
+func (o overload) wholeQueries(span time.Duration) (whole int) {
 	queues := make([]*Queue[int], o.services)
 	for i := range queues {
 		queues[i] = NewQueue[int](QueueConfig{Ranked: o.ranked})
@@ -33,9 +34,9 @@
 	rng := seeded()
 	granted, refused := make(map[int]int), make(map[int]bool)
 	request := 0
-	for past := time.Duration(0); past < span; past += time.Millisecond {
-		now := at(past)
-		for range around(rng, o.offered) {
+	for elapsed := time.Duration(0); elapsed < span; elapsed += time.Millisecond {
+		now := at(elapsed)
+		for range randomAround(rng, o.offered) {
 			request++
 			for _, q := range queues {
 				w := waiter(request, query.Interactive, now.Add(o.budget))
@@ -47,7 +48,7 @@
 			for _, w := range q.Expire(now) {
 				refused[w.Item] = true
 			}
-			for range around(rng, 1) {
+			for range randomAround(rng, 1) {
 				if w := o.next(q, now, refused); w != nil {
 					granted[w.Item]++
 				}
@@ -72,19 +73,18 @@
 	}
 }
 
-// TestWholeQueriesUnderOverload shows that refusing the last to come keeps
-// queries whole only because the rest of a refused query is withdrawn, and
-// that ranks do it without.
+// Refusing the last requests to arrive serves complete queries only if the
+// other shards of a refused query are withdrawn; ranks do so without.
 func TestWholeQueriesUnderOverload(t *testing.T) {
 	is := is.New(t)
 	const span, services = 4 * time.Second, 10
 	for _, offered := range []int{2, 5} {
 		part := func(ranked, withdraw bool) float64 {
 			o := overload{services, offered, 200 * time.Millisecond, ranked, withdraw}
-			return float64(o.whole(span)) / float64(span/time.Millisecond)
+			return float64(o.wholeQueries(span)) / float64(span/time.Millisecond)
 		}
 		withdrawn, alone, ranked := part(false, true), part(false, false), part(true, false)
-		t.Logf("offered %d times: whole queries over the possible: %.3f withdrawn, %.3f not, %.3f ranked and not withdrawn",
+		t.Logf("offered %d times the capacity: part of the capacity in complete queries: %.3f withdrawn, %.3f not withdrawn, %.3f ranked and not withdrawn",
 			offered, withdrawn, alone, ranked)
 		is.True(withdrawn >= 0.9)
 		is.True(alone < 0.2)
--- a/internal/policy/quantile.go
+++ b/internal/policy/quantile.go
@@ -3,10 +3,10 @@
 import "time"
 
 // quantileStep is the part by which the estimate of a median moves with each
-// observation; it follows a change by half within a few tens of them.
+// observation; the estimate follows a change by half within a few tens of them.
 const quantileStep = 0.05
 
-// TowardsQuantile moves the estimate of a quantile by one observation.
+// TowardsQuantile updates the estimate of a quantile by one observation.
 func TowardsQuantile(estimate, observed time.Duration, quantile float64) time.Duration {
 	step := 2 * quantileStep * float64(estimate)
 	if observed > estimate {
@@ -15,23 +15,25 @@
 	return estimate - time.Duration(step*(1-quantile))
 }
 
-// tailQuantile is the quantile that a Tail estimates.
+// tailQuantile is the quantile that TailEstimate tracks.
 const tailQuantile = 0.95
 
-// Tail is what all but a few of some durations stay below.
-type Tail struct {
+// TailEstimate is an online estimate of a high quantile of durations.
+type TailEstimate struct {
 	estimate time.Duration
-	least    time.Duration
+	lowest   time.Duration
 }
 
-// NewTail returns an estimate that begins with a prior and never falls below
-// least, more than 0, so that it can grow again.
-func NewTail(prior, least time.Duration) Tail { return Tail{estimate: prior, least: least} }
+// NewTailEstimate returns an estimate that starts at prior and never falls
+// below lowest, which must be above 0 so that the estimate can grow again.
+func NewTailEstimate(prior, lowest time.Duration) TailEstimate {
+	return TailEstimate{estimate: prior, lowest: lowest}
+}
 
-// Observe takes one duration.
-func (t *Tail) Observe(d time.Duration) {
-	t.estimate = max(TowardsQuantile(t.estimate, d, tailQuantile), t.least)
+// Observe adds one duration.
+func (t *TailEstimate) Observe(d time.Duration) {
+	t.estimate = max(TowardsQuantile(t.estimate, d, tailQuantile), t.lowest)
 }
 
-// Estimate returns it.
-func (t *Tail) Estimate() time.Duration { return t.estimate }
+// Estimate returns the current estimate.
+func (t *TailEstimate) Estimate() time.Duration { return t.estimate }
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -14,9 +14,9 @@
 	return &Waiter[int]{Item: id, Urgency: u, Deadline: deadline}
 }
 
-// TestQueueNeverStarvesTheDeferrable checks for random arrivals that, while a
-// deferrable request waits, at least one in every DeferrableShare grants is
-// deferrable, that the length is bounded, and that nobody is granted twice.
+// For random arrivals: while a deferrable request waits, at least one in every
+// DeferrableShare grants is deferrable; the length is bounded; and no request
+// is granted twice.
 func TestQueueNeverStarvesTheDeferrable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 6).Draw(t, "share")
@@ -54,6 +54,8 @@
 	})
 }
 
+// countPassed returns the number of grants since the last deferrable one, while
+// one waited.
 func countPassed(passed, waiting int, w *Waiter[int]) int {
 	if w == nil {
 		return passed
@@ -70,9 +72,9 @@
 	q.Push(start, waiter(1, query.Deferrable, at(time.Hour)))
 	q.Push(start, waiter(2, query.Interactive, at(time.Hour)))
 	is.Equal(len(q.Expire(at(99*time.Millisecond))), 0)
-	gone := q.Expire(at(100 * time.Millisecond))
-	is.Equal(len(gone), 1)
-	is.Equal(gone[0].Item, 1)
+	expired := q.Expire(at(100 * time.Millisecond))
+	is.Equal(len(expired), 1)
+	is.Equal(expired[0].Item, 1)
 	is.Equal(q.Pop(at(100*time.Millisecond), nil).Item, 2)
 }
 
@@ -92,10 +94,10 @@
 	is.Equal(out[0].Item, 2)
 	is.True(out[0].Evicted)
 	is.True(!push(4, 0.7).Admitted)
-	is.Equal(q.Pop(start, nil).Item, 3) // lowest rank first while overloaded
-	later := start.Add(overloadHold)
+	is.Equal(q.Pop(start, nil).Item, 3) // by rank while overloaded
+	later := start.Add(overloadSpan)
 	push(5, 0.2)
-	is.Equal(q.Pop(later, nil).Item, 1) // first come first served again
+	is.Equal(q.Pop(later, nil).Item, 1) // in the order of arrival again
 }
 
 func TestQueueRefusesAtOnceWhatItCannotServeInTime(t *testing.T) {
@@ -105,7 +107,7 @@
 	for id := range 50 {
 		q.Push(now, waiter(id, query.Interactive, now.Add(time.Hour)))
 	}
-	for range 20 { // one grant each millisecond
+	for range 20 { // one grant per millisecond
 		now = now.Add(time.Millisecond)
 		is.True(q.Pop(now, nil) != nil)
 		q.Served(500 * time.Microsecond)
@@ -128,15 +130,15 @@
 	for range 50 {
 		is.True(push().Admitted)
 	}
-	for range 5 { // one grant each 20 ms: QueueDelay is the work of 4 at most
+	for range 5 { // one grant every 20 ms: at most 4 of them are the work of QueueDelay
 		now = now.Add(20 * time.Millisecond)
 		is.True(q.Pop(now, nil) != nil)
 	}
 	is.True(push().Admitted) // still a burst
-	now = now.Add(burstSpan)
+	now = now.Add(maxBurstSpan)
 	is.True(!push().Admitted)
-	is.Equal(q.Len(), shortQueue)
-	is.Equal(len(q.Evictions()), 42) // and the new one, of equal rank, was refused
+	is.Equal(q.Len(), minShortLength)
+	is.Equal(len(q.Evictions()), 42) // besides the new one, of equal rank, which was refused
 }
 
 func TestQueueExpectsAGrowingWaitWhileItIsStalled(t *testing.T) {
@@ -159,7 +161,7 @@
 	is.True(!q.Saturated(at(50 * time.Millisecond)))
 	push(at(50 * time.Millisecond))
 	q.Pop(at(55*time.Millisecond), nil)
-	is.True(q.Saturated(at(60 * time.Millisecond))) // somebody waits since 25 ms
+	is.True(q.Saturated(at(60 * time.Millisecond))) // a request has waited since 25 ms
 }
 
 func TestQueueExpiresWhatCannotBeServedAnyMore(t *testing.T) {
@@ -169,15 +171,15 @@
 	q.Push(start, waiter(1, query.Interactive, at(50*time.Millisecond)))
 	q.Push(start, waiter(2, query.Deferrable, at(time.Hour)))
 	is.Equal(len(q.Expire(at(30*time.Millisecond))), 0)
-	gone := q.Expire(at(41 * time.Millisecond))
-	is.Equal(len(gone), 1)
-	is.Equal(gone[0].Item, 1)
+	expired := q.Expire(at(41 * time.Millisecond))
+	is.Equal(len(expired), 1)
+	is.Equal(expired[0].Item, 1)
 	is.Equal(q.Len(), 1)
 }
 
-// TestQueueRecoversFromATooLongServiceTime covers a trap: were the mean time of
-// service not lowered by refusals, a slow spell would refuse everything ever
-// after, as nothing served could correct it.
+// If refusals did not lower the mean service time, a slow period would cause
+// all later requests to be refused, because none would be served to correct the
+// mean.
 func TestQueueRecoversFromATooLongServiceTime(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue[int](QueueConfig{})
--- a/internal/policy/quick_test.go
+++ b/internal/policy/quick_test.go
@@ -10,9 +10,9 @@
 
 const typicalAnswer = 10 * time.Millisecond
 
-// attempts sends attempts to a target, one after another, and returns when the
-// last has ended.
-func attempts(o *Outlier, now time.Time, apart, latency time.Duration, s Signal, n int) time.Time {
+// sendAttempts sends n attempts to a target, one after another, and returns the time of the next
+// one.
+func sendAttempts(o *Outlier, now time.Time, apart, latency time.Duration, s Signal, n int) time.Time {
 	for range n {
 		o.Sent(now)
 		now = now.Add(latency)
@@ -27,8 +27,8 @@
 	now := time.Now()
 	quick, mean := NewQuickOutlier(), NewOutlier()
 	for _, o := range []*Outlier{quick, mean} {
-		end := attempts(o, now, 500*time.Millisecond, typicalAnswer, Served, 20)
-		end = attempts(o, end, 500*time.Millisecond, 8*typicalAnswer, Served, 2)
+		end := sendAttempts(o, now, 500*time.Millisecond, typicalAnswer, Served, 20)
+		end = sendAttempts(o, end, 500*time.Millisecond, 8*typicalAnswer, Served, 2)
 		is.Equal(o.Ejected(end), o == quick)
 	}
 	is.True(quick.Latency() >= 8*typicalAnswer) // not the mean, which lags behind
@@ -37,8 +37,8 @@
 func TestAPauseDoesNotSetATargetAside(t *testing.T) {
 	is := is.New(t)
 	o := NewQuickOutlier()
-	now := attempts(o, time.Now(), 100*time.Millisecond, typicalAnswer, Served, 20)
-	// Several attempts that one pause has held up at once.
+	now := sendAttempts(o, time.Now(), 100*time.Millisecond, typicalAnswer, Served, 20)
+	// Several attempts that one pause delayed at once.
 	for i := range 4 {
 		o.Sent(now.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
@@ -47,18 +47,18 @@
 		o.Observe(end, 120*time.Millisecond-time.Duration(i)*10*time.Millisecond, Served, typicalAnswer)
 	}
 	is.True(!o.Ejected(end))
-	now = attempts(o, end, 100*time.Millisecond, typicalAnswer, Served, 1)
-	attempts(o, now, 100*time.Millisecond, 8*typicalAnswer, Served, 1)
+	now = sendAttempts(o, end, 100*time.Millisecond, typicalAnswer, Served, 1)
+	sendAttempts(o, now, 100*time.Millisecond, 8*typicalAnswer, Served, 1)
 	is.True(!o.Ejected(now)) // a good answer between two slow ones ends the run
 }
 
-// A pause of 150 ms that holds up one attempt after another, as each waits for
-// the one before, must not set a target aside, nor make it look slow for long.
+// A pause of 150 ms that delays consecutive attempts, as each waits for the one before, must
+// neither eject a target nor make it look slow for long.
 func TestAPauseWithAQueueDoesNotSetATargetAside(t *testing.T) {
 	is := is.New(t)
 	const pause = 150 * time.Millisecond
 	o := NewQuickOutlier()
-	now := attempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
+	now := sendAttempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
 	for i := range 5 {
 		o.Sent(now.Add(time.Duration(i) * 25 * time.Millisecond))
 	}
@@ -72,13 +72,13 @@
 	is.True(o.Latency() < 4*typicalAnswer)
 }
 
-// Attempts that a pause held up until their answers were of no use any more do not make a target look as if it
-// failed: it is asked as before once the pause is over.
+// Attempts abandoned because of a pause do not count as failures of the target: it gets requests as
+// before once the pause is over.
 func TestAttemptsGivenUpInAPauseAreNoFailures(t *testing.T) {
 	is := is.New(t)
 	const pause = 150 * time.Millisecond
 	o := NewQuickOutlier()
-	now := attempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
+	now := sendAttempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
 	usual := o.Expected(now, 0, 4, typicalAnswer)
 	for range 4 {
 		o.Sent(now)
@@ -89,37 +89,37 @@
 	now = now.Add(pause)
 	is.Equal(o.FailureRatio(), 0.0)
 	is.True(o.Expected(now.Add(time.Second), 0, 4, typicalAnswer) < 8*usual)
-	now = attempts(o, now, 50*time.Millisecond, typicalAnswer, Served, 5)
+	now = sendAttempts(o, now, 50*time.Millisecond, typicalAnswer, Served, 5)
 	is.True(!o.Ejected(now))
 }
 
-// A target that never answers is set aside all the same.
+// A target that never answers is ejected nevertheless.
 func TestSilentTargetIsSetAside(t *testing.T) {
 	is := is.New(t)
 	o := NewQuickOutlier()
-	now := attempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
-	now = attempts(o, now, 10*time.Millisecond, 200*time.Millisecond, Abandoned, 2)
+	now := sendAttempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
+	now = sendAttempts(o, now, 10*time.Millisecond, 200*time.Millisecond, Abandoned, 2)
 	is.True(o.Ejected(now))
 }
 
-// A target that sheds a part still serves the rest: it is not set aside, but two
-// shed attempts already make it the last choice.
+// A target that sheds some attempts still serves the others: it is not ejected, but two shed
+// attempts already make it the most expensive choice.
 func TestShedAttemptsMakeATargetTheLastChoice(t *testing.T) {
 	is := is.New(t)
-	shedding, well := NewQuickOutlier(), NewQuickOutlier()
-	now := attempts(shedding, time.Now(), 100*time.Millisecond, typicalAnswer, Served, 20)
-	attempts(well, now, 100*time.Millisecond, typicalAnswer, Served, 20)
-	now = attempts(shedding, now, 200*time.Millisecond, time.Millisecond, Shed, 2)
+	shedding, healthy := NewQuickOutlier(), NewQuickOutlier()
+	now := sendAttempts(shedding, time.Now(), 100*time.Millisecond, typicalAnswer, Served, 20)
+	sendAttempts(healthy, now, 100*time.Millisecond, typicalAnswer, Served, 20)
+	now = sendAttempts(shedding, now, 200*time.Millisecond, time.Millisecond, Shed, 2)
 	is.True(!shedding.Ejected(now))
-	busy := well.Expected(now, 6, 3, typicalAnswer) // with twice its slots in flight
+	busy := healthy.Expected(now, 6, 3, typicalAnswer) // with twice its slots in flight
 	is.True(shedding.Expected(now, 0, 3, typicalAnswer) > 2*busy)
-	now = attempts(shedding, now, 50*time.Millisecond, time.Millisecond, Shed, 50)
+	now = sendAttempts(shedding, now, 50*time.Millisecond, time.Millisecond, Shed, 50)
 	is.True(!shedding.Ejected(now))
-	now = attempts(shedding, now, 50*time.Millisecond, typicalAnswer, Served, 60)
-	is.True(shedding.Expected(now, 0, 3, typicalAnswer) < 2*typicalAnswer.Seconds()) // forgiven
+	now = sendAttempts(shedding, now, 50*time.Millisecond, typicalAnswer, Served, 60)
+	is.True(shedding.Expected(now, 0, 3, typicalAnswer) < 2*typicalAnswer.Seconds()) // recovered
 }
 
-func TestLearnedFromAnotherHost(t *testing.T) {
+func TestStateReceivedFromAnotherHost(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	o := NewQuickOutlier()
@@ -127,29 +127,29 @@
 	is.True(o.Ejected(now))
 	is.True(!o.ProbeDue(now.Add(time.Second - 1)))
 	is.True(o.ProbeDue(now.Add(time.Second)))
-	o.Postpone(now, 2*time.Second) // another host has probed it in vain
+	o.Postpone(now, 2*time.Second) // another host's probe failed
 	is.True(!o.ProbeDue(now.Add(time.Second)))
 	is.True(o.Learn(now, typicalAnswer, 0, false, 0))
 	is.True(!o.Ejected(now))
 }
 
-func TestOwnGoodAnswerGoesBeforeWhatOthersSay(t *testing.T) {
+func TestOwnGoodAnswerTakesPrecedenceOverOtherHosts(t *testing.T) {
 	is := is.New(t)
 	o := NewQuickOutlier()
-	now := attempts(o, time.Now(), 0, typicalAnswer, Served, 3)
+	now := sendAttempts(o, time.Now(), 0, typicalAnswer, Served, 3)
 	is.True(!o.Learn(now, 8*typicalAnswer, 0, true, time.Second))
 	is.True(!o.Ejected(now))
-	is.True(o.Learn(now.Add(trustOwn), 8*typicalAnswer, 0, true, time.Second))
+	is.True(o.Learn(now.Add(ownAnswerPrecedence), 8*typicalAnswer, 0, true, time.Second))
 }
 
-// A target that is set aside is asked all the same if there is no other; if it
-// answers well it is taken back.
+// An ejected target gets requests if there is no other one, and a good answer to these ends the
+// ejection.
 func TestGoodAnswerForWantOfOthersTakesATargetBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	o := NewQuickOutlier()
 	o.Learn(now, 8*typicalAnswer, 0, true, time.Hour)
-	now = attempts(o, now.Add(time.Millisecond), 0, typicalAnswer, Served, 1)
+	now = sendAttempts(o, now.Add(time.Millisecond), 0, typicalAnswer, Served, 1)
 	is.True(!o.Ejected(now))
 }
 
@@ -157,7 +157,7 @@
 	is := is.New(t)
 	o := NewQuickOutlier()
 	now := time.Now()
-	for range 10 { // requests that take eight times as long everywhere
+	for range 10 { // requests that take eight times as long at every target
 		o.SentScaled(now, 1.0/8)
 		now = now.Add(8 * typicalAnswer)
 		o.ObserveScaled(now, 8*typicalAnswer, 1.0/8, Served, typicalAnswer)
@@ -172,15 +172,14 @@
 	now := time.Now()
 	unknown, slow := NewQuickOutlier(), NewOutlier()
 	is.Equal(unknown.Expected(now, 0, 2, typicalAnswer), typicalAnswer.Seconds())
-	now = attempts(slow, now, 0, 4*typicalAnswer, Served, 20)
+	now = sendAttempts(slow, now, 0, 4*typicalAnswer, Served, 20)
 	was := slow.Expected(now, 0, 2, typicalAnswer)
 	is.True(was > 2*typicalAnswer.Seconds())
 	later := slow.Expected(now.Add(time.Hour), 0, 2, typicalAnswer)
 	is.True(later > 0.99*typicalAnswer.Seconds() && later < 1.01*typicalAnswer.Seconds())
 }
 
-// TestSharesStayWithinTheAllowance lets hosts spend whatever their shares give
-// and holds every window to the allowance of all together.
+// Hosts that spend all that their shares give stay, together, within the allowance in every window.
 func TestSharesStayWithinTheAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Allowance{Ratio: 0.2, Slack: rapid.Float64Range(20, 200).Draw(t, "slack"), Window: 10 * time.Second}
@@ -219,8 +218,8 @@
 	})
 }
 
-// TestWeightedSharesStayWithinTheAllowance does the same where few hosts gather for all:
-// they fail at some moment, and the others gather for themselves from then on.
+// The same where few hosts gather for all: they are lost at some second, and the other hosts gather
+// from then on.
 func TestWeightedSharesStayWithinTheAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Allowance{Ratio: 0.2, Slack: rapid.Float64Range(50, 700).Draw(t, "slack"), Window: 10 * time.Second}
@@ -239,7 +238,7 @@
 		var firsts, extras [seconds]float64
 		for s := range seconds {
 			now := began.Add(time.Duration(s) * time.Second)
-			for i := range rate { // to the hosts that gather, or to all
+			for i := range rate { // to the hosts that gather, or to all others after their loss
 				at := i % gatherers
 				if s >= lostAt {
 					at = gatherers + (s*rate+i)%(hosts-gatherers)
@@ -257,8 +256,8 @@
 	})
 }
 
-// checkWindows holds every window to the allowance. The first tries counted are those of
-// the window or of the one before, whichever are more.
+// checkWindows checks every window against the allowance. The first attempts counted are the most
+// of those in the window, in the one before, and in the one half a window earlier.
 func checkWindows(t *rapid.T, a Allowance, firsts, extras []float64) {
 	const window = 10
 	sum := func(x []float64, from int) (all float64) {
--- a/internal/policy/rank.go
+++ b/internal/policy/rank.go
@@ -2,10 +2,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank places a request in [0, 1) by its id; the lower one goes first in a
-// ranked queue under overload. Every host and every service ranks it alike, so that all of them
-// refuse the same requests. A query over many shards is worth nothing when
-// each shard is refused for another request.
+// Rank maps a request id to [0, 1); under overload a ranked queue serves the
+// lower rank first. Every host and service computes the same rank, so that all
+// of them refuse the same requests: a query over many shards is worthless if
+// each shard refuses another request.
 func Rank(requestID string) float64 {
 	const bits = 53 // of a float64's fraction
 	return float64(xxhash.Sum64String(requestID)>>(64-bits)) / (1 << bits)
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Try tells what an attempt is for.
+// Try is the purpose of an attempt.
 type Try uint8
 
 const (
-	// FirstTry is a request's first attempt; it may also probe a target that
-	// was set aside.
+	// FirstTry is a request's first attempt; it may also probe an ejected
+	// target.
 	FirstTry Try = iota
-	// Hedge runs beside an attempt that is late. It goes to a healthy target
-	// or not at all.
+	// Hedge runs beside an attempt that is late. It goes to a healthy target or
+	// is not sent.
 	Hedge
 	// Retry follows an attempt that failed.
 	Retry
 )
 
-// Replica is one target of a replica set as one relay sees it.
+// Replica is the state that one relay keeps of one target of a replica set.
 type Replica struct {
 	ID      string
 	Local   bool // in the relay's failure domain
@@ -29,7 +29,7 @@
 	Ramp    Ramp
 }
 
-// NewReplica returns a target of which nothing is known; see NewLimiter.
+// NewReplica returns a target without observations; see NewLimiter.
 func NewReplica(id string, local bool, slots, relays, ceiling int) *Replica {
 	return &Replica{
 		ID:      id,
@@ -39,12 +39,12 @@
 	}
 }
 
-// Pick chooses the replica for one attempt among those that are usable: that
-// hold the shard and its snapshot, are not leaving, and were not asked before.
-// It returns nil if the attempt has to wait, or, for a hedge, is not worth it.
-// Send must follow at once.
+// Pick chooses the replica for one attempt among those for which usable returns
+// true: those that hold the shard and its snapshot, are not leaving, and had no
+// attempt of the request yet. It returns nil if the attempt has to wait or, for
+// a hedge, is not worth sending. Send must follow at once.
 func Pick(now time.Time, rng *rand.Rand, try Try, replicas []*Replica, usable func(*Replica) bool) *Replica {
-	healthy, ejected := split(now, replicas, usable)
+	healthy, ejected := partition(now, replicas, usable)
 	if try == FirstTry && len(healthy) > 0 {
 		if probe := dueProbe(now, ejected); probe != nil {
 			return probe
@@ -53,32 +53,35 @@
 	if len(healthy) == 0 && try != Hedge {
 		healthy = ejected
 	}
-	return cheapest(now, rng, healthy)
+	return pickFree(now, rng, healthy)
 }
 
-// Send takes a place at the replica for one attempt. Done must follow.
+// Send takes a slot at the replica for one attempt. Done must follow.
 func (r *Replica) Send(now time.Time) {
 	r.Limiter.Take(now)
 	r.Outlier.Sent(now)
 }
 
-// Done gives the place back and learns from the attempt; all are the replicas
-// of the set. latency is the time from send to answer, or to giving up.
+// Done returns the slot and records the outcome; all are the replicas of the
+// set. latency is the time from send to answer, or until the attempt was given
+// up.
 func (r *Replica) Done(now time.Time, latency time.Duration, s Signal, all []*Replica) {
 	r.Limiter.Release(now, latency, s)
-	r.Outlier.Observe(now, latency, s, r.bestOther(now, all))
+	r.Outlier.Observe(now, latency, s, r.bestOtherLatency(now, all))
 }
 
-// Restart begins the ramp of a target that has just started and forgets what
-// its last incarnation showed.
+// Restart starts the ramp of a restarted target and drops the observations of
+// its previous incarnation.
 func (r *Replica) Restart(now time.Time, span time.Duration) {
 	r.Ramp.Restart(now, span)
-	running := r.Outlier.running
+	running := r.Outlier.inFlight
 	r.Outlier = NewOutlier()
-	r.Outlier.running = running
+	r.Outlier.inFlight = running
 }
 
-func (r *Replica) bestOther(now time.Time, all []*Replica) time.Duration {
+// bestOtherLatency returns the lowest latency among the other healthy replicas;
+// 0 if there is none.
+func (r *Replica) bestOtherLatency(now time.Time, all []*Replica) time.Duration {
 	var best time.Duration
 	for _, o := range all {
 		if o == r || !o.Outlier.Known() || o.Outlier.Ejected(now) {
@@ -91,7 +94,8 @@
 	return best
 }
 
-func split(now time.Time, replicas []*Replica, usable func(*Replica) bool) (healthy, ejected []*Replica) {
+// partition divides the usable replicas into healthy and ejected ones.
+func partition(now time.Time, replicas []*Replica, usable func(*Replica) bool) (healthy, ejected []*Replica) {
 	for _, r := range replicas {
 		switch {
 		case usable != nil && !usable(r):
@@ -104,6 +108,8 @@
 	return healthy, ejected
 }
 
+// dueProbe returns an ejected replica that may be probed now; nil if there is
+// none.
 func dueProbe(now time.Time, ejected []*Replica) *Replica {
 	for _, r := range ejected {
 		if r.Outlier.ProbeDue(now) && r.Limiter.Free(now) {
@@ -113,19 +119,22 @@
 	return nil
 }
 
-// worthWaiting is how many times the expected time at a replica without a
-// place a free one may take; a slower one is left free and the attempt waits.
-const worthWaiting = 1.5
+// maxCostOverFull bounds the cost of a free replica, relative to the cheapest
+// replica without a free slot. If all free replicas cost more, the attempt
+// waits.
+const maxCostOverFull = 1.5
 
-func cheapest(now time.Time, rng *rand.Rand, replicas []*Replica) *Replica {
+// pickFree chooses among the replicas with a free slot; nil if none is worth
+// taking.
+func pickFree(now time.Time, rng *rand.Rand, replicas []*Replica) *Replica {
 	var free []*Replica
 	var options []Option
-	most := worthWaiting * cheapestFull(now, replicas)
+	maxCost := maxCostOverFull * minFullCost(now, replicas)
 	for _, r := range replicas {
 		if !r.Limiter.Free(now) {
 			continue
 		}
-		if o := r.option(now, rng); o.Cost <= most {
+		if o := r.option(now, rng); o.Cost <= maxCost {
 			free = append(free, r)
 			options = append(options, o)
 		}
@@ -137,16 +146,16 @@
 	return free[i]
 }
 
-// cheapestFull returns the lowest cost of a replica whose place will come free
-// by an answer; infinite if there is none.
-func cheapestFull(now time.Time, replicas []*Replica) float64 {
-	least := math.Inf(1)
+// minFullCost returns the lowest cost of a replica whose slots are all taken
+// and will be released by an answer; infinite if there is none.
+func minFullCost(now time.Time, replicas []*Replica) float64 {
+	lowest := math.Inf(1)
 	for _, r := range replicas {
 		if r.Limiter.InFlight() > 0 && !r.Limiter.Free(now) {
-			least = min(least, r.cost(now))
+			lowest = min(lowest, r.cost(now))
 		}
 	}
-	return least
+	return lowest
 }
 
 func (r *Replica) cost(now time.Time) float64 {
--- a/internal/policy/replica_test.go
+++ b/internal/policy/replica_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func three() []*Replica {
+func threeReplicas() []*Replica {
 	return []*Replica{
 		NewReplica("a", true, 2, 1, 2),
 		NewReplica("b", false, 2, 1, 2),
@@ -16,9 +16,9 @@
 	}
 }
 
-// play sends n requests one after another; answer gives the end of an attempt
-// at a replica. It returns the requests that each replica got.
-func play(replicas []*Replica, from time.Time, n int, answer func(id string) (time.Duration, Signal)) map[string]int {
+// simulate sends n requests one after another; answer returns the outcome of an
+// attempt at a replica. The result is the number of requests by replica.
+func simulate(replicas []*Replica, from time.Time, n int, answer func(id string) (time.Duration, Signal)) map[string]int {
 	rng, got, now := seeded(), make(map[string]int), from
 	for range n {
 		r := Pick(now, rng, FirstTry, replicas, nil)
@@ -37,14 +37,14 @@
 
 func TestStragglerGetsHardlyAnyFirstTry(t *testing.T) {
 	is := is.New(t)
-	replicas := three()
-	got := play(replicas, start, 3000, func(id string) (time.Duration, Signal) {
+	replicas := threeReplicas()
+	got := simulate(replicas, start, 3000, func(id string) (time.Duration, Signal) {
 		if id == "c" {
 			return 50 * time.Millisecond, Served
 		}
 		return 5 * time.Millisecond, Served
 	})
-	is.True(got["c"] < 15) // one to find out, then another when that is half forgotten
+	is.True(got["c"] < 15) // one to measure it, another after the measurement has lost weight
 }
 
 func TestSlowTargetIsSetAsideAndProbed(t *testing.T) {
@@ -55,13 +55,13 @@
 	}
 	is.True(o.Ejected(start))
 	is.True(!o.ProbeDue(start))
-	now := at(ejectFirst)
+	now := at(minEjectTime)
 	is.True(o.ProbeDue(now))
 	o.Sent(now)
-	is.True(!o.ProbeDue(now)) // one at a time
+	is.True(!o.ProbeDue(now)) // one probe at a time
 	o.Observe(now, 50*time.Millisecond, Served, 5*time.Millisecond)
-	is.True(!o.ProbeDue(now.Add(ejectFirst))) // twice as long now
-	now = now.Add(2 * ejectFirst)
+	is.True(!o.ProbeDue(now.Add(minEjectTime))) // the ejection is twice as long now
+	now = now.Add(2 * minEjectTime)
 	o.Sent(now)
 	o.Observe(now, 5*time.Millisecond, Served, 5*time.Millisecond)
 	is.True(!o.Ejected(now))
@@ -69,7 +69,7 @@
 
 func TestFrozenTargetIsSetAsideByAbandonedAttempts(t *testing.T) {
 	is := is.New(t)
-	got := play(three(), start, 3000, func(id string) (time.Duration, Signal) {
+	got := simulate(threeReplicas(), start, 3000, func(id string) (time.Duration, Signal) {
 		if id == "c" {
 			return 40 * time.Millisecond, Abandoned // the hedge won
 		}
@@ -79,10 +79,10 @@
 }
 
 func TestFailingTargetGetsHardlyAnyFirstTry(t *testing.T) {
-	for _, every := range []int{1, 2} { // each attempt fails, every second one
+	for _, every := range []int{1, 2} { // every attempt fails, or every second one
 		is := is.New(t)
 		n := 0
-		got := play(three(), start, 3000, func(id string) (time.Duration, Signal) {
+		got := simulate(threeReplicas(), start, 3000, func(id string) (time.Duration, Signal) {
 			if id != "c" {
 				return 5 * time.Millisecond, Served
 			}
@@ -108,7 +108,7 @@
 		is.True(overtaken < 10)
 	}
 	p := NewOutlier()
-	for range 100 { // given up early: by the caller, not for being slow
+	for range 100 { // abandoned early: by the caller, not because the target was slow
 		p.Observe(start, 4*time.Millisecond, Abandoned, 5*time.Millisecond)
 	}
 	is.True(!p.Ejected(start))
@@ -116,14 +116,14 @@
 
 func TestAttemptWaitsRatherThanGoToASlowFreeTarget(t *testing.T) {
 	is := is.New(t)
-	replicas := three()
+	replicas := threeReplicas()
 	now := start
 	for range 20 {
 		for _, r := range replicas[:2] {
 			r.Outlier.Observe(now, 5*time.Millisecond, Served, 0)
 		}
 	}
-	replicas[2].Send(now) // no answer to this one
+	replicas[2].Send(now) // never answered
 	now = at(40 * time.Millisecond)
 	is.True(Pick(now, seeded(), FirstTry, replicas, nil).ID != "c")
 	for _, r := range replicas[:2] {
@@ -136,7 +136,7 @@
 
 func TestTargetThatRecoversGetsWorkAgain(t *testing.T) {
 	is := is.New(t)
-	replicas := three()
+	replicas := threeReplicas()
 	slow := true
 	answer := func(id string) (time.Duration, Signal) {
 		if id == "c" && slow {
@@ -144,15 +144,15 @@
 		}
 		return 5 * time.Millisecond, Served
 	}
-	play(replicas, start, 500, answer)
+	simulate(replicas, start, 500, answer)
 	slow = false
-	got := play(replicas, at(2*time.Minute), 3000, answer)
-	is.True(got["c"] > 300) // a sixth when all are even: one of two remote ones, in a third of the pairs
+	got := simulate(replicas, at(2*time.Minute), 3000, answer)
+	is.True(got["c"] > 300) // a sixth when all are equal: one of two remote ones, in a third of the pairs
 }
 
 func TestWhenAllFailTheyAreAskedStill(t *testing.T) {
 	is := is.New(t)
-	got := play(three(), start, 300, func(string) (time.Duration, Signal) {
+	got := simulate(threeReplicas(), start, 300, func(string) (time.Duration, Signal) {
 		return time.Millisecond, Errored
 	})
 	is.Equal(got["a"]+got["b"]+got["c"], 300)
@@ -160,7 +160,7 @@
 
 func TestHedgeGoesToAHealthyReplicaOrNowhere(t *testing.T) {
 	is := is.New(t)
-	replicas := three()
+	replicas := threeReplicas()
 	replicas[1].Outlier.eject(start)
 	not := func(id string) func(*Replica) bool { return func(r *Replica) bool { return r.ID != id } }
 	for range 50 {
@@ -173,7 +173,7 @@
 
 func TestPickNeverTakesAFullOrUnusableReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		replicas, rng := three(), seeded()
+		replicas, rng := threeReplicas(), seeded()
 		barred := rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "barred")
 		usable := func(r *Replica) bool { return r.ID != barred }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -211,9 +211,9 @@
 
 func TestColdTargetGetsLittleWork(t *testing.T) {
 	is := is.New(t)
-	replicas := three()
+	replicas := threeReplicas()
 	replicas[0].Restart(start, time.Hour)
-	got := play(replicas, start, 3000, func(string) (time.Duration, Signal) { return time.Millisecond, Served })
+	got := simulate(replicas, start, 3000, func(string) (time.Duration, Signal) { return time.Millisecond, Served })
 	is.True(got["a"] > 0)
 	is.True(got["a"] < 600) // a tenth of its choices
 }
--- a/internal/policy/report_test.go
+++ b/internal/policy/report_test.go
@@ -7,33 +7,34 @@
 	"github.com/matryer/is"
 )
 
-// One report makes a target the last choice, or the first again; latencies would need many answers.
-func TestReportTellsAtOnce(t *testing.T) {
+// One report makes a target the most expensive choice, or a regular one again; latencies would require many
+// answers.
+func TestReportChangesExpectedCostAtOnce(t *testing.T) {
 	is := is.New(t)
 	o, usual := NewQuickOutlier(), NewQuickOutlier()
-	now := attempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
-	attempts(usual, now.Add(-time.Second), 50*time.Millisecond, typicalAnswer, Served, 20)
+	now := sendAttempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
+	sendAttempts(usual, now.Add(-time.Second), 50*time.Millisecond, typicalAnswer, Served, 20)
 	expected := func(o *Outlier, now time.Time) float64 { return o.Expected(now, 0, 4, typicalAnswer) }
 	o.Reported(now, NewReport(8, 1, 0, 4))
 	is.True(expected(o, now) >= 7*expected(usual, now))
-	o.Reported(now, NewReport(1, 4, 4, 4)) // a whole round waits
+	o.Reported(now, NewReport(1, 4, 4, 4)) // a whole round of requests waits
 	is.True(expected(o, now) >= 1.9*expected(usual, now))
 	o.Reported(now, NewReport(1, 4, 0, 4))
 	is.True(expected(o, now) < 1.1*expected(usual, now))
 	o.Reported(now, NewReport(8, 0, 0, 4))
-	is.True(expected(o, now.Add(reportFresh+time.Millisecond)) < 2*typicalAnswer.Seconds()) // too old
+	is.True(expected(o, now.Add(maxReportAge+time.Millisecond)) < 2*typicalAnswer.Seconds()) // the report has expired
 }
 
-// Attempts that a pause of any length held up set no target aside that says afterwards that it works as usual; one that says
-// that it is slow is set aside, and so is one that says nothing any more.
-func TestReportTellsPausesFromSlowness(t *testing.T) {
+// Attempts delayed by a pause, however long, do not eject a target that then reports its usual speed. A target
+// that reports to be slow is ejected, and so is one that stops reporting.
+func TestReportDistinguishesPausesFromSlowness(t *testing.T) {
 	is := is.New(t)
 	for name, c := range map[string]struct {
 		slowness float64
-		aside    bool
+		ejected  bool
 	}{"pause": {1, false}, "slow": {8, true}, "says nothing": {0, true}} {
 		o := NewQuickOutlier()
-		now := attempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
+		now := sendAttempts(o, time.Now(), 50*time.Millisecond, typicalAnswer, Served, 20)
 		o.Reported(now, NewReport(1, 1, 0, 4))
 		now = now.Add(time.Millisecond)
 		const pause = 600 * time.Millisecond
@@ -47,7 +48,7 @@
 			}
 			o.Observe(end, pause-time.Duration(i)*100*time.Millisecond, Served, typicalAnswer)
 		}
-		if o.Ejected(end) != c.aside {
+		if o.Ejected(end) != c.ejected {
 			t.Errorf("%s: set aside %t", name, o.Ejected(end))
 		}
 		is.True(o.Known())
--- a/internal/policy/retryafter.go
+++ b/internal/policy/retryafter.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	retryAfterLowest  = 20 * time.Millisecond
-	retryAfterHighest = 30 * time.Second
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// RetryAfter returns the time to come back that a refused caller is told: the
-// expected wait, spread by half either way so that callers refused together
-// do not come back together. draw is a random number in [0, 1).
+// RetryAfter returns the delay after which a refused caller should retry: the
+// expected wait plus or minus half of it, so that callers refused together do
+// not retry together. draw is a random number in [0, 1).
 func RetryAfter(expected time.Duration, draw float64) time.Duration {
-	spread := time.Duration(float64(expected) * (0.5 + draw))
-	return min(max(spread, retryAfterLowest), retryAfterHighest)
+	delay := time.Duration(float64(expected) * (0.5 + draw))
+	return min(max(delay, minRetryAfter), maxRetryAfter)
 }
