--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// stance returns how a table admits attempts of a request.
-func (k storedTable) stance(r Request) Stance {
-	stance, _ := k.Stance(r)
-	return stance
+// status returns how a table admits attempts of a request.
+func (k storedTable) status(r Request) Stance {
+	status, _ := k.Stance(r)
+	return status
 }
 
 // A host that starts while no other host can send it the records reads them from the store.
@@ -58,8 +58,8 @@
 		all[0].Ended(testRequest("/y"), 1, "s") // one strike is not stored
 		time.Sleep(time.Second)
 		is.NoErr(all[1].Read(t.Context()))
-		is.Equal(all[1].stance(testRequest("/x")), Quarantined)
-		is.Equal(all[1].stance(testRequest("/y")), Free)
+		is.Equal(all[1].status(testRequest("/x")), Quarantined)
+		is.Equal(all[1].status(testRequest("/y")), Free)
 	})
 }
 
@@ -86,7 +86,7 @@
 		store.Outage(false)
 		time.Sleep(10 * time.Second)
 		is.NoErr(all[1].Read(t.Context()))
-		is.Equal(all[1].stance(testRequest("/x")), Quarantined)
+		is.Equal(all[1].status(testRequest("/x")), Quarantined)
 	})
 }
 
@@ -104,7 +104,7 @@
 		is.NoErr(err)
 		is.Equal(cleared, 0)
 		is.NoErr(all[0].Read(t.Context()))
-		is.Equal(all[0].stance(request), OneAtATime) // by the key of any caller: only one caller was cleared
+		is.Equal(all[0].status(request), OneAtATime) // by the key of any caller: only one caller was cleared
 	})
 }
 
@@ -126,7 +126,7 @@
 		is.Equal(len(records), 1)
 		is.Equal(len(unreadable), 4)
 		is.NoErr(all[0].Read(t.Context()))
-		is.Equal(all[0].stance(testRequest("/x")), Quarantined)
+		is.Equal(all[0].status(testRequest("/x")), Quarantined)
 	})
 }
 
@@ -142,7 +142,7 @@
 		store.Reset()
 		is.NoErr(all[1].Read(t.Context()))
 		is.NoErr(all[2].Read(t.Context()))
-		is.Equal(all[2].stance(testRequest("/x")), Quarantined)
+		is.Equal(all[2].status(testRequest("/x")), Quarantined)
 		puts := store.Calls("put")
 		is.NoErr(all[1].Read(t.Context()))
 		is.Equal(store.Calls("put"), puts) // once
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -77,7 +77,7 @@
 		return false
 	}
 	e := t.entry(r.Key)
-	before := e.stance(now, t.hold)
+	before := e.status(now, t.hold)
 	changed := e.clear(now, r.Cleared...)
 	for _, s := range r.Strikes {
 		if s.At.After(now) {
@@ -89,7 +89,7 @@
 		t.renumber(e)
 		t.notifyWaiters()
 	}
-	if e.stance(now, t.hold) == Quarantined {
+	if e.status(now, t.hold) == Quarantined {
 		t.noteQuarantined(r.Key, e, before, "other hosts")
 	}
 	return changed
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -142,8 +142,8 @@
 // lastStrikeAt returns the time of the newest strike. There must be one.
 func (s *suspect) lastStrikeAt() time.Time { return s.strikes[len(s.strikes)-1].At }
 
-// stance returns how attempts of the request are admitted at a time.
-func (s *suspect) stance(now time.Time, hold time.Duration) Stance {
+// status returns how attempts of the request are admitted at a time.
+func (s *suspect) status(now time.Time, hold time.Duration) Stance {
 	switch {
 	case len(s.strikes) == 0:
 		return Free
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -88,14 +88,15 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, until := t.stance(r, now)
+	s, until := t.status(r, now)
 	return s, max(until.Sub(now), 0)
 }
 
-// stance is Stance with the end time. The caller holds the lock.
-func (t *Table) stance(r Request, now time.Time) (strictest Stance, until time.Time) {
+// status returns how attempts of a request are admitted, and when its latest quarantine ends. The
+// caller holds the lock.
+func (t *Table) status(r Request, now time.Time) (strictest Stance, until time.Time) {
 	for _, e := range t.entries(r) {
-		strictest = max(strictest, e.stance(now, t.hold))
+		strictest = max(strictest, e.status(now, t.hold))
 		if end := e.quarantinedUntil(t.hold); end.After(until) {
 			until = end
 		}
@@ -159,7 +160,7 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	switch stance, _ := t.stance(a.Request, now); stance {
+	switch status, _ := t.status(a.Request, now); status {
 	case Free:
 		return false, nil, nil
 	case Quarantined:
@@ -204,21 +205,21 @@
 	t.mu.Lock()
 	for _, k := range r.keys() {
 		e := t.entry(k)
-		before := e.stance(now, t.hold)
+		before := e.status(now, t.hold)
 		if !e.add(strike) {
 			continue
 		}
 		t.markUnsent(k, e)
-		if e.stance(now, t.hold) == Quarantined {
+		if e.status(now, t.hold) == Quarantined {
 			t.noteQuarantined(k, e, before, "this host")
 			t.onQuarantineChange(k)
 		}
 	}
 	t.notifyWaiters()
-	stance, _ := t.stance(r, now)
+	status, _ := t.status(r, now)
 	t.mu.Unlock()
 	t.notifyFollowers()
-	return stance == Quarantined
+	return status == Quarantined
 }
 
 // noteQuarantined logs that a key has become quarantined.
@@ -391,7 +392,7 @@
 	defer t.mu.Unlock()
 	var keys []Key
 	for k, e := range t.suspects {
-		if e.stance(now, t.hold) == Quarantined {
+		if e.status(now, t.hold) == Quarantined {
 			keys = append(keys, k)
 		}
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -24,12 +24,12 @@
 	return NewRequest(caller, "GET", "a.example", path, nil)
 }
 
-// strikeOf returns a strike with an id, now.
+// strikeOf returns a strike dated now.
 func strikeOf(id uint64, service string) Strike {
 	return Strike{ID: id, Services: []string{service}, At: time.Now()}
 }
 
-// recordOf returns what others hold against the requests of the caller.
+// recordOf returns a record of the caller's requests with the given strikes.
 func recordOf(r Request, strikes ...Strike) Record { return Record{Key: r.OfCaller, Strikes: strikes} }
 
 // farFuture is later than any attempt in the tests waits.
@@ -42,8 +42,8 @@
 		for n, want := range []Stance{OneAtATime, OneAtATime, Quarantined} {
 			time.Sleep(time.Second)
 			is.Equal(table.Ended(request, uint64(n), "s"), want == Quarantined)
-			stance, _ := table.Stance(request)
-			is.Equal(stance, want)
+			status, _ := table.Stance(request)
+			is.Equal(status, want)
 		}
 		other, _ := table.Stance(testRequest("/y"))
 		is.Equal(other, Free)
@@ -76,12 +76,12 @@
 		for i := range uint64(3) {
 			table.Ended(request, 10+i, "s")
 			time.Sleep(hold - time.Second)
-			stance, left := table.Stance(request)
-			is.Equal(stance, Quarantined)
+			status, left := table.Stance(request)
+			is.Equal(status, Quarantined)
 			is.Equal(left, time.Second)
 			time.Sleep(2 * time.Second)
-			stance, _ = table.Stance(request)
-			is.Equal(stance, OneAtATime)
+			status, _ = table.Stance(request)
+			is.Equal(status, OneAtATime)
 			hold *= holdGrowthFactor
 		}
 	})
@@ -129,8 +129,8 @@
 		is.NoErr(err)
 		is.True(alone)
 		is.True(table.Answered(request, "s"))
-		stance, _ := table.Stance(request)
-		is.Equal(stance, Free)
+		status, _ := table.Stance(request)
+		is.Equal(status, Free)
 		table.Left(request)
 		time.Sleep(time.Second)
 		// If none of the services has a strike, an attempt at any of them is admitted.
@@ -202,10 +202,10 @@
 		}
 		time.Sleep(strikeRetention + time.Second)
 		table.Expire()
-		stance, _ := table.Stance(testRequest("/once"))
-		is.Equal(stance, Free)
-		stance, _ = table.Stance(testRequest("/held"))
-		is.Equal(stance, OneAtATime)
+		status, _ := table.Stance(testRequest("/once"))
+		is.Equal(status, Free)
+		status, _ = table.Stance(testRequest("/held"))
+		is.Equal(status, OneAtATime)
 		time.Sleep(defaultHold)
 		table.Expire()
 		is.True(table.Empty())
@@ -227,10 +227,10 @@
 		is.True(!table.Ended(requestOf(fmt.Sprint("10.0.0.", i), "/x"), i, "s"))
 	}
 	is.True(table.Ended(requestOf("10.0.0.7", "/x"), 7, "s"))
-	stance, _ := table.Stance(requestOf("10.0.0.8", "/x"))
-	is.Equal(stance, Quarantined)
-	stance, _ = table.Stance(requestOf("10.0.0.8", "/y"))
-	is.Equal(stance, Free)
+	status, _ := table.Stance(requestOf("10.0.0.8", "/x"))
+	is.Equal(status, Quarantined)
+	status, _ = table.Stance(requestOf("10.0.0.8", "/y"))
+	is.Equal(status, Free)
 }
 
 // A request that ends targets only for one caller is answered for others, whose attempts are
@@ -242,17 +242,17 @@
 		for i := range uint64(quarantineStrikes) {
 			table.Ended(bad, i, "s")
 		}
-		stance, _ := table.Stance(bad)
-		is.Equal(stance, Quarantined)
+		status, _ := table.Stance(bad)
+		is.Equal(status, Quarantined)
 		for range quarantineStrikes {
-			stance, _ = table.Stance(good)
-			is.Equal(stance, OneAtATime)
+			status, _ = table.Stance(good)
+			is.Equal(status, OneAtATime)
 			is.True(table.Answered(good, "s"))
 		}
-		stance, _ = table.Stance(good)
-		is.Equal(stance, Free)
-		stance, _ = table.Stance(bad)
-		is.Equal(stance, Quarantined)
+		status, _ = table.Stance(good)
+		is.Equal(status, Free)
+		status, _ = table.Stance(bad)
+		is.Equal(status, Quarantined)
 	})
 }
 
@@ -269,8 +269,8 @@
 			}
 			table.Ended(request, i, "s")
 		}
-		stance, _ := table.Stance(request)
-		is.Equal(stance, Quarantined)
+		status, _ := table.Stance(request)
+		is.Equal(status, Quarantined)
 	})
 }
 
@@ -292,8 +292,8 @@
 			time.Sleep(maxHold)
 			table.Ended(request, i, "s")
 		}
-		stance, left := table.Stance(request)
-		is.Equal(stance, Quarantined)
+		status, left := table.Stance(request)
+		is.Equal(status, Quarantined)
 		is.Equal(left, maxHold)
 	})
 }
@@ -322,12 +322,12 @@
 			table.Ended(request, i, "s")
 		}
 		suspend(defaultHold - time.Second)
-		stance, left := table.Stance(request)
-		is.Equal(stance, Quarantined)
+		status, left := table.Stance(request)
+		is.Equal(status, Quarantined)
 		is.Equal(left, time.Second)
 		suspend(time.Second)
-		stance, _ = table.Stance(request)
-		is.Equal(stance, OneAtATime)
+		status, _ = table.Stance(request)
+		is.Equal(status, OneAtATime)
 	})
 }
 
@@ -344,8 +344,8 @@
 			ahead = append(ahead, strike)
 		}
 		table.Merge([]Record{recordOf(request, ahead...)})
-		stance, left := table.Stance(request)
-		is.Equal(stance, Quarantined)
+		status, left := table.Stance(request)
+		is.Equal(status, Quarantined)
 		is.Equal(left, defaultHold)
 	})
 }
