--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -10,18 +10,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// Permit tells which hosts may send to a target while it is cold, and how many requests each in any second. A
-// target has one permit at most, which never changes: it lies in the store, and whoever finds it there or hears of
-// it holds the same. It is that of the id, not of an incarnation, so that no two hosts go by different ones.
+// Permit names the hosts that may send to a target while it is cold, and how many requests each may
+// send in any second. A target has at most one permit, which is stored and never changes, so that
+// all hosts that have it agree. It belongs to the target's id rather than to an incarnation, so
+// that no two hosts use different ones.
 //
-// A store that comes back from an older copy may have lost it, and hosts that do not know it may write another. So it counts
-// only in its era, on hosts that have recently read the registry in that era, and none is written before every other host has
-// done so, or has ceased to go by its permits.
+// A restored store may have lost a permit, and hosts without it may write another. A permit is
+// therefore valid only in its era, and only on hosts that have read the registry in that era
+// recently. A new one is written only after every other host has done so, or has stopped using its
+// permits.
 type Permit struct {
 	Target string
 	Hosts  []string
 	Each   int    // requests in any second
-	Era    uint64 // of the store in which it stands
+	Era    uint64 // store era in which it was written
 }
 
 // Of returns how many requests a host may send in any second.
@@ -34,13 +36,13 @@
 	return 0
 }
 
-// permits are those that the host knows, in the order in which it learned of them.
+// permits is the cached permits, in the order in which they were received.
 type permits struct {
-	byTarget map[string]Permit // replaced with each change, as views hold it
-	next     uint64            // number of the newest one
-	ordered  []numberedPermit
-	missing  map[string]time.Time // targets of permits that are not registered, and since when
-	lookedAt time.Time            // when that was last looked at
+	byTarget          map[string]Permit // shared with views, so every change replaces it
+	lastNumber        uint64            // number of the newest permit
+	ordered           []numberedPermit
+	unregisteredSince map[string]time.Time // for the targets of permits that are not registered, since when
+	reviewedAt        time.Time            // when unregisteredSince was last updated
 }
 
 type numberedPermit struct {
@@ -49,134 +51,138 @@
 }
 
 const (
-	// KeepPermits is for how long a host keeps the permit of a target that is not registered: it may come back
-	// under its id. The store keeps it longer, so that no other is written while a host goes by this one.
+	// KeepPermits is how long a host keeps the permit of an unregistered target, which may return
+	// under its id. The store keeps it longer, so that no other permit is written while a host uses
+	// this one.
 	KeepPermits = 30 * time.Minute
-	// afterPermits is the time from which on a new permit may be written after all older ones have ceased to count: what was sent
-	// by them counts for a second.
-	afterPermits = 1100 * time.Millisecond
-	// reviewPermits is the time between two looks at which targets are registered.
-	reviewPermits = time.Minute
+	// permitEraMargin is the time between the end of the validity of all older permits and the
+	// first new one: requests sent under a permit count for a second.
+	permitEraMargin = 1100 * time.Millisecond
+	// permitReviewInterval is the time between two checks of which targets of permits are
+	// registered.
+	permitReviewInterval = time.Minute
 )
 
-// add takes a permit. It reports false if one for its target is known, of its era or a later one.
-func (p *permits) add(one Permit) bool {
-	known, ok := p.byTarget[one.Target]
-	if ok && known.Era >= one.Era {
+// add adds a permit. It reports false if there is already one for its target, of the same era or a
+// later one.
+func (p *permits) add(permit Permit) bool {
+	existing, ok := p.byTarget[permit.Target]
+	if ok && existing.Era >= permit.Era {
 		return false
 	}
 	if ok {
-		p.ordered = slices.DeleteFunc(slices.Clone(p.ordered), func(n numberedPermit) bool { return n.permit.Target == one.Target })
+		p.ordered = slices.DeleteFunc(slices.Clone(p.ordered), func(n numberedPermit) bool { return n.permit.Target == permit.Target })
 	}
 	byTarget := maps.Clone(p.byTarget)
 	if byTarget == nil {
 		byTarget = map[string]Permit{}
 	}
-	byTarget[one.Target] = one
+	byTarget[permit.Target] = permit
 	p.byTarget = byTarget
-	p.next++
-	p.ordered = append(p.ordered, numberedPermit{p.next, one})
+	p.lastNumber++
+	p.ordered = append(p.ordered, numberedPermit{p.lastNumber, permit})
 	return true
 }
 
-// of returns those that stand in an era.
-func (p *permits) of(era uint64) map[string]Permit {
+// inEra returns the permits of an era.
+func (p *permits) inEra(era uint64) map[string]Permit {
 	if !slices.ContainsFunc(p.ordered, func(n numberedPermit) bool { return n.permit.Era != era }) {
 		return p.byTarget
 	}
 	all := map[string]Permit{}
-	for target, one := range p.byTarget {
-		if one.Era == era {
-			all[target] = one
+	for target, permit := range p.byTarget {
+		if permit.Era == era {
+			all[target] = permit
 		}
 	}
 	return all
 }
 
-// forget drops the permits of targets that have not been registered for long.
-func (p *permits) forget(now time.Time, targets map[string]Target) {
-	if len(p.ordered) == 0 || now.Sub(p.lookedAt) < reviewPermits {
+// dropUnregistered drops the permits of targets that have been unregistered for KeepPermits.
+func (p *permits) dropUnregistered(now time.Time, targets map[string]Target) {
+	if len(p.ordered) == 0 || now.Sub(p.reviewedAt) < permitReviewInterval {
 		return
 	}
-	p.lookedAt = now
-	missing, kept, byTarget := map[string]time.Time{}, p.ordered[:0:0], map[string]Permit{}
-	for _, one := range p.ordered {
-		id := one.permit.Target
-		if _, there := targets[id]; !there {
-			since, known := p.missing[id]
-			if !known {
+	p.reviewedAt = now
+	unregistered, remaining, byTarget := map[string]time.Time{}, p.ordered[:0:0], map[string]Permit{}
+	for _, numbered := range p.ordered {
+		id := numbered.permit.Target
+		if _, isRegistered := targets[id]; !isRegistered {
+			since, wasMissing := p.unregisteredSince[id]
+			if !wasMissing {
 				since = now
 			}
 			if now.Sub(since) >= KeepPermits {
 				continue
 			}
-			missing[id] = since
+			unregistered[id] = since
 		}
-		kept, byTarget[id] = append(kept, one), one.permit
+		remaining, byTarget[id] = append(remaining, numbered), numbered.permit
 	}
-	p.missing, p.ordered, p.byTarget = missing, kept, byTarget
+	p.unregisteredSince, p.ordered, p.byTarget = unregistered, remaining, byTarget
 }
 
 // since returns the permits after a number.
 func (p *permits) since(number uint64) []Permit {
 	var all []Permit
-	for _, one := range p.ordered {
-		if one.number > number {
-			all = append(all, one.permit)
+	for _, numbered := range p.ordered {
+		if numbered.number > number {
+			all = append(all, numbered.permit)
 		}
 	}
 	return all
 }
 
-// ApplyPermits takes permits that this host wrote to the store, found there or heard of.
+// ApplyPermits adds permits that this host wrote to the store, read there or received from a peer.
 func (s *State) ApplyPermits(all []Permit) {
 	if len(all) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := false
-	for _, one := range all {
-		news = s.permits.add(one) || news
+	isNew := false
+	for _, permit := range all {
+		isNew = s.permits.add(permit) || isNew
 	}
-	if news {
-		s.tell()
+	if isNew {
+		s.notify()
 	}
 }
 
-// PermitsCount reports whether this host has read the registry recently enough to go by permits: any other host may not
-// know them, and may write new ones.
+// PermitsCount reports whether this host has read the registry recently enough to use permits.
+// After a longer time other hosts may lack them and write new ones.
 func (s *State) PermitsCount() bool {
 	asOf := s.registryAsOf.Load()
-	return asOf != nil && s.clock.Since(*asOf) <= s.permitsFor
+	return asOf != nil && s.clock.Since(*asOf) <= s.permitValidity
 }
 
-// MayPermit returns the era of the registry, and whether permits that stand in it may be used: those of earlier eras count
-// nowhere any more.
+// MayPermit returns the era of the registry, and whether permits of that era may be written and
+// used: that is after those of earlier eras have become invalid on all hosts.
 func (s *State) MayPermit() (era uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seenEra, !s.eraSeen.IsZero() && s.clock.Since(s.eraSeen) >= s.permitsFor+afterPermits
+	return s.registryEra, !s.eraFirstSeen.IsZero() && s.clock.Since(s.eraFirstSeen) >= s.permitValidity+permitEraMargin
 }
 
-// noteEra notes when the era of the registry was first seen, by this host or a peer. The caller holds the lock.
-func (s *State) noteEra(era uint64, seen time.Time) {
-	if s.eraSeen.IsZero() || s.seenEra < era || s.seenEra == era && seen.Before(s.eraSeen) {
-		s.seenEra, s.eraSeen = era, seen
+// recordEra records when the era of the registry was first seen by this host or a peer. The caller
+// holds the lock.
+func (s *State) recordEra(era uint64, seen time.Time) {
+	if s.eraFirstSeen.IsZero() || s.registryEra < era || s.registryEra == era && seen.Before(s.eraFirstSeen) {
+		s.registryEra, s.eraFirstSeen = era, seen
 	}
 }
 
-// TellPermits tells permits to the hosts that others follow. One that misses them finds them in the store.
+// TellPermits sends permits to the watching hosts. Those that miss them read them from the store.
 func (s *Spread) TellPermits(ctx context.Context, all []Permit) {
-	in := &peerpb.Findings{Permits: writePermits(all)}
+	in := &peerpb.Findings{Permits: encodePermits(all)}
 	var calls sync.WaitGroup
-	for _, w := range except(s.divided().allWatchers(), s.members.Self().ID) {
+	for _, w := range usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID) {
 		calls.Go(func() { _, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, in) })
 	}
 	calls.Wait()
 }
 
-func writePermits(all []Permit) []*peerpb.Permit {
+func encodePermits(all []Permit) []*peerpb.Permit {
 	out := make([]*peerpb.Permit, 0, len(all))
 	for _, p := range all {
 		out = append(out, &peerpb.Permit{Target: p.Target, Hosts: p.Hosts, Each: uint32(p.Each), Era: p.Era})
@@ -184,7 +190,7 @@
 	return out
 }
 
-func readPermits(in []*peerpb.Permit) []Permit {
+func decodePermits(in []*peerpb.Permit) []Permit {
 	var all []Permit
 	for _, p := range in {
 		all = append(all, Permit{Target: p.Target, Hosts: p.Hosts, Each: int(p.Each), Era: p.Era})
--- a/internal/discovery/permit_age_test.go
+++ b/internal/discovery/permit_age_test.go
@@ -17,7 +17,7 @@
 		read := time.Now()
 		s.ApplyTargets(TargetList{Revision: at(7)}, read)
 		is.True(s.PermitsCount())
-		s.ApplyChanges(TargetChanges{Revision: at(8)}, read.Add(-s.permitsFor-time.Second))
+		s.ApplyChanges(TargetChanges{Revision: at(8)}, read.Add(-s.permitValidity-time.Second))
 		is.True(s.PermitsCount())
 	})
 }
--- a/internal/discovery/recall.go
+++ b/internal/discovery/recall.go
@@ -7,160 +7,164 @@
 	"time"
 )
 
-// A host that starts asks others what they know before it reads the store: the store may just have come back from an older
-// copy, and only a host that was up before knows what that lacks. Read at once, the copy was used for up to half a second,
-// until a host that knew better was met: targets that had left got requests.
+// A starting host queries other hosts before it reads the store. The store may just have been
+// restored from an older copy, and only a host that ran before has what the copy lacks. When the
+// store was read at once, the copy was used for up to half a second, until a host with newer state
+// was met, and targets that had left got requests.
 
 const (
-	// establishedAge is how long a host must have run to know what the store may have lost: more than the age of its copy, and the time
-	// that it was away.
+	// establishedAge is how long a host must have been running to have the state that a restore may
+	// have lost: longer than the age of the store's copy and the time that the store was down.
 	establishedAge = 15 * time.Second
-	// recallWithin bounds how long the first reading waits for hosts that do not answer.
-	recallWithin = 200 * time.Millisecond
-	// recallFor is for how long a host that starts looks for one that has run for so long. What is kept over a restore
-	// counts for about as long.
-	recallFor = 6 * time.Second
-	// recallStagger is the time between two questions while none is answered.
-	recallStagger = 15 * time.Millisecond
-	// recallAgain is the time until a host that did not answer is asked again.
-	recallAgain = 250 * time.Millisecond
-	// mostContacts bounds the hosts that are asked.
-	mostContacts = 8
+	// bootstrapWait limits how long the first read of the store waits for hosts that do not answer.
+	bootstrapWait = 200 * time.Millisecond
+	// bootstrapPeriod is how long a starting host looks for an established one. State kept over a
+	// restore is used for about as long.
+	bootstrapPeriod = 6 * time.Second
+	// contactStagger is the delay between two queries while none is answered.
+	contactStagger = 15 * time.Millisecond
+	// contactRetryDelay is the time after which a host whose query failed is queried again.
+	contactRetryDelay = 250 * time.Millisecond
+	// maxContacts limits the hosts that are queried.
+	maxContacts = 8
 )
 
-// recollection is what one contact answered.
-type recollection struct {
+// contactReply is the result of a query.
+type contactReply struct {
 	address string
-	news    News
+	update  Update
 	err     error
 }
 
-// contact is what became of the questions to one host.
-type contact struct {
-	owing    bool // it was asked, and has not answered
-	heard    bool // it has answered, or failed once
+// contactStatus is the status of the queries to one host.
+type contactStatus struct {
+	pending  bool // a query is under way
+	done     bool // a query has been answered or has failed
 	failedAt time.Time
 }
 
-// recall asks other hosts what they know until one that has run for long has told.
-type recall struct {
-	follower *Follower
-	answers  chan recollection
-	contacts map[string]*contact // that were asked, by address
-	young    []recollection      // of hosts that have just started, too
-	followed bool                // store and peers are
+// bootstrap queries other hosts for their state until an established one has answered.
+type bootstrap struct {
+	follower         *Follower
+	replies          chan contactReply
+	contacts         map[string]*contactStatus // queried hosts, by address
+	recentReplies    []contactReply            // of recently started hosts, not applied yet
+	followingStarted bool                      // store and peers are followed
 }
 
-// recall runs until ctx is done. Store and peers are followed from when an established host, or every contact, has answered, or
-// recallWithin has passed.
-func (f *Follower) recall(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, recallFor)
+// bootstrap queries other hosts until an established one has answered, at most for bootstrapPeriod.
+// Store and peers are followed once an established host, or every contact, has answered, or
+// bootstrapWait has passed.
+func (f *Follower) bootstrap(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, bootstrapPeriod)
 	defer cancel()
-	r := &recall{follower: f, answers: make(chan recollection), contacts: map[string]*contact{}}
-	defer r.follow()
+	b := &bootstrap{follower: f, replies: make(chan contactReply), contacts: map[string]*contactStatus{}}
+	defer b.startFollowing()
 	for {
-		addresses := f.peers.Contacts()
-		r.askNext(ctx, addresses)
-		if r.hasHeard(addresses) || time.Since(f.started) >= recallWithin {
-			r.follow()
+		addresses := f.peers.BootstrapContacts()
+		b.queryNext(ctx, addresses)
+		if b.allAnswered(addresses) || time.Since(f.startedAt) >= bootstrapWait {
+			b.startFollowing()
 		}
-		pause := recallStagger
-		if r.followed {
-			pause = lookEvery
+		pause := contactStagger
+		if b.followingStarted {
+			pause = checkInterval
 		}
 		timer := time.NewTimer(pause)
 		select {
-		case a := <-r.answers:
-			if r.take(a) {
+		case reply := <-b.replies:
+			if b.handleReply(reply) {
 				return
 			}
 		case <-timer.C:
 		case <-ctx.Done():
-			r.log("")
+			b.logResult("")
 			return
 		}
 		timer.Stop()
 	}
 }
 
-// isEstablished reports whether a host that answered knows what the store may have lost.
-func (r *recall) isEstablished(a recollection) bool {
-	return a.err == nil && r.follower.complete(a.news) && a.news.MemoryAge >= establishedAge
+// isEstablished reports whether a reply comes from a host that has the state that a restore may
+// have lost.
+func (b *bootstrap) isEstablished(reply contactReply) bool {
+	return reply.err == nil && b.follower.isComplete(reply.update) && reply.update.SenderUptime >= establishedAge
 }
 
-// askNext asks the first host that was not asked, or failed some time ago.
-func (r *recall) askNext(ctx context.Context, addresses []string) {
+// queryNext queries the first host that was not queried yet, or whose retry is due.
+func (b *bootstrap) queryNext(ctx context.Context, addresses []string) {
 	for _, address := range addresses {
-		c, ok := r.contacts[address]
+		c, ok := b.contacts[address]
 		if !ok {
-			c = &contact{}
-			r.contacts[address] = c
+			c = &contactStatus{}
+			b.contacts[address] = c
 		}
-		isDue := !c.heard || !c.failedAt.IsZero() && time.Since(c.failedAt) >= recallAgain
-		if c.owing || !isDue {
+		due := !c.done || !c.failedAt.IsZero() && time.Since(c.failedAt) >= contactRetryDelay
+		if c.pending || !due {
 			continue
 		}
-		c.owing = true
-		r.follower.done.Go(func() { r.ask(ctx, address) })
+		c.pending = true
+		b.follower.tasks.Go(func() { b.query(ctx, address) })
 		return
 	}
 }
 
-func (r *recall) ask(ctx context.Context, address string) {
-	limited, cancel := context.WithTimeout(ctx, recallWithin)
+func (b *bootstrap) query(ctx context.Context, address string) {
+	limited, cancel := context.WithTimeout(ctx, bootstrapWait)
 	defer cancel()
-	news, err := r.follower.peers.Recall(limited, address, r.follower.state.Known())
+	update, err := b.follower.peers.FetchState(limited, address, b.follower.state.Cursor())
 	select {
-	case r.answers <- recollection{address, news, err}:
+	case b.replies <- contactReply{address, update, err}:
 	case <-ctx.Done():
 	}
 }
 
-// hasHeard reports whether all have answered or failed.
-func (r *recall) hasHeard(addresses []string) bool {
+// allAnswered reports whether the queries to all addresses have been answered or have failed.
+func (b *bootstrap) allAnswered(addresses []string) bool {
 	return !slices.ContainsFunc(addresses, func(address string) bool {
-		c, ok := r.contacts[address]
-		return !ok || !c.heard
+		c, ok := b.contacts[address]
+		return !ok || !c.done
 	})
 }
 
-// take takes an answer, and reports whether it is that of an established host.
-func (r *recall) take(a recollection) bool {
-	c := r.contacts[a.address]
-	c.owing, c.heard, c.failedAt = false, true, time.Time{}
+// handleReply handles a reply and reports whether it comes from an established host.
+func (b *bootstrap) handleReply(reply contactReply) bool {
+	c := b.contacts[reply.address]
+	c.pending, c.done, c.failedAt = false, true, time.Time{}
 	switch {
-	case r.isEstablished(a):
-		r.follower.applyNews(a.news)
-		r.young = nil
-		r.log(a.address)
+	case b.isEstablished(reply):
+		b.follower.applyUpdate(reply.update)
+		b.recentReplies = nil
+		b.logResult(reply.address)
 		return true
-	case a.err != nil:
+	case reply.err != nil:
 		c.failedAt = time.Now()
-	case r.followed:
-		r.follower.applyNews(a.news)
+	case b.followingStarted:
+		b.follower.applyUpdate(reply.update)
 	default:
-		r.young = append(r.young, a)
+		b.recentReplies = append(b.recentReplies, reply)
 	}
 	return false
 }
 
-// follow lets store and peers be followed. What hosts have told that have just started as well is taken first, that of the
-// oldest before the others: it may know more than the store.
-func (r *recall) follow() {
-	if r.followed {
+// startFollowing lets the follower follow store and peers. The replies of recently started hosts
+// are applied first, that of the longest running one before the others: they may contain more than
+// the store.
+func (b *bootstrap) startFollowing() {
+	if b.followingStarted {
 		return
 	}
-	r.followed = true
-	slices.SortFunc(r.young, func(a, b recollection) int { return cmp.Compare(b.news.MemoryAge, a.news.MemoryAge) })
-	for _, a := range r.young {
-		r.follower.applyNews(a.news)
+	b.followingStarted = true
+	slices.SortFunc(b.recentReplies, func(a, b contactReply) int { return cmp.Compare(b.update.SenderUptime, a.update.SenderUptime) })
+	for _, reply := range b.recentReplies {
+		b.follower.applyUpdate(reply.update)
 	}
-	r.young = nil
-	close(r.follower.recalled)
+	b.recentReplies = nil
+	close(b.follower.bootstrapped)
 }
 
-// log tells what was heard from an established host, or that none was.
-func (r *recall) log(established string) {
-	r.follower.log.Event(evRecalled).Bool("established", established != "").Str("peer", established).
-		Int("asked", len(r.contacts)).Dur("took", time.Since(r.follower.started)).Msg("")
+// logResult logs the address of the established host that answered, empty if none did.
+func (b *bootstrap) logResult(established string) {
+	b.follower.log.Event(evBootstrapped).Bool("established", established != "").Str("peer", established).
+		Int("asked", len(b.contacts)).Dur("took", time.Since(b.follower.startedAt)).Msg("")
 }
--- a/internal/discovery/recall_test.go
+++ b/internal/discovery/recall_test.go
@@ -13,26 +13,26 @@
 
 // lateContacts is the way of a host that starts to one that has just started, too, and to one that it comes to know later.
 type lateContacts struct {
-	alone
+	noPeers
 	from  time.Time // when the latter is known
 	young *State
 	older *State
 }
 
-func (l lateContacts) Contacts() []string {
+func (l lateContacts) BootstrapContacts() []string {
 	if time.Now().Before(l.from) {
 		return []string{"young"}
 	}
 	return []string{"young", "older"}
 }
 
-func (l lateContacts) Recall(_ context.Context, address string, than Known) (News, error) {
+func (l lateContacts) FetchState(_ context.Context, address string, than Cursor) (Update, error) {
 	if address == "older" {
-		news, _ := l.older.newsSince(than)
-		return news, nil
+		update, _ := l.older.updateSince(than)
+		return update, nil
 	}
-	news, _ := l.young.newsSince(than)
-	return news, nil
+	update, _ := l.young.updateSince(than)
+	return update, nil
 }
 
 // A host that starts beside a restore goes by the store once those that it knows have told what they know. What it hears later, of one that
@@ -42,15 +42,15 @@
 		is := is.New(t)
 		older := NewState()
 		older.ApplyTargets(TargetList{Targets: []Target{{ID: targetNames[0], Born: 1, Service: "s"}}, Revision: at(4)}, time.Now())
-		older.ApplyChanges(TargetChanges{Changes: went(targetNames[0]), Revision: at(5)}, time.Now())
+		older.ApplyChanges(TargetChanges{Changes: removalOf(targetNames[0]), Revision: at(5)}, time.Now())
 		time.Sleep(establishedAge * 4 / 5)
 		store := newLiveStore() // a copy that has the target
 		store.era = 2
 		cut := false
-		state, stop := startFollower(t, way{store, &cut}, lateContacts{from: time.Now().Add(300 * time.Millisecond), young: NewState(), older: older})
+		state, stop := startFollower(t, hostStore{store, &cut}, lateContacts{from: time.Now().Add(300 * time.Millisecond), young: NewState(), older: older})
 		defer stop()
 		time.Sleep(time.Second)
-		is.Equal(state.Known().RegistryRevision, revision.Revision{Era: 2, Number: store.number})
+		is.Equal(state.Cursor().RegistryRevision, revision.Revision{Era: 2, Number: store.number})
 		is.Equal(ids(state), targetNames[1:])
 	})
 }
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -10,107 +10,107 @@
 	"rhubarbwood.example/rhubarbwood/internal/quarantine"
 )
 
-// What hosts hold against requests goes the way of the findings: to the hosts that watch the
-// store, and from these to all that follow them. It is kept there as long as it counts, so that
-// a host that starts is told all of it. Unlike a finding it must not be lost: a host
-// that does not know of it lets the request end targets.
+// Quarantine records take the same path as findings: to the watching hosts, and from these to all
+// hosts that poll them. They are kept there as long as they are valid, so that a starting host gets
+// all of them. Unlike findings they must not be lost: a host without the record lets the request
+// crash more targets.
 
-// RequestStore is what the store holds of requests in quarantine: it is read into the
-// table by hosts that have to ask the store themselves.
-type RequestStore interface {
+// QuarantineStore is the stored quarantine records. Read loads them into the quarantine table;
+// hosts that have to read the store themselves call it.
+type QuarantineStore interface {
 	Read(ctx context.Context) error
 }
 
-// ShareRequests makes what is held against requests part of the news for other hosts. It is
-// to be called before the state is used.
+// ShareRequests makes the records of a quarantine table part of the updates for other hosts. Call
+// it before the state is used.
 func (s *State) ShareRequests(t *quarantine.Table) {
-	s.requests = t
+	s.quarantined = t
 	t.Follow(func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.wakePeers()
+		s.wakePolls()
 	})
 }
 
 const (
-	// tellAgainAfter is the time between two tries to tell a host that watches the store.
-	tellAgainAfter = 250 * time.Millisecond
-	// tellFor is for how long that is tried: another host has become the watcher by then, and
-	// asks the rest for what it lacks.
-	tellFor = 10 * time.Second
+	// sendRetryDelay is the time between two attempts to send records to a watching host.
+	sendRetryDelay = 250 * time.Millisecond
+	// sendRetryPeriod is how long sending is retried. After that another host has become the
+	// watching one and polls the rest for what it lacks.
+	sendRetryPeriod = 10 * time.Second
 )
 
-// tellRequests tells the peers what this host finds of requests, until all that watch the store
-// know it.
-func (f *Follower) tellRequests(ctx context.Context) {
+// sendRequests sends the quarantine records that this host creates to all watching hosts.
+func (f *Follower) sendRequests(ctx context.Context) {
 	for ctx.Err() == nil {
-		records := f.state.requests.NextOwn(ctx)
-		f.done.Go(func() { f.tellUntilKnown(ctx, records) })
+		records := f.state.quarantined.NextOwn(ctx)
+		f.tasks.Go(func() { f.sendUntilReceived(ctx, records) })
 	}
 }
 
-func (f *Follower) tellUntilKnown(ctx context.Context, records []quarantine.Record) {
-	for since := time.Now(); time.Since(since) < tellFor; {
-		limited, cancel := context.WithTimeout(ctx, f.cfg.peerTimeout())
-		missed := f.peers.TellRequests(limited, records)
+func (f *Follower) sendUntilReceived(ctx context.Context, records []quarantine.Record) {
+	for since := time.Now(); time.Since(since) < sendRetryPeriod; {
+		limited, cancel := context.WithTimeout(ctx, f.cfg.peerPollTimeout())
+		missed := f.peers.SendRequests(limited, records)
 		cancel()
-		if missed == 0 || !await.Sleep(ctx, tellAgainAfter) {
+		if missed == 0 || !await.Sleep(ctx, sendRetryDelay) {
 			return
 		}
 	}
 }
 
-// mergeRequests takes what a peer holds against requests.
+// mergeRequests merges the quarantine records of a peer.
 func (s *State) mergeRequests(records []quarantine.Record) {
-	if s.requests != nil && len(records) > 0 {
-		s.requests.Merge(records)
+	if s.quarantined != nil && len(records) > 0 {
+		s.quarantined.Merge(records)
 	}
 }
 
-// ReadRequests makes the follower read what the store holds of requests in quarantine, on a
-// host that has to ask the store. It is to be called before Start.
-func (f *Follower) ReadRequests(s RequestStore) { f.requests = s }
+// ReadRequests sets the stored quarantine records, which the follower reads on a host that has to
+// read the store. Call it before Start.
+func (f *Follower) ReadRequests(s QuarantineStore) { f.quarantineStore = s }
 
-// reviewHeldAfter is the time between two readings of the requests in quarantine while there are
-// any: what an operator has cleared, and what hosts that this one could not reach have found.
-const reviewHeldAfter = 10 * time.Second
+// quarantineReadInterval is the time between two reads of the stored quarantine records while any
+// request is quarantined. They show what an operator has cleared, and what hosts have found that
+// this one cannot reach.
+const quarantineReadInterval = 10 * time.Second
 
-// followRequests reads the requests in quarantine: once after the start, then while there are
-// any, and all the time on a host that no other one can tell.
-func (f *Follower) followRequests(ctx context.Context, l *link) error {
-	if l.listed && time.Since(l.readAt) < f.reviewAfter() {
-		await.Sleep(ctx, lookEvery)
+// followQuarantine reads the stored quarantine records: once after the start, then while any
+// request is quarantined, and continually on a host that gets no updates from watching ones.
+func (f *Follower) followQuarantine(ctx context.Context, feed *feed) error {
+	if feed.listed && time.Since(feed.listedAt) < f.maxQuarantineAge() {
+		await.Sleep(ctx, checkInterval)
 		return nil
 	}
-	if err := f.requests.Read(ctx); err != nil {
+	if err := f.quarantineStore.Read(ctx); err != nil {
 		return err
 	}
-	l.reached()
-	l.pause.Reset()
-	l.read()
+	feed.noteAnswer()
+	feed.backoff.Reset()
+	feed.noteListed()
 	return nil
 }
 
-// reviewAfter returns how old the reading of the requests in quarantine may be.
-func (f *Follower) reviewAfter() time.Duration {
+// maxQuarantineAge returns the age at which the quarantine records have to be read again.
+func (f *Follower) maxQuarantineAge() time.Duration {
 	switch {
 	case f.peers.Isolated() || !f.peers.Watches():
 		return f.cfg.watchWait()
-	case len(f.state.requests.Held()) > 0:
-		return reviewHeldAfter
+	case len(f.state.quarantined.Held()) > 0:
+		return quarantineReadInterval
 	}
 	return math.MaxInt64
 }
 
-// TellRequests implements Peers. It tells all hosts that watch the store at once, and returns
-// how many it did not reach.
-func (s *Spread) TellRequests(ctx context.Context, records []quarantine.Record) (missed int) {
-	in := &peerpb.Findings{Requests: quarantine.AllToWire(records, s.state.clock.Now())}
+// SendRequests implements Peers. It sends to all watching hosts concurrently and returns how many
+// it could not reach.
+func (s *Spread) SendRequests(ctx context.Context, records []quarantine.Record) (missed int) {
+	findings := &peerpb.Findings{Requests: quarantine.AllToWire(records, s.state.clock.Now())}
 	results := make(chan error)
-	watchers := except(s.divided().allWatchers(), s.members.Self().ID)
+	watchers := usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID)
 	for _, w := range watchers {
 		go func() {
-			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, in)
+			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, findings)
 			results <- err
 		}()
 	}
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -28,38 +28,38 @@
 	ctx context.Context
 }
 
-// cuttable returns the way of a host, and what cuts it.
-func cuttable(s Source) (cutSource, context.CancelFunc) {
+// newCutSource returns the way of a host, and what cuts it.
+func newCutSource(s Source) (cutSource, context.CancelFunc) {
 	ctx, cut := context.WithCancel(context.Background())
 	return cutSource{s, ctx}, cut
 }
 
-// through makes a call unless the way is cut before its answer.
-func through[T any](ctx context.Context, s cutSource, call func(context.Context) (T, error)) (T, error) {
+// callUnlessCut makes a call unless the way is cut before its answer.
+func callUnlessCut[T any](ctx context.Context, s cutSource, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(s.ctx, cancel)()
 	answer, err := call(ctx)
 	if s.ctx.Err() != nil {
-		return *new(T), errAway
+		return *new(T), errUnavailable
 	}
 	return answer, err
 }
 
 func (s cutSource) Config(ctx context.Context) (ConfigRead, error) {
-	return through(ctx, s, s.Source.Config)
+	return callUnlessCut(ctx, s, s.Source.Config)
 }
 
 func (s cutSource) Targets(ctx context.Context) (TargetList, error) {
-	return through(ctx, s, s.Source.Targets)
+	return callUnlessCut(ctx, s, s.Source.Targets)
 }
 
 func (s cutSource) WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error) {
-	return through(ctx, s, func(ctx context.Context) (ConfigRead, error) { return s.Source.WatchConfig(ctx, after, wait) })
+	return callUnlessCut(ctx, s, func(ctx context.Context) (ConfigRead, error) { return s.Source.WatchConfig(ctx, after, wait) })
 }
 
 func (s cutSource) WatchTargets(ctx context.Context, after revision.Revision, wait time.Duration) (TargetChanges, error) {
-	return through(ctx, s, func(ctx context.Context) (TargetChanges, error) { return s.Source.WatchTargets(ctx, after, wait) })
+	return callUnlessCut(ctx, s, func(ctx context.Context) (TargetChanges, error) { return s.Source.WatchTargets(ctx, after, wait) })
 }
 
 func (s *loggedStore) write(changes ...TargetChange) {
@@ -72,22 +72,22 @@
 
 func (s *loggedStore) Config(ctx context.Context) (ConfigRead, error) {
 	if s.down.Load() {
-		return ConfigRead{}, errAway
+		return ConfigRead{}, errUnavailable
 	}
 	return s.fakeStore.Config(ctx)
 }
 
 func (s *loggedStore) WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error) {
 	if s.down.Load() {
-		return ConfigRead{}, errAway
+		return ConfigRead{}, errUnavailable
 	}
 	return s.fakeStore.WatchConfig(ctx, after, wait)
 }
 
 func (s *loggedStore) Targets(context.Context) (TargetList, error) {
-	time.Sleep(storeAnswers)
+	time.Sleep(storeCallTime)
 	if s.down.Load() {
-		return TargetList{}, errAway
+		return TargetList{}, errUnavailable
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,9 +99,9 @@
 }
 
 func (s *loggedStore) WatchTargets(ctx context.Context, after revision.Revision, wait time.Duration) (TargetChanges, error) {
-	for began := time.Now(); ; time.Sleep(storeAnswers) {
+	for began := time.Now(); ; time.Sleep(storeCallTime) {
 		if s.down.Load() {
-			return TargetChanges{}, errAway
+			return TargetChanges{}, errUnavailable
 		}
 		s.mu.Lock()
 		changes, err := s.registry.watch(after.Number)
@@ -119,7 +119,7 @@
 		store := &loggedStore{fakeStore: newFakeStore()}
 		store.fakeStore.write(1)
 		store.write(targets...)
-		net := &simNet{hosts: map[string]*simHost{}, crossed: map[string]int{}, cfg: cfg}
+		net := &simNet{hosts: map[string]*simHost{}, crossDomainBytes: map[string]int{}, cfg: cfg}
 		all := startSimFleet(t, net, store, n, 0)
 		defer func() {
 			for _, h := range all {
@@ -139,7 +139,7 @@
 		delete(h.net.hosts, h.self.Peer)
 	}
 	h.net.mu.Unlock()
-	if err := errors.Join(h.follow.Stop(context.Background()), h.members.Stop(context.Background())); err != nil {
+	if err := errors.Join(h.follower.Stop(context.Background()), h.members.Stop(context.Background())); err != nil {
 		t.Error(err)
 	}
 }
@@ -153,8 +153,8 @@
 	for i := range targets {
 		ids = append(ids, fmt.Sprintf("t%02d", i))
 	}
-	withRegistry(t, nil, 7, came(ids...), func(net *simNet, store *loggedStore, all []*simHost) {
-		watcher := all[0].spread.own().watchers()[0]
+	withRegistry(t, nil, 7, additionOf(ids...), func(net *simNet, store *loggedStore, all []*simHost) {
+		watcher := all[0].spread.ownGroup().watchers()[0]
 		var away []int
 		for i, h := range all {
 			if h.self.ID == watcher.ID || len(away) < 2 {
@@ -165,7 +165,7 @@
 			all[i].kill(t)
 		}
 		for _, id := range ids[:removed] {
-			store.write(went(id)...)
+			store.write(removalOf(id)...)
 		}
 		for _, id := range ids[removed : removed+drained] {
 			store.write(TargetChange{Target: Target{ID: id, Service: "s", Draining: true}})
@@ -198,17 +198,17 @@
 		t.Run(within.String(), func(t *testing.T) {
 			cfg := DefaultConfig()
 			cfg.ApplyWithin, cfg.LeaveWithin = unit.Duration(within), unit.Duration(within)
-			leavesWhileTheWatcherIsCutOff(t, cfg)
+			testTargetLeavesWhileWatcherIsCutOff(t, cfg)
 		})
 	}
 }
 
-func leavesWhileTheWatcherIsCutOff(t *testing.T, cfg Config) {
+func testTargetLeavesWhileWatcherIsCutOff(t *testing.T, cfg Config) {
 	t.Helper()
-	withRegistry(t, &cfg, 7, came("leaves", "stays"), func(net *simNet, store *loggedStore, all []*simHost) {
-		watcher := all[0].spread.own().watchers()[0]
+	withRegistry(t, &cfg, 7, additionOf("leaves", "stays"), func(net *simNet, store *loggedStore, all []*simHost) {
+		watcher := all[0].spread.ownGroup().watchers()[0]
 		net.host(watcher.Peer).cut()
-		store.write(went("leaves")...)
+		store.write(removalOf("leaves")...)
 		time.Sleep(cfg.LeaveWithin.Std())
 		for _, h := range all {
 			if h.self.ID != watcher.ID && len(h.state.View().Targets) != 1 {
@@ -227,19 +227,19 @@
 	}{{1, 5 * time.Second}, {7, 2600 * time.Millisecond}, {7, 5 * time.Second}, {100, 2600 * time.Millisecond}, {100, 4 * time.Second}, {100, 5 * time.Second}} {
 		t.Run(fmt.Sprintf("%d hosts, %s", tc.hosts, tc.away), func(t *testing.T) {
 			cfg := DefaultConfig()
-			withRegistry(t, &cfg, tc.hosts, came("a", "b", "lapses", "lost"), func(_ *simNet, store *loggedStore, all []*simHost) {
+			withRegistry(t, &cfg, tc.hosts, additionOf("a", "b", "lapses", "lost"), func(_ *simNet, store *loggedStore, all []*simHost) {
 				const lastMoment = 200 * time.Millisecond // of the outage, in which registrations lapse
 				store.down.Store(true)
 				time.Sleep(tc.away - lastMoment)
-				store.write(went("lapses")...)
-				store.write(went("lost")...)
+				store.write(removalOf("lapses")...)
+				store.write(removalOf("lost")...)
 				time.Sleep(lastMoment)
 				store.down.Store(false)
 				for range 3 {
 					time.Sleep(500 * time.Millisecond)
 					wantTargets(t, all, 4)
 				}
-				store.write(came("lapses")...)
+				store.write(additionOf("lapses")...)
 				time.Sleep(1500 * time.Millisecond)
 				wantTargets(t, all, 3)
 			})
@@ -266,5 +266,5 @@
 func TestTargetLeavesInTimeWhereConfigurationsTakeLonger(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ApplyWithin, cfg.LeaveWithin = unit.Duration(6*time.Second), unit.Duration(2*time.Second)
-	leavesWhileTheWatcherIsCutOff(t, cfg)
+	testTargetLeavesWhileWatcherIsCutOff(t, cfg)
 }
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -26,19 +26,19 @@
 						store.set(func() { store.revision++ })
 					}
 					time.Sleep(2 * time.Second)
-					before := store.called()
-					store.set(func() { store.away = true })
+					before := store.callCount()
+					store.set(func() { store.unavailable = true })
 					time.Sleep(4500 * time.Millisecond)
 					if restored {
 						store.restore(lost)
 					}
-					store.set(func() { store.away = false })
+					store.set(func() { store.unavailable = false })
 					time.Sleep(2 * time.Second)
-					calls[restored] = store.called() - before
+					calls[restored] = store.callCount() - before
 					for v := range uint64(2 * lost) {
 						store.set(func() {
 							store.revision++
-							store.written = store.revision
+							store.configRevision = store.revision
 							store.config = manyRoutes(2 + v)
 						})
 						time.Sleep(largeSite().ApplyWithin.Std() / 2)
@@ -49,8 +49,8 @@
 					}
 				})
 			}
-			watching := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*leastDomain), 1)
-			pages := (fleetTargets-1)/pageOfTargets + 1 + 1 // of the registry, and the configuration
+			watching := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*minOwnGroupHosts), 1)
+			pages := (fleetTargets-1)/targetsPerPage + 1 + 1 // of the registry, and the configuration
 			t.Logf("%d hosts: %d calls around an outage of 4.5 s, %d with a restore; at most %d hosts watch", n, calls[false], calls[true], watching)
 			drawn := calls[false] / 10 // pauses between failed calls are drawn anew
 			if calls[true] > calls[false]+drawn+watching*(pages+2) {
@@ -72,22 +72,24 @@
 				store.set(func() { store.revision++ })
 			}
 			time.Sleep(2 * time.Second)
-			store.set(func() { store.away = true })
+			store.set(func() { store.unavailable = true })
 			time.Sleep(4500 * time.Millisecond)
 			store.restore(lost)
-			before := store.lists
-			store.set(func() { store.away = false })
+			before := store.listCalls
+			store.set(func() { store.unavailable = false })
 			time.Sleep(2 * time.Second)
-			is.Equal(store.lists-before, (fleetTargets-1)/pageOfTargets+1)
+			is.Equal(store.listCalls-before, (fleetTargets-1)/targetsPerPage+1)
 			for _, h := range all {
-				is.Equal(h.state.Known().RegistryRevision.Era, uint64(2))
+				is.Equal(h.state.Cursor().RegistryRevision.Era, uint64(2))
 			}
 		})
 	}
 }
 
-// in returns a revision of an era.
-func in(era, number uint64) revision.Revision { return revision.Revision{Era: era, Number: number} }
+// revisionIn returns a revision of an era.
+func revisionIn(era, number uint64) revision.Revision {
+	return revision.Revision{Era: era, Number: number}
+}
 
 // virtualState returns a state that knows nothing, its clock, and what lets time pass.
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
@@ -103,16 +105,16 @@
 	is := is.New(t)
 	s, c, pass := virtualState()
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(1, 5)}, c.Now())
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(1, 9)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(2, 6)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(2, 6)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
 	pass(4 * time.Second)
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(2, 7)}, c.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(2, 7)}, c.Now())
 	pass(6 * time.Second)
 	s.Expire(c.Now())
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(3, 6)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(3, 6)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
 }
 
@@ -122,16 +124,16 @@
 	is := is.New(t)
 	s, c, pass := virtualState()
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(1, 5)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	pass(s.lapseAfter + time.Second)
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(1, 9)}, c.Now())
-	is.True(s.keepsLapsed("left"))
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(2, 6)}, c.Now())
-	pass(lapseHold)
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
+	is.True(s.isMissing("left"))
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(2, 6)}, c.Now())
+	pass(lapseGrace)
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	pass(revivalBeats * defaultBeat) // its registration still stands
-	s.ApplyChanges(TargetChanges{Revision: in(2, 7)}, c.Now())
+	pass(tombstoneBeats * defaultRegistrationBeat) // its registration still stands
+	s.ApplyChanges(TargetChanges{Revision: revisionIn(2, 7)}, c.Now())
 	s.Expire(c.Now())
 	is.Equal(ids(s), []string{"left"})
 }
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -1,6 +1,3 @@
-// Package discovery keeps what a host believes of the system around it: the
-// configuration in force and the targets of each service. Every belief has the
-// store's revision and the time at which it was last known to be current.
 package discovery
 
 import (
@@ -17,66 +14,66 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("discovery")
 
-// ErrHistoryGone means that the store does not know what changed since a
-// revision: everything has to be read again. It has dropped it, or has come back from
-// an older copy.
+// ErrHistoryGone means that the store cannot list the changes since a revision, because it has
+// compacted them or was restored from an older copy. Everything has to be read again.
 var ErrHistoryGone = errors.New("the store does not have the changes since that revision")
 
-// Target is one incarnation of a server of a service, as it registered itself. An incarnation is its
-// id and when it started: a target may come back under the id that it had.
+// Target is one incarnation of a server of a service, as it registered itself. An incarnation is
+// identified by the target's id and its start time, as a target may restart under the same id.
 type Target struct {
 	ID       string
-	Born     int64 // when it started, in milliseconds of Unix time; 0: it does not say, and each start has an id of its own
+	Born     int64 // start time in milliseconds of Unix time; 0: not reported, and each start has an id of its own
 	Service  string
 	Address  string // host:port
 	Domain   string // failure domain
-	Slots    int    // requests that it runs at once
-	Draining bool   // leaves; it must get no new work
-	// Warmup is how much longer the target stays cold, at the time of the registration.
+	Slots    int    // number of requests that it runs at once
+	Draining bool   // the target is leaving and must get no new work
+	// Warmup is the remaining warm-up time at the time of the registration.
 	Warmup time.Duration
-	// ColdUntil is until when the target is cold at the longest, by the clock of the state that holds it;
-	// the zero time if it is warm.
+	// ColdUntil is the latest time until which the target is cold, by the clock of the State that
+	// holds it; the zero time if it is warm.
 	ColdUntil time.Time
 }
 
 // ConfigRead is the configuration as the store holds it.
 type ConfigRead struct {
 	Config   routing.Config
-	Listed   bool              // all that the store holds was read: what is not found is not there
-	Found    bool              // false: the store holds none, or a watch saw no change
-	Revision revision.Revision // of the store, at which this was read
+	Listed   bool              // everything in the store was read: what was not found does not exist
+	Found    bool              // false: the store has no configuration, or a watch saw no change
+	Revision revision.Revision // of the store at the time of the read
 }
 
 // TargetList is all registered targets.
 type TargetList struct {
 	Targets  []Target
-	Unusable []Unusable        // registrations that name no target
-	Revision revision.Revision // of the store, at which this was read
+	Unusable []Unusable        // registrations that describe no usable target
+	Revision revision.Revision // of the store at the time of the read
 }
 
-// Unusable is a registration that names no target to use, as another writer may leave one.
+// Unusable is a registration that describes no usable target, for example one written by another
+// program.
 type Unusable struct {
-	ID      string // empty if not even that can be read
-	Problem string // what is wrong with it
+	ID      string // empty if not even the id can be read
+	Problem string // why the registration is unusable
 }
 
 // TargetChange is one change of the registry.
 type TargetChange struct {
-	Target Target // only its ID is set when it is gone
+	Target Target // only its ID is set if Gone is set
 	Gone   bool
-	// Problem is set with Gone if the registration is there and names no target to use.
+	// Problem is set together with Gone if the registration exists but describes no usable target.
 	Problem string
 }
 
 // TargetChanges is what changed since a revision.
 type TargetChanges struct {
 	Changes  []TargetChange
-	Revision revision.Revision // to watch from next
+	Revision revision.Revision // from which the next watch starts
 }
 
-// Source reads configuration, registry and evacuations. A watch returns as soon as there is
-// a change after the revision, or with nothing once wait has passed; it fails
-// with ErrHistoryGone when everything has to be read again.
+// Source reads configuration, registry and evacuations from the store. A watch returns as soon as
+// there is a change after the revision, or without one once wait has passed. It fails with
+// ErrHistoryGone if everything has to be read again.
 type Source interface {
 	Config(ctx context.Context) (ConfigRead, error)
 	WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error)
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -70,8 +70,8 @@
 	return all
 }
 
-// split returns the one host that watches the store and those that follow it.
-func split(t *testing.T, all []*socketHost) (watcher *socketHost, followers []*socketHost) {
+// splitWatcher returns the one host that watches the store and those that follow it.
+func splitWatcher(t *testing.T, all []*socketHost) (watcher *socketHost, followers []*socketHost) {
 	t.Helper()
 	for _, h := range all {
 		if h.spread.Watches() {
@@ -88,16 +88,16 @@
 
 func TestNewsOverSockets(t *testing.T) {
 	is := is.New(t)
-	watcher, followers := split(t, startHosts(t, 3))
+	watcher, followers := splitWatcher(t, startHosts(t, 3))
 	now := time.Now()
 	watcher.state.ApplyConfig(read(7, 3), now.Add(-time.Second))
 	watcher.state.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: Target{
 		ID: "i-1", Service: "s", Address: "10.1.0.1:80", Domain: "salt-lake", Slots: 2, Draining: true, Warmup: time.Second,
 	}}}, Revision: at(4)}, now)
 	f := followers[0]
-	news, err := f.spread.News(t.Context(), f.state.Known(), time.Minute)
+	update, err := f.spread.Poll(t.Context(), f.state.Cursor(), time.Minute)
 	is.NoErr(err)
-	f.state.ApplyNews(news)
+	f.state.ApplyUpdate(update)
 	table, asOf := f.state.Table()
 	is.Equal(table.Config.Version, uint64(7))
 	is.True(time.Since(asOf) >= time.Second) // the age comes along
@@ -106,41 +106,41 @@
 	is.True(!told[0].ColdUntil.After(time.Now().Add(time.Second)))
 	told[0].ColdUntil = held[0].ColdUntil
 	is.Equal(told, held)
-	is.Equal(f.state.Known(), watcher.state.Known())
+	is.Equal(f.state.Cursor(), watcher.state.Cursor())
 }
 
 func TestFindingsReachEveryHost(t *testing.T) {
 	is := is.New(t)
-	watcher, followers := split(t, startHosts(t, 3))
+	watcher, followers := splitWatcher(t, startHosts(t, 3))
 	heard := make(chan Finding, 10)
 	watcher.state.FollowFindings(func(all []Finding) { heard <- all[0] })
 	finding := Finding{Target: "i-1", Bad: true, Latency: 80 * time.Millisecond, Failures: 0.5, Domain: "salt-lake"}
-	followers[0].spread.TellFindings(t.Context(), []Finding{finding})
+	followers[0].spread.SendFindings(t.Context(), []Finding{finding})
 	is.Equal((<-heard).Target, "i-1")
 
-	news, err := followers[1].spread.News(t.Context(), Known{}, time.Minute)
+	update, err := followers[1].spread.Poll(t.Context(), Cursor{}, time.Minute)
 	is.NoErr(err)
-	is.Equal(len(news.Findings), 1)
-	is.True(news.Findings[0].Age >= 0)
-	news.Findings[0].Age = 0
-	is.Equal(news.Findings[0], finding)
+	is.Equal(len(update.Findings), 1)
+	is.True(update.Findings[0].Age >= 0)
+	update.Findings[0].Age = 0
+	is.Equal(update.Findings[0], finding)
 
-	news, err = followers[1].spread.News(t.Context(), Known{}, time.Millisecond)
+	update, err = followers[1].spread.Poll(t.Context(), Cursor{}, time.Millisecond)
 	is.NoErr(err)
-	is.Equal(len(news.Findings), 0) // told once
+	is.Equal(len(update.Findings), 0) // told once
 }
 
 // While the watcher knows nothing, every second question goes to another host.
 func TestAnotherHostIsAskedWhenTheWatcherKnowsNothing(t *testing.T) {
 	is := is.New(t)
-	_, followers := split(t, startHosts(t, 3))
+	_, followers := splitWatcher(t, startHosts(t, 3))
 	knows, asks := followers[0], followers[1]
 	knows.state.ApplyConfig(read(7, 3), time.Now())
 	knows.state.ApplyTargets(TargetList{Revision: at(3)}, time.Now())
 	for range 2 {
-		news, err := asks.spread.News(t.Context(), asks.state.Known(), time.Millisecond)
+		update, err := asks.spread.Poll(t.Context(), asks.state.Cursor(), time.Millisecond)
 		is.NoErr(err)
-		asks.state.ApplyNews(news)
+		asks.state.ApplyUpdate(update)
 	}
 	table, _ := asks.state.Table()
 	is.True(table != nil)
@@ -149,11 +149,11 @@
 // A watcher that the store turns away takes the news of a host that it serves.
 func TestWatcherAsksTheOthers(t *testing.T) {
 	is := is.New(t)
-	watcher, followers := split(t, startHosts(t, 2))
+	watcher, followers := splitWatcher(t, startHosts(t, 2))
 	followers[0].state.ApplyConfig(read(7, 3), time.Now())
 	followers[0].state.ApplyTargets(TargetList{Revision: at(3)}, time.Now())
 	store := newFakeStore()
-	store.set(func() { store.away = true })
+	store.set(func() { store.unavailable = true })
 	f := NewFollower(DefaultConfig(), store, watcher.spread, watcher.state, event.Discard(), nil)
 	is.NoErr(f.Start(t.Context()))
 	defer func() { is.NoErr(f.Stop(context.Background())) }()
@@ -169,14 +169,14 @@
 	is := is.New(t)
 	f := newFindings()
 	now := time.Now()
-	f.add(now, []Finding{{Target: "old", Age: findingLife}, {Target: "new"}})
+	f.add(now, []Finding{{Target: "old", Age: findingTTL}, {Target: "new"}})
 	is.Equal(len(f.since(now, f.epoch, 0)), 1)
 	is.Equal(len(f.since(now, f.epoch+1, 9)), 1) // another process counted to nine
-	is.Equal(len(f.since(now, f.epoch, f.next)), 0)
-	for range mostFindings + 1 {
+	is.Equal(len(f.since(now, f.epoch, f.lastNumber)), 0)
+	for range maxFindings + 1 {
 		f.add(now, []Finding{{Target: "more"}})
 	}
-	is.Equal(len(f.recent), mostFindings)
+	is.Equal(len(f.recent), maxFindings)
 }
 
 // The clock of a peer may have counted a suspension that this host's did not. What the peer tells is taken to be of the moment in which
@@ -185,8 +185,8 @@
 	is := is.New(t)
 	asked := time.Now()
 	received := asked.Add(200 * time.Millisecond)
-	n, err := readReply(&peerpb.FollowReply{
-		HeldUs: (17 * time.Second).Microseconds(), RegistryRevision: 7, ConfigRevision: 7, EvacuationRevision: 7, OutageAgeUs: never,
+	n, err := decodeReply(&peerpb.FollowReply{
+		HeldUs: (17 * time.Second).Microseconds(), RegistryRevision: 7, ConfigRevision: 7, EvacuationRevision: 7, OutageAgeUs: neverAge,
 		Evacuations: &peerpb.Evacuations{Ended: []*peerpb.EvacuationEnd{{FailureDomain: "a"}}},
 	}, asked, received)
 	is.NoErr(err)
@@ -205,9 +205,9 @@
 	}
 	self := started("self", "a", 0)
 	members := fixedMembers{self: self, hosts: []member.Host{self, started("elder", "b", time.Hour)}}
-	for i := range 2 * mostContacts {
+	for i := range 2 * maxContacts {
 		members.hosts = append(members.hosts, started(fmt.Sprint("young", i), "a", time.Second))
 	}
 	s := NewSpread(DefaultConfig(), members, nil, NewState())
-	is.True(slices.Contains(s.Contacts(), "elder"))
+	is.True(slices.Contains(s.BootstrapContacts(), "elder"))
 }
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -14,58 +14,58 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// State is what the host believes. Every method is safe for concurrent use.
+// State is the cached state of a host. Every method is safe for concurrent use.
 type State struct {
-	clock *clock.Clock // of all ages
+	clock *clock.Clock // for all ages
 
 	mu     sync.Mutex
 	table  *routing.Table // nil: no configuration yet
-	config belief
-	// configWritten is the store's revision at which the configuration in
-	// force was written; the belief's grows also when nothing changes.
-	configWritten revision.Revision
-	began         time.Time // when this host started
-	stored        storedConfig
-	numbers       *keptNumbers
-	evacuations   evacuations
-	permits       permits
-	permitsFor    time.Duration // for how long they count without news of the registry
-	seenEra       uint64        // of the registry
-	eraSeen       time.Time     // when it was first seen
-	registryAsOf  atomic.Pointer[time.Time]
-	registry      belief
-	targets       map[string]Target
-	lapsed        map[string]lapse  // targets that went missing and are kept for a while
-	unusable      map[string]string // problems of registrations that name no target, by id
-	outage        time.Time         // when the registry could last be read again after an outage
-	resumed       time.Time         // when the belief of the registry was last current again after lapseAfter or more
-	failing       bool              // the last reading of the registry by this host failed
-	lapseAfter    time.Duration     // of an outage, from which on registrations may lapse in it
-	history       history
-	tombstones    tombstones
-	news          chan struct{} // closes at the next change
-	follow        []func(View)
-	findings      findings
-
-	requests *quarantine.Table // what is held against requests; nil: not shared
-
-	reports    chan Finding // of this host, to be told
-	onFindings func([]Finding)
+	config syncPoint
+	// configWrittenAt is the store revision at which the configuration in force was written. The
+	// revision in config also advances when nothing changes.
+	configWrittenAt   revision.Revision
+	startedAt         time.Time // when this host started
+	storedConfig      storedConfig
+	keptSeq           *keptSequence
+	evacuations       evacuations
+	permits           permits
+	permitValidity    time.Duration             // how long permits may be used without a reread of the registry
+	registryEra       uint64                    // store era of the registry
+	eraFirstSeen      time.Time                 // when registryEra was first seen
+	registryAsOf      atomic.Pointer[time.Time] // copy of registry.asOf for reads without the lock
+	registry          syncPoint
+	targets           map[string]Target
+	missing           map[string]missingTarget // targets that are kept though their registration is missing
+	unusable          map[string]string        // problems of unusable registrations, by id
+	outageEnd         time.Time                // when the registry was last read again after an outage
+	registryResumedAt time.Time                // when the registry was last confirmed again after lapseAfter or longer without
+	lastReadFailed    bool                     // the last read of the registry by this host failed
+	lapseAfter        time.Duration            // shortest outage in which registrations may lapse
+	history           history
+	tombstones        tombstones
+	changed           chan struct{} // closed and replaced at the next change
+	subscribers       []func(View)
+	findings          findings
+
+	quarantined *quarantine.Table // nil: quarantine records are not exchanged
+
+	ownFindings chan Finding // findings of this host to be sent
+	onFindings  func([]Finding)
 }
 
-// belief tells how new a belief is.
-type belief struct {
+// syncPoint is how current a piece of cached state is.
+type syncPoint struct {
 	revision revision.Revision
-	asOf     time.Time // when it was last known to be current
+	asOf     time.Time // when it was last confirmed to be current
 }
 
-// goesOnTo reports whether changes up to a revision may go on from what is believed: they are of the same era, and not
-// older. What is known of an earlier era says nothing of where those of another one begin.
-func (b belief) goesOnTo(at revision.Revision) bool {
-	return !at.Before(b.revision) && (b.revision.IsZero() || at.Era == b.revision.Era)
+// accepts reports whether changes up to a revision can be applied to the cached state: they are not
+// older, and of the same era, as revisions of one era do not relate to the changes of another.
+func (p syncPoint) accepts(at revision.Revision) bool {
+	return !at.Before(p.revision) && (p.revision.IsZero() || at.Era == p.revision.Era)
 }
 
-// View is what is believed at one moment. It must not be changed.
+// View is a snapshot of the state. It must not be modified.
 type View struct {
 	Table            *routing.Table // nil: no configuration yet
 	ConfigRevision   revision.Revision
@@ -73,62 +73,61 @@
 	RegistryRevision revision.Revision
 	RegistryAsOf     time.Time
 	Targets          []Target // sorted by ID
-	// Evacuated are the failure domains to whose targets nothing more may be sent.
+	// Evacuated is the failure domains to whose targets nothing more may be sent.
 	Evacuated map[string]bool
-	// EvacuationEnds tells when evacuations were found to have ended, by failure domain, for a while.
+	// EvacuationEnds is when the ends of evacuations were seen, by failure domain.
 	EvacuationEnds map[string]time.Time
-	// Permits are those to send to cold targets, by target.
+	// Permits are the permits for cold targets, by target.
 	Permits map[string]Permit
-	Now     time.Time // by the clock of the state, when the view was made
-	// EvacuationsUnknown is set while the host does not know them yet.
+	Now     time.Time // when the view was made, by the clock of the state
+	// EvacuationsUnknown is set until the evacuations have been read.
 	EvacuationsUnknown bool
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns an empty state.
 func NewState() *State {
-	numbers := &keptNumbers{}
+	sequence := &keptSequence{}
 	return &State{
-		began:       time.Now(),
-		numbers:     numbers,
-		evacuations: evacuations{domains: map[string]bool{}, inForce: map[string]bool{}, numbers: numbers},
-		tombstones:  newTombstones(defaultBeat, numbers),
-		targets:     map[string]Target{}, lapsed: map[string]lapse{}, unusable: map[string]string{}, lapseAfter: DefaultConfig().lapseAfter(),
-		permitsFor: DefaultConfig().permitsFor(),
-		news:       make(chan struct{}), findings: newFindings(), reports: make(chan Finding, mostReports),
+		startedAt:   time.Now(),
+		keptSeq:     sequence,
+		evacuations: evacuations{stored: map[string]bool{}, active: map[string]bool{}, keptSeq: sequence},
+		tombstones:  newTombstones(defaultRegistrationBeat, sequence),
+		targets:     map[string]Target{}, missing: map[string]missingTarget{}, unusable: map[string]string{}, lapseAfter: DefaultConfig().lapseAfter(),
+		permitValidity: DefaultConfig().permitValidity(),
+		changed:        make(chan struct{}), findings: newFindings(), ownFindings: make(chan Finding, maxQueuedFindings),
 	}
 }
 
-// GoBy makes the ages of what is believed go by a clock that counts the time in which the machine is
-// suspended. It is to be called before the state is used.
-func (s *State) GoBy(c *clock.Clock) { s.clock, s.began = c, c.Now() }
+// GoBy sets the clock for all ages to one that also counts the time in which the machine is
+// suspended. Call it before the state is used.
+func (s *State) GoBy(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
 
-// Clock returns the clock of all ages.
+// Clock returns the clock for all ages.
 func (s *State) Clock() *clock.Clock { return s.clock }
 
-// Follow calls f with every new view, under the lock: f must be short. It is
-// to be called before the state is used.
-func (s *State) Follow(f func(View)) { s.follow = append(s.follow, f) }
+// Follow subscribes f to every new view. f is called under the lock and must be short. Call Follow
+// before the state is used.
+func (s *State) Follow(f func(View)) { s.subscribers = append(s.subscribers, f) }
 
-// View returns what is believed now.
+// View returns a snapshot of the state.
 func (s *State) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view()
 }
 
-// Table returns the configuration in force, nil if none is known, and when it
-// was last known to be current; the zero time while the store holds an older one.
+// Table returns the configuration in force, nil if there is none, and when it was last confirmed to
+// be current; the zero time while the store holds an older one.
 func (s *State) Table() (*routing.Table, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isBehind() {
+	if s.storeIsBehind() {
 		return s.table, time.Time{}
 	}
 	return s.table, s.config.asOf
 }
 
-// Limits returns the limits of the configuration in force, none before there is
-// one.
+// Limits returns the limits of the configuration in force, none before there is one.
 func (s *State) Limits() routing.Limits {
 	table, _ := s.Table()
 	if table == nil {
@@ -137,8 +136,8 @@
 	return table.Config.Limits
 }
 
-// Freshness returns when the oldest of the beliefs was last known to be current; the
-// zero time if one never was.
+// Freshness returns when the least current kind of state was last confirmed; the zero time if one
+// of them never was.
 func (s *State) Freshness() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,24 +145,24 @@
 	if s.registry.asOf.Before(oldest) {
 		oldest = s.registry.asOf
 	}
-	if s.evacuations.followed && s.evacuations.belief.asOf.Before(oldest) {
-		oldest = s.evacuations.belief.asOf
+	if s.evacuations.enabled && s.evacuations.synced.asOf.Before(oldest) {
+		oldest = s.evacuations.synced.asOf
 	}
 	return oldest
 }
 
-// asOf returns when the configuration and the registry were last known to be current.
+// asOf returns when the configuration and the registry were last confirmed to be current.
 func (s *State) asOf() (config, registry time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config.asOf, s.registry.asOf
 }
 
-// ApplyTargets takes a full list of the registry that was current at a time.
-// Targets that are missing in it are gone, except for a while after an outage.
-// It returns the targets that came, changed or went, and the registrations that turned
-// unusable. An old list is ignored. A peer that holds an older revision than the list is told
-// everything.
+// ApplyTargets applies a full list of the registry that was current at asOf. Targets that are
+// missing in it are removed, but for a limited time after an outage they are kept. It returns the
+// targets that were added, changed or removed, and the registrations that became unusable. A list
+// older than the cached state is ignored. Peers at an older revision than the list are sent the
+// full list.
 func (s *State) ApplyTargets(l TargetList, asOf time.Time) []TargetChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,14 +171,14 @@
 	}
 	now := s.clock.Now()
 	if s.registry.revision.Era < l.Revision.Era {
-		s.restored(l.Revision.Era, now)
+		s.noteRestore(l.Revision.Era, now)
 	}
 	clear(s.tombstones.suppressed)
 	listed := map[string]bool{}
 	var changes []TargetChange
 	for _, t := range l.Targets {
 		listed[t.ID] = true
-		t, gone := s.suppress(s.stamp(t), l.Revision, asOf)
+		t, gone := s.suppress(s.setColdUntil(t), l.Revision, asOf)
 		if !gone {
 			changes = append(changes, TargetChange{Target: t})
 		}
@@ -193,70 +192,71 @@
 			changes = append(changes, TargetChange{Target: Target{ID: id}, Gone: true})
 		}
 	}
-	s.history.begin(l.Revision)
+	s.history.reset(l.Revision)
 	return s.apply(changes, l.Revision, asOf)
 }
 
-// ApplyChanges takes the changes of the registry since a revision that this
-// host holds. It returns the targets that came, changed or went. All are kept for
-// the peers: one that changes nothing here, as the removal of a target that came
-// and went between two answers, may be news to a peer at a revision in between.
+// ApplyChanges applies the changes of the registry since the cached revision, and returns the
+// targets that were added, changed or removed. All changes are kept for the peers: one without
+// effect here, such as the removal of a target that was added and removed between two answers, may
+// matter to a peer at a revision in between.
 func (s *State) ApplyChanges(c TargetChanges, asOf time.Time) []TargetChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.registry.goesOnTo(c.Revision) {
+	if !s.registry.accepts(c.Revision) {
 		return nil
 	}
 	changes := slices.Clone(c.Changes)
 	for i := range changes {
-		changes[i].Target = s.stamp(changes[i].Target)
+		changes[i].Target = s.setColdUntil(changes[i].Target)
 		s.supersede(changes[i], c.Revision)
 	}
 	s.history.add(c.Revision, changes)
-	made := s.apply(changes, c.Revision, asOf)
-	if len(changes) > 0 && len(made) == 0 {
-		s.wakePeers() // it is news to them all the same
+	applied := s.apply(changes, c.Revision, asOf)
+	if len(changes) > 0 && len(applied) == 0 {
+		s.wakePolls() // they may have an effect on peers
 	}
-	return made
+	return applied
 }
 
-// apply changes the targets and tells the followers if anything differs.
+// apply applies changes to the targets and notifies the subscribers of any difference. The caller
+// holds the lock.
 func (s *State) apply(changes []TargetChange, at revision.Revision, asOf time.Time) []TargetChange {
 	now := s.clock.Now()
 	s.registry.revision = revision.Later(s.registry.revision, at)
-	s.noteEra(s.registry.revision.Era, now)
+	s.recordEra(s.registry.revision.Era, now)
 	if asOf.After(s.registry.asOf) {
-		if before := s.registry.asOf; !before.IsZero() && asOf.Sub(before) >= s.lapseAfter {
-			s.resumed = now
+		if previous := s.registry.asOf; !previous.IsZero() && asOf.Sub(previous) >= s.lapseAfter {
+			s.registryResumedAt = now
 		}
 		s.registry.asOf = asOf
 		s.registryAsOf.Store(&asOf)
 	}
-	var made, unusable []TargetChange
+	var applied, unusable []TargetChange
 	for _, c := range changes {
-		if s.noteUnusable(c) {
+		if s.recordUnusable(c) {
 			unusable = append(unusable, c)
 		}
-		if !s.differs(c, now) {
-			s.noteUnknownGone(c)
+		if !s.isChange(c, now) {
+			s.addUnknownTombstone(c)
 			continue
 		}
-		if c, ok := s.change(c, now); ok {
-			made = append(made, c)
+		if c, ok := s.applyChange(c, now); ok {
+			applied = append(applied, c)
 		}
 	}
-	if len(made) > 0 {
-		s.tell()
+	if len(applied) > 0 {
+		s.notify()
 	}
-	return append(made, unusable...)
+	return append(applied, unusable...)
 }
 
-// mostUnusable bounds the registrations whose problem is remembered, so that it is told once.
-const mostUnusable = 512
+// maxUnusable limits the registrations whose problem is remembered in order to log it once.
+const maxUnusable = 512
 
-// noteUnusable remembers the problem of a registration that names no target, or that there is none. It
-// reports whether there is a new one.
-func (s *State) noteUnusable(c TargetChange) bool {
+// recordUnusable remembers the problem of an unusable registration, or that it is usable, and
+// reports whether the problem is new.
+func (s *State) recordUnusable(c TargetChange) bool {
 	id := c.Target.ID
 	if c.Problem == "" {
 		delete(s.unusable, id)
@@ -265,62 +265,62 @@
 	if s.unusable[id] == c.Problem {
 		return false
 	}
-	if len(s.unusable) >= mostUnusable {
-		clear(s.unusable) // they are told again
+	if len(s.unusable) >= maxUnusable {
+		clear(s.unusable) // their problems are logged again
 	}
 	s.unusable[id] = c.Problem
 	return true
 }
 
-// differs reports whether a change is one to what the registry is known to
-// hold.
-func (s *State) differs(c TargetChange, now time.Time) bool {
+// isChange reports whether a change differs from the cached registry.
+func (s *State) isChange(c TargetChange, now time.Time) bool {
 	known, ok := s.targets[c.Target.ID]
-	_, missing := s.lapsed[c.Target.ID]
+	_, missing := s.missing[c.Target.ID]
 	if c.Gone {
 		return ok && (!missing || c.Problem != "")
 	}
 	return !ok || missing || !sameTarget(known, c.Target, now)
 }
 
-// change applies one change that differs. It reports false if a target that
-// is missing is still believed to be there.
-func (s *State) change(c TargetChange, now time.Time) (TargetChange, bool) {
+// applyChange applies a change that differs. It reports false if the target is kept though its
+// registration is missing.
+func (s *State) applyChange(c TargetChange, now time.Time) (TargetChange, bool) {
 	id := c.Target.ID
 	known := s.targets[id]
 	if !c.Gone {
-		delete(s.lapsed, id)
+		delete(s.missing, id)
 		s.targets[id] = c.Target
 		s.noteRegistration(c.Target)
 		return c, true
 	}
-	if hold := s.holdLapsed(now); now.Before(hold.until) && c.Problem == "" {
-		s.lapsed[id] = hold
+	if grace := s.missingGrace(now); now.Before(grace.until) && c.Problem == "" {
+		s.missing[id] = grace
 		return c, false
 	}
 	delete(s.targets, id)
-	delete(s.lapsed, id)
-	if c.Problem == "" { // that a registration is spoilt says nothing of its target
+	delete(s.missing, id)
+	if c.Problem == "" { // a spoilt registration does not mean that the target is gone
 		s.addTombstone(id, known.Born, true, s.registry.revision)
 	}
 	return TargetChange{Target: known, Gone: true}, true
 }
 
-// sameTarget compares what matters to the choice of a target. The time left of its warm-up falls with every
-// registration; that it ended early, or began anew, is a change.
-func sameTarget(known, news Target, now time.Time) bool {
-	longer := news.ColdUntil.Sub(known.ColdUntil) > coldDoubt && news.ColdUntil.After(now)
-	ended := known.ColdUntil.After(now) && news.ColdUntil.IsZero()
-	known.ColdUntil, news.ColdUntil = time.Time{}, time.Time{}
-	return known == news && !longer && !ended
+// sameTarget compares what matters for choosing a target. The remaining warm-up time falls with
+// every registration; only an early end or a new start of the warm-up is a change.
+func sameTarget(known, updated Target, now time.Time) bool {
+	coldLonger := updated.ColdUntil.Sub(known.ColdUntil) > coldTolerance && updated.ColdUntil.After(now)
+	coldEnded := known.ColdUntil.After(now) && updated.ColdUntil.IsZero()
+	known.ColdUntil, updated.ColdUntil = time.Time{}, time.Time{}
+	return known == updated && !coldLonger && !coldEnded
 }
 
-// coldDoubt is how much later a target may say that its warm-up ends before it counts as cold anew: the
-// news of it take a while, which is not known.
-const coldDoubt = 500 * time.Millisecond
+// coldTolerance is how much later the end of a warm-up may be reported before it counts as a new
+// one, as the unknown transit time of a registration shifts the end.
+const coldTolerance = 500 * time.Millisecond
 
-// stamp sets until when a target that was just heard of is cold at the longest.
-func (s *State) stamp(t Target) Target {
+// setColdUntil converts the remaining warm-up time of a registration that was just received to the
+// latest end of the warm-up.
+func (s *State) setColdUntil(t Target) Target {
 	if t.Warmup > 0 {
 		t.ColdUntil = s.clock.Now().Add(t.Warmup)
 	}
@@ -328,20 +328,20 @@
 	return t
 }
 
-// tell tells the followers, and the peers that wait for news.
-func (s *State) tell() {
-	s.wakePeers()
+// notify calls the subscribers with a new view, and wakes the polls of peers. The caller holds the
+// lock.
+func (s *State) notify() {
+	s.wakePolls()
 	v := s.view()
-	for _, f := range s.follow {
+	for _, f := range s.subscribers {
 		f(v)
 	}
 }
 
-// wakePeers lets the peers that wait for news look again. The caller holds the
-// lock.
-func (s *State) wakePeers() {
-	close(s.news)
-	s.news = make(chan struct{})
+// wakePolls lets the waiting polls of peers check for updates. The caller holds the lock.
+func (s *State) wakePolls() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *State) view() View {
@@ -354,7 +354,7 @@
 		RegistryAsOf:     s.registry.asOf,
 		Targets:          targets,
 
-		Evacuated: s.evacuations.inForce, EvacuationsUnknown: !s.evacuations.known(), EvacuationEnds: s.evacuations.ends,
-		Permits: s.permits.of(s.registry.revision.Era), Now: s.clock.Now(),
+		Evacuated: s.evacuations.active, EvacuationsUnknown: !s.evacuations.known(), EvacuationEnds: s.evacuations.endedAt,
+		Permits: s.permits.inEra(s.registry.revision.Era), Now: s.clock.Now(),
 	}
 }
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -19,7 +19,7 @@
 	return ConfigRead{Config: version(v), Found: true, Revision: at(revision)}
 }
 
-func came(ids ...string) []TargetChange {
+func additionOf(ids ...string) []TargetChange {
 	var changes []TargetChange
 	for _, id := range ids {
 		changes = append(changes, TargetChange{Target: Target{ID: id, Service: "s"}})
@@ -27,7 +27,7 @@
 	return changes
 }
 
-func went(id string) []TargetChange { return []TargetChange{{Target: Target{ID: id}, Gone: true}} }
+func removalOf(id string) []TargetChange { return []TargetChange{{Target: Target{ID: id}, Gone: true}} }
 
 func ids(s *State) []string {
 	all := []string{}
@@ -56,10 +56,10 @@
 func TestAnOldListChangesNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.ApplyChanges(TargetChanges{Changes: came("a", "b"), Revision: at(9)}, time.Now())
+	s.ApplyChanges(TargetChanges{Changes: additionOf("a", "b"), Revision: at(9)}, time.Now())
 	s.ApplyTargets(TargetList{Targets: []Target{{ID: "c"}}, Revision: at(8)}, time.Now())
 	is.Equal(ids(s), []string{"a", "b"})
-	s.ApplyChanges(TargetChanges{Changes: went("a"), Revision: at(8)}, time.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("a"), Revision: at(8)}, time.Now())
 	is.Equal(ids(s), []string{"a", "b"})
 	s.ApplyTargets(TargetList{Targets: []Target{{ID: "b", Service: "s"}}, Revision: at(10)}, time.Now())
 	is.Equal(ids(s), []string{"b"})
@@ -71,14 +71,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyChanges(TargetChanges{Changes: came("a", "b"), Revision: at(1)}, time.Now())
-		s.ReadFailed()
+		s.ApplyChanges(TargetChanges{Changes: additionOf("a", "b"), Revision: at(1)}, time.Now())
+		s.NoteReadFailure()
 		time.Sleep(s.lapseAfter)
-		s.ReadAgain()
+		s.NoteReadSuccess()
 		s.ApplyTargets(TargetList{Revision: at(5)}, time.Now())
 		is.Equal(ids(s), []string{"a", "b"})
-		s.ApplyChanges(TargetChanges{Changes: came("a"), Revision: at(6)}, time.Now()) // written again
-		time.Sleep(lapseHold - time.Millisecond)
+		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(6)}, time.Now()) // written again
+		time.Sleep(lapseGrace - time.Millisecond)
 		is.Equal(len(s.Expire(time.Now())), 0)
 		time.Sleep(time.Millisecond)
 		gone := s.Expire(time.Now())
@@ -92,13 +92,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyChanges(TargetChanges{Changes: came("a"), Revision: at(1)}, time.Now())
-		s.ReadFailed()
+		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(1)}, time.Now())
+		s.NoteReadFailure()
 		time.Sleep(s.lapseAfter)
-		s.ReadAgain()
+		s.NoteReadSuccess()
 		s.ApplyChanges(TargetChanges{Revision: at(1)}, time.Now())
-		time.Sleep(lapseHold)
-		s.ApplyChanges(TargetChanges{Changes: went("a"), Revision: at(2)}, time.Now())
+		time.Sleep(lapseGrace)
+		s.ApplyChanges(TargetChanges{Changes: removalOf("a"), Revision: at(2)}, time.Now())
 		is.Equal(ids(s), []string{})
 	})
 }
@@ -108,9 +108,9 @@
 		is := is.New(t)
 		s := NewState()
 		s.ApplyConfig(read(1, 3), time.Now())
-		s.ApplyChanges(TargetChanges{Changes: came("a"), Revision: at(3)}, time.Now())
-		got := make(chan News, 1)
-		go func() { got <- s.AwaitNews(context.Background(), s.Known(), time.Minute) }()
+		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(3)}, time.Now())
+		got := make(chan Update, 1)
+		go func() { got <- s.AwaitUpdate(context.Background(), s.Cursor(), time.Minute) }()
 		synctest.Wait()
 		is.Equal(len(got), 0)
 		s.ApplyConfig(read(2, 4), time.Now())
@@ -119,7 +119,7 @@
 		is.Equal(len(n.Changes), 0)
 
 		began := time.Now()
-		n = s.AwaitNews(context.Background(), s.Known(), time.Minute)
+		n = s.AwaitUpdate(context.Background(), s.Cursor(), time.Minute)
 		is.Equal(time.Since(began), time.Minute)
 		is.True(n.Config == nil)
 		is.True(!n.RegistryAsOf.IsZero()) // how old the beliefs are is told all the same
@@ -137,18 +137,18 @@
 			id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "target")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				first.ApplyChanges(TargetChanges{Changes: came(id), Revision: at(revision)}, time.Now())
+				first.ApplyChanges(TargetChanges{Changes: additionOf(id), Revision: at(revision)}, time.Now())
 			case 1:
-				first.ApplyChanges(TargetChanges{Changes: went(id), Revision: at(revision)}, time.Now())
+				first.ApplyChanges(TargetChanges{Changes: removalOf(id), Revision: at(revision)}, time.Now())
 			case 2:
 				first.ApplyConfig(read(revision, revision), time.Now())
 			case 3:
-				n, _ := first.newsSince(second.Known())
-				second.ApplyNews(n)
+				n, _ := first.updateSince(second.Cursor())
+				second.ApplyUpdate(n)
 			}
 		}
-		n, _ := first.newsSince(second.Known())
-		second.ApplyNews(n)
+		n, _ := first.updateSince(second.Cursor())
+		second.ApplyUpdate(n)
 		is := is.New(t)
 		is.Equal(ids(first), ids(second))
 		a, _ := first.Table()
@@ -163,15 +163,15 @@
 func TestHistoryThatIsNotKeptBringsTheWholeList(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.ApplyChanges(TargetChanges{Changes: came("a"), Revision: at(1)}, time.Now())
-	for r := uint64(2); r < mostHistory+10; r += 2 {
-		s.ApplyChanges(TargetChanges{Changes: came("b"), Revision: at(r)}, time.Now())
-		s.ApplyChanges(TargetChanges{Changes: went("b"), Revision: at(r + 1)}, time.Now())
+	s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(1)}, time.Now())
+	for r := uint64(2); r < maxHistory+10; r += 2 {
+		s.ApplyChanges(TargetChanges{Changes: additionOf("b"), Revision: at(r)}, time.Now())
+		s.ApplyChanges(TargetChanges{Changes: removalOf("b"), Revision: at(r + 1)}, time.Now())
 	}
-	n, _ := s.newsSince(Known{RegistryRevision: at(2)})
+	n, _ := s.updateSince(Cursor{RegistryRevision: at(2)})
 	is.True(n.AllTargets)
 	is.Equal(len(n.Changes), 1)
-	n, _ = s.newsSince(Known{RegistryRevision: at(s.Known().RegistryRevision.Number - 2)})
+	n, _ = s.updateSince(Cursor{RegistryRevision: at(s.Cursor().RegistryRevision.Number - 2)})
 	is.True(!n.AllTargets)
 	is.Equal(len(n.Changes), 2)
 }
@@ -185,8 +185,8 @@
 	other := Target{ID: "b", Service: "s", Address: "h:2", Slots: 1}
 	now := time.Now()
 	is.Equal(len(s.ApplyTargets(TargetList{Targets: []Target{good, other}, Revision: at(1)}, now.Add(-s.lapseAfter))), 2)
-	s.ReadFailed()
-	s.ReadAgain()
+	s.NoteReadFailure()
+	s.NoteReadSuccess()
 	spoilt := TargetChange{Target: Target{ID: "a"}, Gone: true, Problem: "service: want the name of a service"}
 	told := s.ApplyChanges(TargetChanges{Changes: []TargetChange{spoilt}, Revision: at(2)}, now)
 	is.Equal(len(told), 2) // the target is gone, and why
@@ -203,11 +203,11 @@
 func TestUnusableRegistrationsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	for i := range 4 * mostUnusable {
+	for i := range 4 * maxUnusable {
 		c := TargetChange{Target: Target{ID: fmt.Sprint(i)}, Gone: true, Problem: "p"}
 		s.ApplyChanges(TargetChanges{Changes: []TargetChange{c}, Revision: at(uint64(i + 1))}, time.Now())
 	}
-	is.True(len(s.unusable) <= mostUnusable)
+	is.True(len(s.unusable) <= maxUnusable)
 }
 
 // News of an incarnation that come late, from the store or from a host, do not take the place of
@@ -223,7 +223,7 @@
 	s.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: again}}, Revision: at(9)}, now)
 	is.Equal(s.View().Targets, []Target{again})
 	s.ApplyTargets(TargetList{Targets: []Target{first}, Revision: at(8)}, now)
-	s.ApplyNews(News{Changes: []TargetChange{{Target: first}}, RegistryRevision: at(7), RegistryAsOf: now})
+	s.ApplyUpdate(Update{Changes: []TargetChange{{Target: first}}, RegistryRevision: at(7), RegistryAsOf: now})
 	s.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: Target{ID: "a"}, Gone: true}}, Revision: at(8)}, now)
 	is.Equal(s.View().Targets, []Target{again})
 }
--- a/internal/discovery/suspend_test.go
+++ b/internal/discovery/suspend_test.go
@@ -30,14 +30,14 @@
 		is.NoErr(f.Start(t.Context()))
 		defer func() { is.NoErr(f.Stop(t.Context())) }()
 		time.Sleep(10 * time.Second)
-		is.True(!f.shouldWatch()) // its peer tells it all
+		is.True(!f.shouldReadStore()) // its peer tells it all
 
 		peers.setCut(true)
 		store.write(2)
 		suspend(time.Minute)
 		is.True(machine.Since(state.Freshness()) >= time.Minute)
-		is.True(f.shouldWatch())
-		is.True(inForceAfter(state, 2) < cfg.ApplyWithin.Std())
+		is.True(f.shouldReadStore())
+		is.True(timeUntilApplied(state, 2) < cfg.ApplyWithin.Std())
 	})
 }
 
@@ -54,8 +54,8 @@
 		asked := machine.Now()
 		w := f.newWatch(asked)
 		suspend(time.Minute)
-		is.Equal(w.provedAsOf(false), asked.Add(cfg.watchWait()))
-		is.True(machine.Since(w.provedAsOf(false)) > cfg.staleAfter())
+		is.Equal(w.currentAsOf(false), asked.Add(cfg.watchWait()))
+		is.True(machine.Since(w.currentAsOf(false)) > cfg.staleAfter())
 	})
 }
 
@@ -69,9 +69,9 @@
 		state.GoBy(machine)
 		state.ApplyConfig(ConfigRead{Config: version(1), Found: true, Revision: at(1)}, machine.Now())
 		suspend(time.Minute)
-		reply := writeReply(state.AwaitNews(t.Context(), Known{}, time.Second), machine.Now(), machine.Now())
-		news, err := readReply(reply, time.Now(), time.Now())
+		reply := encodeReply(state.AwaitUpdate(t.Context(), Cursor{}, time.Second), machine.Now(), machine.Now())
+		update, err := decodeReply(reply, time.Now(), time.Now())
 		is.NoErr(err)
-		is.True(time.Since(news.ConfigAsOf) >= time.Minute)
+		is.True(time.Since(update.ConfigAsOf) >= time.Minute)
 	})
 }
--- a/internal/discovery/tombstone.go
+++ b/internal/discovery/tombstone.go
@@ -7,182 +7,192 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// A tombstone remembers that an incarnation of a target leaves or is gone. An older copy of the store brings its
-// registration back as it was before; the tombstone keeps the target out until it is written again, or until a
-// registration that nobody writes would have lapsed.
+// tombstone records that an incarnation of a target is leaving or gone. A restored store contains
+// the registration as it was before. The tombstone suppresses the target until the registration is
+// written again, or until it would have lapsed if nothing writes it.
 type tombstone struct {
-	born   int64 // of the incarnation; anyIncarnation if that was never heard of
-	gone   bool  // else it leaves
-	at     revision.Revision
-	number uint64    // in the order in which peers are told; 0: they need not be
-	until  time.Time // when it ends after a restore; the zero time: there was none
-	added  time.Time
+	born        int64             // start time of the incarnation; anyIncarnation if it was never received
+	gone        bool              // otherwise the target is leaving
+	revision    revision.Revision // at which that was received
+	keptNumber  uint64            // sequence number in the kept state; 0: not to be sent to peers
+	activeUntil time.Time         // when it stops applying after a restore; the zero time: no restore since
+	addedAt     time.Time
 }
 
 // anyIncarnation stands for every incarnation of an id.
 const anyIncarnation = -1
 
 const (
-	// keepTombstones is how long a target that left is remembered: more than the age of a copy of the store.
-	keepTombstones = time.Minute
-	// mostTombstones bounds how many are remembered: of all targets of a large site, if they leave together.
-	mostTombstones = 8192
-	// revivalBeats is how many beats after a restore a registration that still stands is believed. One that nobody writes
-	// lapses after three.
-	revivalBeats = 5
+	// tombstoneRetention is how long a tombstone is kept: longer than the age of a copy of the
+	// store.
+	tombstoneRetention = time.Minute
+	// maxTombstones limits the number of tombstones. It covers all targets of a large site leaving
+	// together.
+	maxTombstones = 8192
+	// tombstoneBeats is the number of beats after a restore from which a registration that still
+	// exists is trusted again. One that nothing writes lapses after three.
+	tombstoneBeats = 5
 )
 
-// tombstones are those of a host, and the registrations that they concern.
+// tombstones is the tombstones of a host, and the registrations that they suppress.
 type tombstones struct {
 	byID    map[string]tombstone
-	numbers *keptNumbers
-	// suppressed are registrations as the store tells them, whose targets are believed to leave or to be gone.
+	keptSeq *keptSequence
+	// suppressed is registrations as they are in the store, whose targets are treated as leaving or
+	// gone.
 	suppressed map[string]Target
-	// hold is how long a tombstone counts after a restore.
-	hold time.Duration
+	// activeFor is how long a tombstone applies after a restore.
+	activeFor time.Duration
 }
 
-func newTombstones(beat time.Duration, numbers *keptNumbers) tombstones {
-	return tombstones{byID: map[string]tombstone{}, numbers: numbers, suppressed: map[string]Target{}, hold: revivalBeats * beat}
+func newTombstones(beat time.Duration, sequence *keptSequence) tombstones {
+	return tombstones{byID: map[string]tombstone{}, keptSeq: sequence, suppressed: map[string]Target{}, activeFor: tombstoneBeats * beat}
 }
 
-// add remembers that an incarnation leaves or is gone.
-func (t *tombstones) add(id string, one tombstone) {
-	if _, known := t.byID[id]; !known && len(t.byID) >= mostTombstones {
-		return // so many are gone at once that some may come back for a moment
+// add adds or replaces a tombstone.
+func (t *tombstones) add(id string, entry tombstone) {
+	if _, exists := t.byID[id]; !exists && len(t.byID) >= maxTombstones {
+		return // at the limit a target that left may be used again for a moment after a restore
 	}
-	t.byID[id] = one
+	t.byID[id] = entry
 }
 
-// drop forgets a target's tombstone: it was written anew.
-func (t *tombstones) drop(id string) {
+// remove removes the tombstone of a target that was registered again.
+func (t *tombstones) remove(id string) {
 	delete(t.byID, id)
 	delete(t.suppressed, id)
 }
 
-// of returns the tombstone that counts against a registration as it was told at a revision, current as of a time.
-func (t *tombstones) of(target Target, at revision.Revision, asOf time.Time) (tombstone, bool) {
-	one, ok := t.byID[target.ID]
-	if !ok || one.at.Era >= at.Era || !asOf.Before(one.until) {
+// match returns the tombstone of a target, and whether it applies to a registration that was read
+// at a revision and current at asOf.
+func (t *tombstones) match(target Target, at revision.Revision, asOf time.Time) (tombstone, bool) {
+	entry, ok := t.byID[target.ID]
+	if !ok || entry.revision.Era >= at.Era || !asOf.Before(entry.activeUntil) {
 		return tombstone{}, false
 	}
-	return one, target.Born <= one.born || one.born == anyIncarnation // an earlier incarnation is gone, too
+	return entry, target.Born <= entry.born || entry.born == anyIncarnation // earlier incarnations are gone, too
 }
 
-// restored makes all tombstones of earlier eras than one count from now on.
-func (t *tombstones) restored(era uint64, now time.Time) {
-	for id, one := range t.byID {
-		if one.at.Era < era {
-			t.byID[id] = t.inForce(one, now)
+// activateOlder activates all tombstones of eras before the given one.
+func (t *tombstones) activateOlder(era uint64, now time.Time) {
+	for id, entry := range t.byID {
+		if entry.revision.Era < era {
+			t.byID[id] = t.activate(entry, now)
 		}
 	}
 }
 
-// inForce returns a tombstone that counts from now on, and that peers are told.
-func (t *tombstones) inForce(one tombstone, now time.Time) tombstone {
-	one.number, one.until = t.numbers.next(), now.Add(t.hold)
-	return one
+// activate returns the tombstone such that it applies from now on and is sent to peers.
+func (t *tombstones) activate(entry tombstone, now time.Time) tombstone {
+	entry.keptNumber, entry.activeUntil = t.keptSeq.next(), now.Add(t.activeFor)
+	return entry
 }
 
-// sweep forgets what no longer counts, and returns the registrations that are to be believed again: those that the registry,
-// current as of a time, still has then. A host that was suspended goes by what it knew before, until it hears again.
-func (t *tombstones) sweep(now, asOf time.Time) []Target {
-	var believed []Target
-	for id, one := range t.byID {
-		ended := !one.until.IsZero() && !asOf.Before(one.until)
-		if !ended && (!one.until.IsZero() || now.Sub(one.added) < keepTombstones) {
+// expire removes the tombstones that no longer apply, and returns the suppressed registrations to
+// use again: those that the registry, current at asOf, still contains. Counting by asOf rather than
+// now keeps the tombstones of a host that was suspended until it has read the registry again.
+func (t *tombstones) expire(now, asOf time.Time) []Target {
+	var targets []Target
+	for id, entry := range t.byID {
+		ended := !entry.activeUntil.IsZero() && !asOf.Before(entry.activeUntil)
+		if !ended && (!entry.activeUntil.IsZero() || now.Sub(entry.addedAt) < tombstoneRetention) {
 			continue
 		}
 		if target, ok := t.suppressed[id]; ok {
-			believed = append(believed, target)
+			targets = append(targets, target)
 		}
-		t.drop(id)
+		t.remove(id)
 	}
-	return believed
+	return targets
 }
 
-// Tombstone is what a host tells others of a target that left before the store came back from an older copy.
+// Tombstone is a tombstone as it is sent to peers, for a target that left before a restore of the
+// store.
 type Tombstone struct {
 	Target string
 	Born   int64 // of the incarnation; negative: of all
-	Gone   bool  // else it leaves
+	Gone   bool  // otherwise the target is leaving
 	At     revision.Revision
 }
 
-// since returns those in force after a number, or all.
-func (t *tombstones) since(number uint64, everything bool) []Tombstone {
-	if number >= t.numbers.newest && !everything {
+// since returns the tombstones activated after a sequence number, or all.
+func (t *tombstones) since(number uint64, includeAll bool) []Tombstone {
+	if number >= t.keptSeq.last && !includeAll {
 		return nil
 	}
 	var all []Tombstone
-	for id, one := range t.byID {
-		if everything || one.number > number {
-			all = append(all, Tombstone{Target: id, Born: one.born, Gone: one.gone, At: one.at})
+	for id, entry := range t.byID {
+		if includeAll || entry.keptNumber > number {
+			all = append(all, Tombstone{Target: id, Born: entry.born, Gone: entry.gone, At: entry.revision})
 		}
 	}
 	return all
 }
 
-// addTombstone remembers a target that is told to leave, or to be gone, at a revision. The caller holds the lock.
+// addTombstone adds the tombstone of a target reported as leaving or gone at a revision. The caller
+// holds the lock.
 func (s *State) addTombstone(id string, born int64, gone bool, at revision.Revision) {
-	s.tombstones.add(id, tombstone{born: born, gone: gone, at: at, added: s.clock.Now()})
+	s.tombstones.add(id, tombstone{born: born, gone: gone, revision: at, addedAt: s.clock.Now()})
 }
 
-// supersede makes a change that was written in this era count more than what is kept from an earlier one. The caller holds the lock.
+// supersede lets a change that was written in this era override the tombstone from an earlier one.
+// The caller holds the lock.
 func (s *State) supersede(c TargetChange, at revision.Revision) {
 	t := c.Target
 	switch {
 	case c.Gone:
-		delete(s.tombstones.suppressed, t.ID)       // it may be kept for a while, as one that leaves if it did
-		if one, ok := s.tombstones.byID[t.ID]; ok { // it counts for the next restore as well
-			s.addTombstone(t.ID, one.born, one.gone, at)
+		delete(s.tombstones.suppressed, t.ID)         // a target that was leaving may still be kept as leaving for a while
+		if entry, ok := s.tombstones.byID[t.ID]; ok { // it also has to apply after the next restore
+			s.addTombstone(t.ID, entry.born, entry.gone, at)
 		}
 	case t.Draining:
-		s.tombstones.drop(t.ID)
-		s.addTombstone(t.ID, t.Born, false, at) // also where it is believed already
+		s.tombstones.remove(t.ID)
+		s.addTombstone(t.ID, t.Born, false, at) // also if it is already treated as leaving
 	default:
-		s.tombstones.drop(t.ID)
+		s.tombstones.remove(t.ID)
 	}
 }
 
-// noteUnknownGone adds the tombstone of a target that is told to be gone and was never heard of. The caller holds the lock.
-func (s *State) noteUnknownGone(c TargetChange) {
+// addUnknownTombstone adds a tombstone for a target whose removal was received, but never its
+// registration. The caller holds the lock.
+func (s *State) addUnknownTombstone(c TargetChange) {
 	id := c.Target.ID
-	_, heard := s.targets[id]
-	if _, known := s.tombstones.byID[id]; c.Gone && c.Problem == "" && !heard && !known {
+	_, isRegistered := s.targets[id]
+	if _, hasTombstone := s.tombstones.byID[id]; c.Gone && c.Problem == "" && !isRegistered && !hasTombstone {
 		s.addTombstone(id, anyIncarnation, true, s.registry.revision)
 	}
 }
 
-// noteRegistration adds the tombstone of a target that says that it leaves, and drops the tombstone of one that says that it is there; not of one that
-// is only believed to leave. The caller holds the lock.
+// noteRegistration adds the tombstone of a target that registered itself as leaving, and removes
+// that of a target that registered itself otherwise. A suppressed registration changes neither. The
+// caller holds the lock.
 func (s *State) noteRegistration(t Target) {
 	switch _, suppressed := s.tombstones.suppressed[t.ID]; {
 	case suppressed:
 	case t.Draining:
 		s.addTombstone(t.ID, t.Born, false, s.registry.revision)
 	default:
-		s.tombstones.drop(t.ID)
+		s.tombstones.remove(t.ID)
 	}
 }
 
-// suppress returns what is to be believed of a registration in a list: nothing of a target that is gone, and of one that leaves
-// that it does. The caller holds the lock.
-func (s *State) suppress(t Target, at revision.Revision, asOf time.Time) (believed Target, gone bool) {
-	if known, ok := s.targets[t.ID]; ok && t.Born > 0 && t.Born < known.Born {
-		return known, false // the copy has an earlier incarnation; this one writes itself again, or lapses
+// suppress returns how to treat a registration in a list: a target with a tombstone is gone or
+// leaving. The caller holds the lock.
+func (s *State) suppress(t Target, at revision.Revision, asOf time.Time) (result Target, gone bool) {
+	if current, ok := s.targets[t.ID]; ok && t.Born > 0 && t.Born < current.Born {
+		return current, false // the copy has an earlier incarnation; the cached one registers again or lapses
 	}
-	one, ok := s.tombstones.of(t, at, asOf)
-	if !ok || !one.gone && t.Draining {
+	entry, ok := s.tombstones.match(t, at, asOf)
+	if !ok || !entry.gone && t.Draining {
 		return t, false
 	}
 	s.tombstones.suppressed[t.ID] = t
 	t.Draining = true
-	return t, one.gone
+	return t, entry.gone
 }
 
-// ApplyTombstones takes what a peer remembers of targets that left before the store came back. It returns the targets that
-// changed or went.
+// ApplyTombstones adds the tombstones that a peer kept from before a restore. It returns the
+// targets that changed or were removed.
 func (s *State) ApplyTombstones(all []Tombstone) []TargetChange {
 	if len(all) == 0 {
 		return nil
@@ -190,53 +200,54 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	var made []TargetChange
-	for _, told := range all {
-		isEarlier := told.At.Era < s.registry.revision.Era // else the registry tells by itself
-		if known, ok := s.tombstones.byID[told.Target]; ok && (!isEarlier || !known.at.Before(told.At)) {
+	var changes []TargetChange
+	for _, received := range all {
+		isEarlier := received.At.Era < s.registry.revision.Era // otherwise the registry already shows it
+		if existing, ok := s.tombstones.byID[received.Target]; ok && (!isEarlier || !existing.revision.Before(received.At)) {
 			continue
 		}
-		one := tombstone{born: told.Born, gone: told.Gone, at: told.At, added: now}
+		entry := tombstone{born: received.Born, gone: received.Gone, revision: received.At, addedAt: now}
 		if isEarlier {
-			one = s.tombstones.inForce(one, now)
+			entry = s.tombstones.activate(entry, now)
 		}
-		s.tombstones.add(told.Target, one)
-		if c, ok := s.suppressKnown(told.Target); ok {
-			made = append(made, c)
+		s.tombstones.add(received.Target, entry)
+		if c, ok := s.suppressKnown(received.Target); ok {
+			changes = append(changes, c)
 		}
 	}
-	if len(made) > 0 {
-		s.tell()
+	if len(changes) > 0 {
+		s.notify()
 	}
-	return made
+	return changes
 }
 
-// suppressKnown applies a new tombstone to what is believed of its target, and reports whether that changes. The caller holds
-// the lock.
+// suppressKnown applies a new tombstone to the cached target, and reports whether that changes it.
+// The caller holds the lock.
 func (s *State) suppressKnown(id string) (TargetChange, bool) {
 	t, ok := s.targets[id]
 	if !ok {
 		return TargetChange{}, false
 	}
-	_, missing := s.lapsed[id]
-	believed, gone := s.suppress(t, s.registry.revision, s.registry.asOf)
-	if missing { // the store does not have it either, so that nothing is to be believed again
+	_, missing := s.missing[id]
+	updated, gone := s.suppress(t, s.registry.revision, s.registry.asOf)
+	if missing { // the store lacks it, too, so there is no registration to use again later
 		delete(s.tombstones.suppressed, id)
 	}
 	if gone {
 		delete(s.targets, id)
-		delete(s.lapsed, id)
+		delete(s.missing, id)
 		return TargetChange{Target: t, Gone: true}, true
 	}
-	s.targets[id] = believed
-	return TargetChange{Target: believed}, believed != t
+	s.targets[id] = updated
+	return TargetChange{Target: updated}, updated != t
 }
 
-// registered returns the registry as the store tells it, without what is kept though it is missing there. The caller holds the lock.
-func (s *State) registered() []Target {
+// storedRegistrations returns the registry as the store holds it, without targets that are kept
+// though they are missing there. The caller holds the lock.
+func (s *State) storedRegistrations() []Target {
 	all := make([]Target, 0, len(s.targets))
 	for id, t := range s.targets {
-		_, missing := s.lapsed[id]
+		_, missing := s.missing[id]
 		if _, suppressed := s.tombstones.suppressed[id]; !missing && !suppressed {
 			all = append(all, t)
 		}
@@ -247,7 +258,7 @@
 	return all
 }
 
-func writeTombstones(all []Tombstone) []*peerpb.Tombstone {
+func encodeTombstones(all []Tombstone) []*peerpb.Tombstone {
 	out := make([]*peerpb.Tombstone, 0, len(all))
 	for _, t := range all {
 		out = append(out, &peerpb.Tombstone{Target: t.Target, BornMs: t.Born, Gone: t.Gone, Era: t.At.Era, Revision: t.At.Number})
@@ -255,7 +266,7 @@
 	return out
 }
 
-func readTombstones(in []*peerpb.Tombstone) []Tombstone {
+func decodeTombstones(in []*peerpb.Tombstone) []Tombstone {
 	var all []Tombstone
 	for _, t := range in {
 		all = append(all, Tombstone{Target: t.Target, Born: t.BornMs, Gone: t.Gone, At: revision.Revision{Era: t.Era, Number: t.Revision}})
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -21,7 +21,7 @@
 	s.GoBy(c)
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(1, 5)}, c.Now())
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: inEra(1, 9)}, c.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: inEra(1, 9)}, c.Now())
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 6)}, c.Now())
 	asked := c.Now()
 	pass(20 * time.Second)
@@ -41,7 +41,7 @@
 	c, pass := clock.Virtual()
 	s := NewState()
 	s.GoBy(c)
-	s.evacuations.followed, s.evacuations.keepFor = true, 4*time.Second
+	s.evacuations.enabled, s.evacuations.retention = true, 4*time.Second
 	s.ApplyEvacuations(EvacuationRead{Domains: []string{"d"}, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyEvacuations(EvacuationRead{Revision: inEra(2, 3)}, c.Now())
 	pass(20 * time.Second)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -41,7 +41,7 @@
 		time.Sleep(first + 3*time.Second) // the first watch has ended, and its answer has come
 		_, asOf := state.Table()
 		is.True(time.Since(asOf) >= 3*time.Second)
-		store.set(func() { store.away = true })
+		store.set(func() { store.unavailable = true })
 		is.NoErr(f.Stop(t.Context()))
 	})
 }
@@ -57,6 +57,6 @@
 		is.Equal(f.newWatch(now).wait, cfg.watchWait())
 		next := f.newWatch(now.Add(-cfg.watchWait()))
 		is.True(next.wait < cfg.watchWait())
-		is.True(cfg.watchWait()+next.wait+cfg.peerWait() < cfg.staleAfter())
+		is.True(cfg.watchWait()+next.wait+cfg.peerPollWait() < cfg.staleAfter())
 	})
 }
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -7,28 +7,28 @@
 	"rhubarbwood.example/rhubarbwood/internal/quarantine"
 )
 
-// writeReply encodes news for a request that came at a time and is answered now, but for the
-// configuration.
-func writeReply(n News, began, now time.Time) *peerpb.FollowReply {
+// encodeReply encodes an update, except for the configuration, as the reply at time now to a
+// request that was received at receivedAt.
+func encodeReply(u Update, receivedAt, now time.Time) *peerpb.FollowReply {
 	out := &peerpb.FollowReply{
-		HeldUs:      now.Sub(began).Microseconds(),
-		ConfigAgeUs: age(now, n.ConfigAsOf), RegistryAgeUs: age(now, n.RegistryAsOf), EvacuationsAgeUs: age(now, n.EvacuationsAsOf),
-		AllTargets: n.AllTargets, OutageAgeUs: age(now, n.Outage),
-		Findings: writeFindings(n.Findings), FindingEpoch: n.FindingEpoch, FindingNumber: n.FindingNumber,
-		Requests: quarantine.AllToWire(n.Requests, now), RequestEpoch: n.RequestsMark.Epoch, RequestNumber: n.RequestsMark.Number,
+		HeldUs:      now.Sub(receivedAt).Microseconds(),
+		ConfigAgeUs: ageMicros(now, u.ConfigAsOf), RegistryAgeUs: ageMicros(now, u.RegistryAsOf), EvacuationsAgeUs: ageMicros(now, u.EvacuationsAsOf),
+		AllTargets: u.AllTargets, OutageAgeUs: ageMicros(now, u.OutageEnd),
+		Findings: encodeFindings(u.Findings), FindingEpoch: u.FindingEpoch, FindingNumber: u.FindingNumber,
+		Requests: quarantine.AllToWire(u.Requests, now), RequestEpoch: u.RequestsMark.Epoch, RequestNumber: u.RequestsMark.Number,
 	}
-	writeRevisions(n, out)
-	if n.Evacuated != nil {
-		out.Evacuations = &peerpb.Evacuations{FailureDomains: n.Evacuated.Domains}
-		for domain, at := range n.EvacuationEnds {
-			out.Evacuations.Ended = append(out.Evacuations.Ended, &peerpb.EvacuationEnd{FailureDomain: domain, AgeUs: age(now, at)})
+	encodeReplyRevisions(u, out)
+	if u.Evacuated != nil {
+		out.Evacuations = &peerpb.Evacuations{FailureDomains: u.Evacuated.Domains}
+		for domain, at := range u.EvacuationEnds {
+			out.Evacuations.Ended = append(out.Evacuations.Ended, &peerpb.EvacuationEnd{FailureDomain: domain, AgeUs: ageMicros(now, at)})
 		}
 	}
-	out.PermitNumber, out.Permits = n.PermitNumber, writePermits(n.Permits)
-	out.KeptNumber, out.StoredVersion, out.EraAgeUs = n.Kept.Number, n.StoredVersion, n.EraAge.Microseconds()
-	out.MemoryAgeUs = n.MemoryAge.Microseconds()
-	out.Tombstones, out.KeptEvacuations = writeTombstones(n.Kept.Tombstones), writeKept(n.Kept.Evacuations)
-	for _, c := range n.Changes {
+	out.PermitNumber, out.Permits = u.PermitNumber, encodePermits(u.Permits)
+	out.KeptNumber, out.StoredVersion, out.EraAgeUs = u.Kept.Number, u.StoredVersion, u.EraAge.Microseconds()
+	out.MemoryAgeUs = u.SenderUptime.Microseconds()
+	out.Tombstones, out.KeptEvacuations = encodeTombstones(u.Kept.Tombstones), encodeKeptEvacuations(u.Kept.Evacuations)
+	for _, c := range u.Changes {
 		out.Targets = append(out.Targets, &peerpb.TargetInfo{
 			Id: c.Target.ID, Gone: c.Gone, Service: c.Target.Service, Address: c.Target.Address,
 			FailureDomain: c.Target.Domain, Slots: int64(c.Target.Slots), Draining: c.Target.Draining,
@@ -38,80 +38,78 @@
 	return out
 }
 
-// readReply decodes the reply to a request that was sent at a time. Ages are
-// taken to be as great as they can be: the reply was sent at the earliest when
-// the request had been held, but not after it was received, whatever a peer's clock
-// has counted.
-func readReply(r *peerpb.FollowReply, asked, received time.Time) (News, error) {
-	sent := asked.Add(time.Duration(r.HeldUs) * time.Microsecond)
-	if sent.After(received) {
-		sent = received
+// decodeReply decodes the reply to a request that was sent at requestedAt. All ages are taken as
+// the greatest possible: the reply was sent as soon as the request had been held, but not after
+// receivedAt, whatever the peer's clock has counted.
+func decodeReply(r *peerpb.FollowReply, requestedAt, receivedAt time.Time) (Update, error) {
+	sentAt := requestedAt.Add(time.Duration(r.HeldUs) * time.Microsecond)
+	if sentAt.After(receivedAt) {
+		sentAt = receivedAt
 	}
-	n := News{
-		ConfigAsOf: before(sent, r.ConfigAgeUs), RegistryAsOf: before(sent, r.RegistryAgeUs),
-		AllTargets: r.AllTargets, Outage: before(sent, r.OutageAgeUs),
-		Findings: readFindings(r.Findings), FindingEpoch: r.FindingEpoch, FindingNumber: r.FindingNumber,
-		Requests: quarantine.AllFromWire(r.Requests, sent),
+	u := Update{
+		ConfigAsOf: timeOfAge(sentAt, r.ConfigAgeUs), RegistryAsOf: timeOfAge(sentAt, r.RegistryAgeUs),
+		AllTargets: r.AllTargets, OutageEnd: timeOfAge(sentAt, r.OutageAgeUs),
+		Findings: decodeFindings(r.Findings), FindingEpoch: r.FindingEpoch, FindingNumber: r.FindingNumber,
+		Requests: quarantine.AllFromWire(r.Requests, sentAt),
 	}
-	readRevisions(r, &n)
+	decodeReplyRevisions(r, &u)
 	if len(r.Config) > 0 {
 		config, err := decodeConfig(r.Config)
 		if err != nil {
-			return News{}, err
+			return Update{}, err
 		}
-		n.Config = config // one that is kept is taken like any newer one
+		u.Config = config // a kept configuration is applied like any newer one
 	}
-	if r.EvacuationRevision > 0 { // else the host does not know them
-		n.EvacuationsAsOf = before(sent, r.EvacuationsAgeUs)
+	if r.EvacuationRevision > 0 { // otherwise the sender does not have them
+		u.EvacuationsAsOf = timeOfAge(sentAt, r.EvacuationsAgeUs)
 	}
 	if r.Evacuations != nil {
-		n.Evacuated = &EvacuationRead{Domains: r.Evacuations.FailureDomains, Revision: n.EvacuationRevision}
-		n.EvacuationEnds = readEnds(r.Evacuations.Ended, sent)
+		u.Evacuated = &EvacuationRead{Domains: r.Evacuations.FailureDomains, Revision: u.EvacuationRevision}
+		u.EvacuationEnds = decodeEvacuationEnds(r.Evacuations.Ended, sentAt)
 	}
-	n.Permits, n.StoredVersion, n.EraAge = readPermits(r.Permits), r.StoredVersion, time.Duration(max(r.EraAgeUs, 0))*time.Microsecond
-	n.MemoryAge = time.Duration(max(r.MemoryAgeUs, 0)) * time.Microsecond
-	n.Kept = Kept{Number: r.KeptNumber, Tombstones: readTombstones(r.Tombstones), Evacuations: readKept(r.KeptEvacuations)}
+	u.Permits, u.StoredVersion, u.EraAge = decodePermits(r.Permits), r.StoredVersion, time.Duration(max(r.EraAgeUs, 0))*time.Microsecond
+	u.SenderUptime = time.Duration(max(r.MemoryAgeUs, 0)) * time.Microsecond
+	u.Kept = Kept{Number: r.KeptNumber, Tombstones: decodeTombstones(r.Tombstones), Evacuations: decodeKeptEvacuations(r.KeptEvacuations)}
 	for _, t := range r.Targets {
-		n.Changes = append(n.Changes, TargetChange{Gone: t.Gone, Target: Target{
+		u.Changes = append(u.Changes, TargetChange{Gone: t.Gone, Target: Target{
 			ID: t.Id, Service: t.Service, Address: t.Address, Domain: t.FailureDomain,
 			Slots: int(t.Slots), Draining: t.Draining, Warmup: time.Duration(t.WarmupUs) * time.Microsecond, Born: t.BornMs,
 		}})
 	}
-	return n, nil
+	return u, nil
 }
 
-// readEnds reads when evacuations ended, as told by a reply that was sent at a time. They are taken to have
-// ended as late as they can have.
-func readEnds(all []*peerpb.EvacuationEnd, sent time.Time) map[string]time.Time {
+// decodeEvacuationEnds decodes when evacuations ended, from a reply that was sent at sentAt.
+func decodeEvacuationEnds(ended []*peerpb.EvacuationEnd, sentAt time.Time) map[string]time.Time {
 	ends := map[string]time.Time{}
-	for _, e := range all {
+	for _, e := range ended {
 		if e.AgeUs >= 0 {
-			ends[e.FailureDomain] = before(sent, e.AgeUs)
+			ends[e.FailureDomain] = timeOfAge(sentAt, e.AgeUs)
 		}
 	}
 	return ends
 }
 
-// never is the age of what never was.
-const never = -1
+// neverAge is the age of the zero time.
+const neverAge = -1
 
-// age returns the time since a moment in microseconds.
-func age(now, moment time.Time) int64 {
+// ageMicros returns the age of a moment in microseconds, neverAge for the zero time.
+func ageMicros(now, moment time.Time) int64 {
 	if moment.IsZero() {
-		return never
+		return neverAge
 	}
 	return max(now.Sub(moment).Microseconds(), 0)
 }
 
-// before returns the moment of an age, the zero time if it never was.
-func before(now time.Time, ageUs int64) time.Time {
+// timeOfAge returns the moment of an age in microseconds, the zero time for a negative one.
+func timeOfAge(now time.Time, ageUs int64) time.Time {
 	if ageUs < 0 {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(ageUs) * time.Microsecond)
 }
 
-func writeFindings(all []Finding) []*peerpb.Finding {
+func encodeFindings(all []Finding) []*peerpb.Finding {
 	out := make([]*peerpb.Finding, 0, len(all))
 	for _, f := range all {
 		out = append(out, &peerpb.Finding{
@@ -122,7 +120,7 @@
 	return out
 }
 
-func readFindings(in []*peerpb.Finding) []Finding {
+func decodeFindings(in []*peerpb.Finding) []Finding {
 	var all []Finding
 	for _, f := range in {
 		all = append(all, Finding{
--- a/tools/soak_twins.sh
+++ b/tools/soak_twins.sh
@@ -50,11 +50,11 @@
 twin "one foreign entry fails the whole list, or watch" "a leaving target gets no new work" \
   platform/registry.go 's/list.Unusable = append\(.*$/return discovery.TargetList{}, err/; s/gone := discovery.TargetChange\{.*$/return discovery.TargetChanges{}, err\n\t\t\tvar gone discovery.TargetChange/'
 twin "a host that has just read the registry tells peers no removals from before" "a leaving target gets no new work" \
-  internal/discovery/state.go 's/s.history.begin\(l.Revision\)$/s.history.add(l.Revision, changes)/'
+  internal/discovery/state.go 's/s.history.reset\(l.Revision\)$/s.history.add(l.Revision, changes)/'
 
 twin "hosts order what they believe by revisions alone" "in force within the bound" \
   internal/revision/revision.go 's/return cmp.Or\(cmp.Compare\(r.Era, other.Era\), (.*)\)$/return \1/' --restores
 twin "what an older copy has of targets that left is believed" "a leaving target gets no new work" \
-  internal/discovery/tombstone.go 's/one, ok := s.tombstones.of\(t, at, asOf\)/one, ok := tombstone{}, false/' --restores
+  internal/discovery/tombstone.go 's/entry, ok := s.tombstones.match\(t, at, asOf\)/entry, ok := tombstone{}, false/' --restores
 
 exit $failed
