--- a/model/registry.pml
+++ b/model/registry.pml
@@ -1,5 +1,5 @@
 /*
- * How hosts tell each other of the registry: internal/discovery, state.go and news.go. Targets are registered and removed
+ * How hosts tell each other of the registry: internal/discovery, state.go and update.go. Targets are registered and removed
  * in the store, each change with the next revision. A host reads the whole registry, watches it from the revision that it
  * holds, or asks a peer, which answers with the changes that it keeps since the asking host's revision, or with all it holds. The last
  * page of a reading may be newer than its revision; a watch tells the last change of each target. Answers of peers are made at
--- a/model/restore.pml
+++ b/model/restore.pml
@@ -1,5 +1,5 @@
 /*
- * What hosts believe of a store that comes back from an older copy: internal/revision, discovery/state.go and news.go. The
+ * What hosts believe of a store that comes back from an older copy: internal/revision, discovery/state.go and update.go. The
  * store gives revisions out again after a restore; its era tells the two apart. Hosts read all, watch from what they believe,
  * and tell each other; an answer may be under way for any time. A host sees the era in any answer, also one that it does not
  * take.
--- a/model/spread.pml
+++ b/model/spread.pml
@@ -1,6 +1,6 @@
 /*
  * How beliefs and their ages spread: internal/discovery, follower.go, peers.go
- * and news.go. The store changes the configuration. Host 0 watches the store;
+ * and update.go. The store changes the configuration. Host 0 watches the store;
  * the other hosts ask host 0, and every host asks the store itself once its
  * belief is old. A watch may be deaf to what changes while it waits: it ends as if
  * nothing had changed. What changed before, the next one tells. Answers
