--- a/internal/discovery/bootstrap_test.go
+++ b/internal/discovery/bootstrap_test.go
@@ -11,10 +11,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// lateContacts is the way of a host that starts to one that has just started, too, and to one that it comes to know later.
+// lateContacts is the Peers of a starting host: a host that has just started, too, and from a given
+// time on one that is older.
 type lateContacts struct {
 	noPeers
-	from  time.Time // when the latter is known
+	from  time.Time // when the older host becomes known
 	young *State
 	older *State
 }
@@ -35,22 +36,23 @@
 	return update, nil
 }
 
-// A host that starts beside a restore goes by the store once those that it knows have told what they know. What it hears later, of one that
-// has not run for long either, counts all the same: that one has seen a target leave.
-func TestStartingHostTakesWhatIsToldAfterItFollowsTheStore(t *testing.T) {
+// A host that starts around a restore follows the store once its contacts have answered. A later
+// reply of a host that is not established either must still be applied: that host has seen a target
+// leave which the restored store contains.
+func TestStartingHostAppliesLateReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		older := NewState()
 		older.ApplyTargets(TargetList{Targets: []Target{{ID: targetNames[0], Born: 1, Service: "s"}}, Revision: at(4)}, time.Now())
 		older.ApplyChanges(TargetChanges{Changes: removalOf(targetNames[0]), Revision: at(5)}, time.Now())
 		time.Sleep(establishedAge * 4 / 5)
-		store := newLiveStore() // a copy that has the target
+		store := newLiveStore() // restored from a copy that has the target
 		store.era = 2
 		cut := false
 		state, stop := startFollower(t, hostStore{store, &cut}, lateContacts{from: time.Now().Add(300 * time.Millisecond), young: NewState(), older: older})
 		defer stop()
 		time.Sleep(time.Second)
 		is.Equal(state.Cursor().RegistryRevision, revision.Revision{Era: 2, Number: store.number})
-		is.Equal(ids(state), targetNames[1:])
+		is.Equal(targetIDs(state), targetNames[1:])
 	})
 }
--- a/internal/discovery/cold_test.go
+++ b/internal/discovery/cold_test.go
@@ -12,8 +12,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// coldFor returns how long a host takes a target to stay cold.
-func coldFor(s *State, id string) time.Duration {
+// remainingWarmup returns the remaining warm-up time of a target in a host's state, -1 if there is
+// no such target.
+func remainingWarmup(s *State, id string) time.Duration {
 	for _, t := range s.View().Targets {
 		if t.ID == id {
 			return max(time.Until(t.ColdUntil), 0)
@@ -22,12 +23,14 @@
 	return -1
 }
 
+// registrationOf returns the registration of target a with a warm-up time, as a change at a
+// revision.
 func registrationOf(warmup time.Duration, revision uint64) TargetChanges {
 	return TargetChanges{Changes: []TargetChange{{Target: Target{ID: "a", Warmup: warmup}}}, Revision: at(revision)}
 }
 
-// A target is cold until the time of its registration is over. It says how long at each beat; that is no news, but that it is warm
-// early, or cold again, is.
+// A target is cold until the warm-up time of its registration has passed. Every registration
+// repeats the remaining time; only an early end or a new start of the warm-up is a change.
 func TestTargetIsColdAsItsRegistrationSays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -36,24 +39,24 @@
 			return len(s.ApplyChanges(registrationOf(warmup, revision), time.Now())) > 0
 		}
 		is.True(changed(3*time.Second, 1))
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 		time.Sleep(time.Second)
-		is.True(!changed(2100*time.Millisecond, 2)) // the beat was under way
-		is.Equal(coldFor(s, "a"), 2*time.Second)
+		is.True(!changed(2100*time.Millisecond, 2)) // within the tolerance for transit
+		is.Equal(remainingWarmup(s, "a"), 2*time.Second)
 		time.Sleep(time.Second)
-		is.True(changed(0, 3)) // warm early
-		is.Equal(coldFor(s, "a"), time.Duration(0))
-		is.True(changed(3*time.Second, 4)) // cold again
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.True(changed(0, 3)) // early end
+		is.Equal(remainingWarmup(s, "a"), time.Duration(0))
+		is.True(changed(3*time.Second, 4)) // new start
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 		time.Sleep(4 * time.Second)
 		is.True(!changed(0, 5))
 		is.True(changed(2*time.Second, 6))
-		is.Equal(coldFor(s, "a"), 2*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 2*time.Second)
 	})
 }
 
-// News that come late never make a cold target warm.
-func TestOldNewsMakeNoTargetWarm(t *testing.T) {
+// Late changes and lists never make a cold target warm.
+func TestOldUpdatesMakeNoTargetWarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
@@ -61,11 +64,11 @@
 		s.ApplyChanges(registrationOf(3*time.Second, 5), time.Now())
 		s.ApplyChanges(registrationOf(0, 4), time.Now())
 		s.ApplyTargets(TargetList{Targets: []Target{{ID: "a"}}, Revision: at(3)}, time.Now())
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 	})
 }
 
-// pollOnce lets one host ask another, as over the network.
+// pollOnce applies at one host the reply of another, encoded and decoded as on the network.
 func pollOnce(t *testing.T, from, to *State) {
 	t.Helper()
 	update, _ := from.updateSince(to.Cursor())
@@ -85,8 +88,8 @@
 	to.ApplyUpdate(read)
 }
 
-// A peer is told how much longer a target stays cold, not how long it was to stay so when it registered.
-func TestPeersAreToldHowMuchLongerATargetIsCold(t *testing.T) {
+// A peer gets the remaining warm-up time as of the reply, not the one as of the registration.
+func TestPeersGetTheRemainingWarmup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, listed := range []bool{true, false} {
@@ -95,21 +98,21 @@
 			second.ApplyTargets(TargetList{Revision: at(1)}, time.Now())
 			first.ApplyChanges(registrationOf(3*time.Second, 5), time.Now())
 			if listed {
-				second = NewState() // is told everything
+				second = NewState() // without state it gets the full list
 			}
 			time.Sleep(2 * time.Second)
 			pollOnce(t, first, second)
-			is.Equal(coldFor(second, "a"), time.Second)
+			is.Equal(remainingWarmup(second, "a"), time.Second)
 			time.Sleep(2 * time.Second)
 			third := NewState()
 			pollOnce(t, second, third)
-			is.Equal(coldFor(third, "a"), time.Duration(0))
+			is.Equal(remainingWarmup(third, "a"), time.Duration(0))
 		}
 	})
 }
 
-// Permits reach peers, each once, and never change in an era. In another one they do not count.
-func TestPermitsAreToldAndStay(t *testing.T) {
+// Permits reach each peer once and never change within an era. In another era they are not valid.
+func TestPermitsReachPeersAndNeverChange(t *testing.T) {
 	is := is.New(t)
 	first, second := NewState(), NewState()
 	first.ApplyTargets(TargetList{Revision: at(1)}, time.Now())
@@ -127,12 +130,13 @@
 	is.Equal(third.View().Permits["a"].Of("z"), 5)
 	update, _ := first.updateSince(Cursor{FindingEpoch: first.findings.epoch, PermitNumber: 1})
 	is.Equal(len(update.Permits), 0)
-	update, _ = first.updateSince(Cursor{FindingEpoch: first.findings.epoch + 1, PermitNumber: 1}) // of an earlier process
+	update, _ = first.updateSince(Cursor{FindingEpoch: first.findings.epoch + 1, PermitNumber: 1}) // cursor of an earlier process
 	is.Equal(len(update.Permits), 1)
 }
 
-// A host that starts is told which evacuations have just ended: targets there may have become cold meanwhile.
-func TestPeersAreToldWhichEvacuationsHaveEnded(t *testing.T) {
+// A starting host gets the evacuations that have just ended, as targets there may have become cold
+// meanwhile.
+func TestPeersGetTheEndsOfEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		first, second := NewState(), NewState()
--- a/internal/discovery/eras_history_test.go
+++ b/internal/discovery/eras_history_test.go
@@ -12,33 +12,36 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// erasStore is a store that comes back from older copies, and the truth that is written to it again.
-type erasStore struct {
+// restorableStore is a store that can be restored from copies, and the live state that is written
+// to it again afterwards.
+type restorableStore struct {
 	storeCopy
-	era    uint64
-	copies []storeCopy
-	live   map[string]Target // that live
-	newest uint64            // version of the configuration
-	born   int64
+	era           uint64
+	copies        []storeCopy
+	live          map[string]Target // registrations of the running targets
+	newestVersion uint64            // of the configuration
+	lastBorn      int64
 }
 
-// storeCopy is what the store holds.
+// storeCopy is the content of the store.
 type storeCopy struct {
 	number  uint64
-	events  []revisedChange // of this copy's history
+	events  []revisedChange // change history of this copy
 	targets map[string]Target
 	version uint64
 
 	evacuations evacuationLog
 }
 
-func (s *erasStore) at() revision.Revision { return revision.Revision{Era: s.era, Number: s.number} }
+func (s *restorableStore) at() revision.Revision {
+	return revision.Revision{Era: s.era, Number: s.number}
+}
 
-// write writes a target's registration, or removes it.
-func (s *erasStore) write(t Target, gone bool) {
+// write writes or removes the registration of a target.
+func (s *restorableStore) write(t Target, gone bool) {
 	current, exists := s.targets[t.ID]
 	if gone != exists && current == t {
-		return // nothing changes
+		return // no change
 	}
 	s.number++
 	s.targets = maps.Clone(s.targets)
@@ -50,21 +53,22 @@
 	s.events = append(slices.Clip(s.events), revisedChange{s.at(), TargetChange{Target: t, Gone: gone}})
 }
 
-func (s *erasStore) configure(version uint64) {
+func (s *restorableStore) configure(version uint64) {
 	if s.version != version {
 		s.number++
 		s.version = version
 	}
 }
 
-// restore takes the store back to a copy; the operator writes again at once.
-func (s *erasStore) restore(i int) {
+// restore restores the store from a copy and writes the newest configuration again at once, as the
+// operator would.
+func (s *restorableStore) restore(i int) {
 	s.loadCopy(i)
-	s.configure(s.newest)
+	s.configure(s.newestVersion)
 }
 
-// loadCopy takes the store back to a copy.
-func (s *erasStore) loadCopy(i int) {
+// loadCopy replaces the content of the store by a copy and begins a new era.
+func (s *restorableStore) loadCopy(i int) {
 	s.storeCopy, s.copies = s.copies[i], s.copies[:i+1]
 	s.era++
 	for j := range s.events {
@@ -73,8 +77,8 @@
 	}
 }
 
-// beat lets every target that lives write its registration again, and those lapse that nobody writes.
-func (s *erasStore) beat() {
+// beat removes the registrations that nothing writes and writes those of all running targets again.
+func (s *restorableStore) beat() {
 	for _, id := range slices.Sorted(maps.Keys(s.targets)) {
 		if _, lives := s.live[id]; !lives {
 			s.write(Target{ID: id}, true)
@@ -85,11 +89,11 @@
 	}
 }
 
-func (s *erasStore) list() TargetList {
+func (s *restorableStore) list() TargetList {
 	return TargetList{Targets: slices.Collect(maps.Values(s.targets)), Revision: s.at()}
 }
 
-func (s *erasStore) watch(after revision.Revision) (TargetChanges, bool) {
+func (s *restorableStore) watch(after revision.Revision) (TargetChanges, bool) {
 	changes := TargetChanges{Revision: s.at()}
 	if after.Era != s.era || s.number < after.Number {
 		return changes, false
@@ -102,41 +106,42 @@
 	return changes, true
 }
 
-// erasHost is one host, and what it was told of incarnations that left.
-type erasHost struct {
+// historyHost is a host and the incarnations that it has seen leaving.
+type historyHost struct {
 	*State
 	left map[Target]bool // by id and incarnation
 }
 
 func incarnation(t Target) Target { return Target{ID: t.ID, Born: t.Born} }
 
-// Whatever order readings, watches, news of peers, late ones too, and restores come in: a version never goes back, no target is
-// used again that a host knew to leave, and once all is written again every host believes what the store holds.
-func TestBeliefsOverRestores(t *testing.T) {
+// Reads, watches, updates of peers (late ones, too) and restores come in any order. A configuration
+// version never goes back, a target that a host has seen leaving is not used there again, and once
+// everything is written again every host has what the store holds.
+func TestStateOverRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, pass := clock.Virtual()
-		store := &erasStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}}
-		start := func() *erasHost {
+		store := &restorableStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}}
+		start := func() *historyHost {
 			s := NewState()
 			s.GoBy(c)
-			return &erasHost{s, map[Target]bool{}}
+			return &historyHost{s, map[Target]bool{}}
 		}
-		hosts := []*erasHost{start(), start(), start()}
+		hosts := []*historyHost{start(), start(), start()}
 		inFlight := make([]Update, len(hosts))
 		versions := make([]uint64, len(hosts))
 		asOf := func() time.Time { return c.Now() }
-		read := func(h *erasHost) {
+		read := func(h *historyHost) {
 			h.ApplyTargets(store.list(), asOf())
-			h.ApplyConfig(ConfigRead{Config: version(store.version), Found: store.version > 0, Listed: true, Revision: store.at()}, asOf())
+			h.ApplyConfig(ConfigRead{Config: configVersion(store.version), Found: store.version > 0, Listed: true, Revision: store.at()}, asOf())
 		}
-		watch := func(h *erasHost) {
+		watch := func(h *historyHost) {
 			changes, ok := store.watch(h.Cursor().RegistryRevision)
 			if !ok || h.Cursor().RegistryRevision.IsZero() {
 				read(h)
 				return
 			}
 			h.ApplyChanges(changes, asOf())
-			h.ApplyConfig(ConfigRead{Config: version(store.version), Found: store.version > 0, Revision: store.at()}, asOf())
+			h.ApplyConfig(ConfigRead{Config: configVersion(store.version), Found: store.version > 0, Revision: store.at()}, asOf())
 		}
 		draw := func(t *rapid.T, label string) int { return rapid.IntRange(0, len(hosts)-1).Draw(t, label) }
 		id := func(t *rapid.T) string { return rapid.SampledFrom(targetNames).Draw(t, "target") }
@@ -151,8 +156,8 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"register": func(t *rapid.T) {
-				store.born++
-				target := Target{ID: id(t), Born: store.born, Service: "s"}
+				store.lastBorn++
+				target := Target{ID: id(t), Born: store.lastBorn, Service: "s"}
 				store.live[target.ID] = target
 				store.write(target, false)
 			},
@@ -168,7 +173,7 @@
 				delete(store.live, name)
 				store.write(Target{ID: name}, true)
 			},
-			"configure": func(*rapid.T) { store.newest++; store.configure(store.newest) },
+			"configure": func(*rapid.T) { store.newestVersion++; store.configure(store.newestVersion) },
 			"copy":      func(*rapid.T) { store.copies = append(store.copies, store.storeCopy) },
 			"restore": func(t *rapid.T) {
 				if len(store.copies) > 0 {
@@ -194,11 +199,11 @@
 						}
 						versions[i] = v.Table.Config.Version
 					}
-					believed := map[string]Target{}
+					cached := map[string]Target{}
 					for _, target := range v.Targets {
-						believed[target.ID] = target
+						cached[target.ID] = target
 						if h.left[incarnation(target)] && !target.Draining {
-							t.Fatalf("host %d uses %+v again, which it knew to leave", i, target)
+							t.Fatalf("host %d uses %+v again after seeing it leave", i, target)
 						}
 						if target.Draining {
 							h.left[incarnation(target)] = true
@@ -218,16 +223,16 @@
 			}
 		}
 		for i, h := range hosts {
-			if got, want := ids(h.State), slices.Sorted(maps.Keys(store.live)); !slices.Equal(got, want) {
-				t.Fatalf("host %d knows %v, the store %v", i, got, want)
+			if got, want := targetIDs(h.State), slices.Sorted(maps.Keys(store.live)); !slices.Equal(got, want) {
+				t.Fatalf("host %d has targets %v, the store %v", i, got, want)
 			}
 			for _, target := range h.View().Targets {
 				if target != store.live[target.ID] {
-					t.Fatalf("host %d believes %+v, the store holds %+v", i, target, store.live[target.ID])
+					t.Fatalf("host %d has %+v, the store holds %+v", i, target, store.live[target.ID])
 				}
 			}
-			if table, _ := h.Table(); store.newest > 0 && (table == nil || table.Config.Version != store.newest) {
-				t.Fatalf("host %d is not at version %d", i, store.newest)
+			if table, _ := h.Table(); store.newestVersion > 0 && (table == nil || table.Config.Version != store.newestVersion) {
+				t.Fatalf("host %d is not at version %d", i, store.newestVersion)
 			}
 		}
 	})
--- a/internal/discovery/eras_test.go
+++ b/internal/discovery/eras_test.go
@@ -9,8 +9,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Every belief keeps its own era on the way between hosts, era 0 too.
-func TestErasAreToldBetweenHosts(t *testing.T) {
+// Every revision keeps its own era in requests and replies, era 0 included.
+func TestErasAreKeptBetweenHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(kind string) revision.Revision {
 			if rapid.Bool().Draw(t, kind+" is unknown") {
@@ -22,7 +22,7 @@
 		var req peerpb.FollowRequest
 		encodeRequestRevisions(known, &req)
 		if got := decodeRequestRevisions(&req); got != known {
-			t.Fatalf("told %+v, read %+v", known, got)
+			t.Fatalf("encoded %+v, decoded %+v", known, got)
 		}
 		update := Update{ConfigRevision: known.ConfigRevision, RegistryRevision: known.RegistryRevision, EvacuationRevision: known.EvacuationRevision}
 		var reply peerpb.FollowReply
@@ -30,7 +30,7 @@
 		var read Update
 		decodeReplyRevisions(&reply, &read)
 		if read.ConfigRevision != update.ConfigRevision || read.RegistryRevision != update.RegistryRevision || read.EvacuationRevision != update.EvacuationRevision {
-			t.Fatalf("told %+v, read %+v", update, read)
+			t.Fatalf("encoded %+v, decoded %+v", update, read)
 		}
 	})
 }
--- a/internal/discovery/evacuation_test.go
+++ b/internal/discovery/evacuation_test.go
@@ -14,7 +14,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// evacuationLog is the evacuations of a store with all that ever happened to them.
+// evacuationLog is the evacuations of a store with their whole history.
 type evacuationLog struct {
 	revision uint64
 	events   []revisedEvacuation
@@ -31,7 +31,7 @@
 	l.events = append(l.events, revisedEvacuation{revision, EvacuationChange{Domain: domain, Ended: ended}})
 }
 
-// at returns the domains that are evacuated as of a revision.
+// at returns the domains that were evacuated at a revision.
 func (l *evacuationLog) at(revision uint64) []string {
 	on := map[string]bool{}
 	for _, e := range l.events {
@@ -49,7 +49,7 @@
 	return domains
 }
 
-// since returns what changed after a revision, up to another.
+// since returns the changes after a revision, up to another.
 func (l *evacuationLog) since(after, to uint64) EvacuationChanges {
 	changes := EvacuationChanges{Revision: at(to)}
 	for _, e := range l.events {
@@ -82,15 +82,15 @@
 	return f.evacuations.since(since.Number, reached), err
 }
 
-// evacuationConfig is the settings of a host that follows evacuations.
+// evacuationConfig returns settings with evacuations enabled.
 func evacuationConfig() Config {
 	cfg := DefaultConfig()
 	cfg.EvacuateWithin = unit.Duration(3 * time.Second)
 	return cfg
 }
 
-// A host knows of an evacuation, and of its end, well within the bound, also if the store was away for a while or has
-// dropped its history.
+// A host applies the beginning and the end of an evacuation well within the bound, also after an
+// outage of the store and after the store has compacted its history.
 func TestEvacuationsAreFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -118,28 +118,28 @@
 	})
 }
 
-// A host that does not know yet which domains are evacuated says so, and does not count as knowing enough.
-func TestEvacuationsThatAreNotKnownAreTold(t *testing.T) {
+// Until the evacuations have been read, the views say so and the state does not count as complete.
+func TestUnknownEvacuationsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
 		s.evacuations.enabled = true
 		now := time.Now()
-		s.ApplyConfig(ConfigRead{Config: version(1), Found: true, Revision: at(1)}, now)
+		s.ApplyConfig(ConfigRead{Config: configVersion(1), Found: true, Revision: at(1)}, now)
 		s.ApplyTargets(TargetList{Revision: at(1)}, now)
 		is.True(s.View().EvacuationsUnknown)
 		is.True(s.Freshness().IsZero())
-		var told []View
-		s.Follow(func(v View) { told = append(told, v) })
+		var views []View
+		s.Follow(func(v View) { views = append(views, v) })
 		s.ApplyEvacuations(EvacuationRead{Revision: at(1)}, now)
-		is.Equal(len(told), 1) // though none is evacuated
-		is.True(!told[0].EvacuationsUnknown)
+		is.Equal(len(views), 1) // although no domain is evacuated
+		is.True(!views[0].EvacuationsUnknown)
 		is.True(!s.Freshness().IsZero())
 	})
 }
 
-// Where nobody evacuates by the store nothing is asked for it.
-func TestEvacuationsAreNotAskedForWithoutABound(t *testing.T) {
+// With evacuations disabled no store call is made for them.
+func TestEvacuationsAreNotReadWithoutABound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -149,13 +149,13 @@
 		time.Sleep(time.Second)
 		is.True(!state.View().EvacuationsUnknown)
 		is.True(!state.Freshness().IsZero())
-		is.Equal(store.callCount(), 4) // a reading and a watch of the two others
+		is.Equal(store.callCount(), 4) // a read and a watch of the configuration and of the registry
 	})
 }
 
-// Whatever order readings, watches and news of peers come in, late ones included, and whichever hosts start anew: a host at a
-// revision believes that those domains are evacuated that were at that revision.
-func TestEvacuationsAreThoseOfTheRevisionHeld(t *testing.T) {
+// Reads, watches and updates of peers, late ones included, come in any order, and hosts restart. A
+// host at a revision has exactly those domains evacuated that were evacuated at that revision.
+func TestEvacuationsMatchTheCachedRevision(t *testing.T) {
 	domains := []string{"a", "b"}
 	rapid.Check(t, func(t *rapid.T) {
 		log := &evacuationLog{}
@@ -213,12 +213,12 @@
 			},
 			"": func(t *rapid.T) {
 				for i, host := range hosts {
-					held := host.Cursor().EvacuationRevision.Number
-					if held == 0 {
+					cached := host.Cursor().EvacuationRevision.Number
+					if cached == 0 {
 						continue
 					}
-					if believed := host.Evacuations(); !slices.Equal(believed, log.at(held)) {
-						t.Fatalf("host %d at revision %d of %d believes %v, was %v", i, held, revision, believed, log.at(held))
+					if got := host.Evacuations(); !slices.Equal(got, log.at(cached)) {
+						t.Fatalf("host %d at revision %d of %d has %v evacuated, the store had %v", i, cached, revision, got, log.at(cached))
 					}
 				}
 			},
--- a/internal/discovery/fleet_restore_test.go
+++ b/internal/discovery/fleet_restore_test.go
@@ -20,24 +20,25 @@
 
 // Bounds of the histories below.
 const (
-	// changeBound is the time within which a change must be known, and stableFor for how long store and host must have been
-	// without trouble for that to hold.
+	// changeBound is the time within which a change must be applied. It is checked once store and
+	// host have been without faults for stableTime.
 	changeBound = 3 * time.Second
 	stableTime  = 4 * time.Second
-	// startGrace is the time after which a host knows what the one knows that has run for long.
+	// startGrace is the time after which a starting host has the state of an established one.
 	startGrace = bootstrapWait + 50*time.Millisecond
-	// maxFaultTime is how long the store is away, or a host is away or cut off, at most.
+	// maxFaultTime is the longest outage of the store, downtime of a host or cut of its connection
+	// to the store.
 	maxFaultTime      = 1500 * time.Millisecond
 	viewCheckInterval = 50 * time.Millisecond
 )
 
 // historyStep is one step of a history.
 type historyStep struct {
-	pause  time.Duration // before it
+	pause  time.Duration // before the step
 	action string
-	which  int           // host, target or failure domain
-	older  int           // how many copies before the newest one the store comes back from
-	lasts  time.Duration // of what ends by itself
+	which  int           // index of a host, target or failure domain
+	older  int           // restore from this many copies before the newest one
+	lasts  time.Duration // of faults that end by themselves
 }
 
 var historyActions = []string{
@@ -54,15 +55,15 @@
 	}
 }
 
-// watchedHost is a host, and what it has believed.
+// watchedHost is a host, and what its views have contained.
 type watchedHost struct {
 	*simHost
 	cut            bool      // from the store; guarded by the store's lock
 	stableSince    time.Time // since when it runs and reaches the store
 	version        uint64
 	left           map[Target]bool
-	previous       []Target             // at the last look
-	evacuatedSince map[string]time.Time // that it has believed, and since when the operator wants it
+	previous       []Target             // at the last check
+	evacuatedSince map[string]time.Time // evacuations seen here, with the time the operator began them
 }
 
 // restoreHistory is a fleet over a liveStore, in virtual time.
@@ -73,7 +74,7 @@
 	mu      sync.Mutex // guards hosts
 	hosts   []*watchedHost
 	work    sync.WaitGroup
-	problem string // the first promise that was broken
+	problem string // the first violated promise
 }
 
 func (h *restoreHistory) startHost(i int) *watchedHost {
@@ -82,7 +83,7 @@
 	return host
 }
 
-// do makes one step. What lasts goes on beside the next steps.
+// do runs one step. Faults with a duration continue during the next steps.
 func (h *restoreHistory) do(step historyStep) {
 	name, domain := targetNames[step.which%len(targetNames)], fmt.Sprintf("domain-%d", step.which%3)
 	s := h.store
@@ -129,14 +130,15 @@
 	}
 }
 
-// restart kills a host, which starts again after a while. The first one is never killed: what nobody remembers is lost.
+// restart kills a host and starts it again later. The first host is never killed, as state that no
+// host has is lost.
 func (h *restoreHistory) restart(i int, after time.Duration) {
 	h.mu.Lock()
 	host := h.hosts[i]
 	h.hosts[i] = nil
 	h.mu.Unlock()
 	if host == nil {
-		return // it is away already
+		return // already down
 	}
 	host.kill(h.t)
 	h.work.Go(func() {
@@ -162,7 +164,7 @@
 	})
 }
 
-// check holds what every host believes against the promises.
+// check compares the view of every host with the promises.
 func (h *restoreHistory) check() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -189,7 +191,7 @@
 		case v.Evacuated[domain]:
 			host.evacuatedSince[domain] = at
 		case host.evacuatedSince[domain] == at:
-			h.fail("host %d sends to %s again, which is still evacuated", i, domain)
+			h.fail("host %d sends to %s again, although it is still evacuated", i, domain)
 		case isStable && now.Sub(at) > changeBound:
 			h.fail("host %d: %s has been evacuated for %v", i, domain, now.Sub(at))
 		}
@@ -213,7 +215,7 @@
 
 func (h *restoreHistory) checkTargets(i int, v View, now time.Time, isStable bool) {
 	host, s := h.hosts[i], h.store
-	hasPeerState := !host.cut && now.Sub(host.stableSince) > startGrace // hosts tell each other, whatever the store does
+	hasPeerState := !host.cut && now.Sub(host.stableSince) > startGrace // hosts get state from each other even if the store is down
 	for _, t := range v.Targets {
 		one := incarnation(t)
 		left, hasLeft := s.leavingSince[one]
@@ -221,10 +223,10 @@
 			h.fail("host %d uses %v, which left %v ago", i, one, now.Sub(left))
 		}
 		if host.left[one] && !t.Draining {
-			h.fail("host %d uses %v again, which it knew to leave", i, one)
+			h.fail("host %d uses %v again after seeing it leave", i, one)
 		}
 		if hasPeerState && hasLeft && now.Sub(left) > changeBound && !t.Draining && h.hosts[0].left[one] && !host.state.isMissing(t.ID) {
-			h.fail("host %d uses %v, which left %v ago and host 0 knew to leave", i, one, now.Sub(left))
+			h.fail("host %d uses %v, which left %v ago and which host 0 has seen leaving", i, one, now.Sub(left))
 		}
 		if t.Draining {
 			host.left[one] = true
@@ -232,7 +234,7 @@
 	}
 	for _, one := range host.previous {
 		if !slices.ContainsFunc(v.Targets, func(t Target) bool { return incarnation(t) == one }) {
-			host.left[one] = true // it is gone
+			host.left[one] = true // removed
 		}
 	}
 	host.previous = host.previous[:0]
@@ -241,7 +243,7 @@
 	}
 }
 
-// isMissing reports whether a target is kept though the registry lacks it, since it may have lapsed in an outage.
+// isMissing reports whether a target is kept although its registration is missing.
 func (s *State) isMissing(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,30 +253,30 @@
 
 func (h *restoreHistory) fail(format string, args ...any) {
 	if h.problem == "" {
-		h.problem = fmt.Sprintf("%v of the history: ", time.Since(h.store.startedAt)) + fmt.Sprintf(format, args...)
+		h.problem = fmt.Sprintf("at %v of the history: ", time.Since(h.store.startedAt)) + fmt.Sprintf(format, args...)
 	}
 }
 
-// checkSettled compares what every host believes with the store.
+// checkSettled compares the state of every host with the store at the end.
 func (h *restoreHistory) checkSettled() {
 	s := h.store
 	for i, host := range h.hosts {
 		v := host.state.View()
-		if got, want := ids(host.state), slices.Sorted(maps.Keys(s.live)); !slices.Equal(got, want) {
-			h.fail("host %d knows %v in the end, the store %v", i, got, want)
+		if got, want := targetIDs(host.state), slices.Sorted(maps.Keys(s.live)); !slices.Equal(got, want) {
+			h.fail("host %d has targets %v in the end, the store %v", i, got, want)
 		}
 		for _, t := range v.Targets {
 			if incarnation(t) != incarnation(s.live[t.ID]) || t.Draining != s.live[t.ID].Draining {
-				h.fail("host %d believes %+v in the end, the store holds %+v", i, t, s.live[t.ID])
+				h.fail("host %d has %+v in the end, the store holds %+v", i, t, s.live[t.ID])
 			}
 		}
 		if got, want := host.state.Evacuations(), slices.Sorted(maps.Keys(s.wantEvacuated)); !slices.Equal(got, want) {
-			h.fail("host %d holds %v for evacuated in the end, the store %v", i, got, want)
+			h.fail("host %d has %v evacuated in the end, the store %v", i, got, want)
 		}
 	}
 }
 
-// runHistory plays a history on a fleet of n hosts, and returns the first promise that was broken.
+// runHistory runs a history on a fleet of n hosts, and returns the first violated promise.
 func runHistory(t *testing.T, n int, steps []historyStep) string {
 	problem := ""
 	synctest.Test(t, func(t *testing.T) {
@@ -312,9 +314,11 @@
 	return problem
 }
 
-// Whole hosts over a store that comes back from older copies of itself at any moment, with outages, lost history, hosts that are killed and
-// cut off: a change is in force in time wherever store and host are without trouble, no version goes back, and no host uses a target again
-// that it knew to leave, or one of a failure domain that it knew to be evacuated.
+// Whole hosts over a store that is restored from copies at any moment, with outages, compacted
+// history, hosts that are killed and hosts that are cut off from the store. A change is applied in
+// time where store and host are without faults, no configuration version goes back, and no host
+// uses a target again that it has seen leaving, or one of a failure domain that it has seen
+// evacuated.
 func TestFleetOverRestores(t *testing.T) {
 	setFlag(t, "rapid.checks", *fleetHistories)
 	setFlag(t, "rapid.seed", *fleetSeed)
@@ -326,11 +330,11 @@
 	})
 }
 
-// setFlag sets a flag for the time of a test.
+// setFlag sets a flag for the duration of a test.
 func setFlag(t *testing.T, name string, value int) {
 	f := flag.Lookup(name)
 	before := f.Value.String()
-	t.Cleanup(func() { _ = f.Value.Set(before) }) // a value that it had
+	t.Cleanup(func() { _ = f.Value.Set(before) }) // a valid value, as the flag had it before
 	if err := f.Value.Set(strconv.Itoa(value)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -22,25 +22,25 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// The fleet of the tests below: the real membership and discovery of many hosts in
+// Constants of the fleet in the tests below: the real membership and discovery of many hosts in
 // virtual time, over a network that counts bytes and a store that counts calls.
 const (
 	fleetDomains      = 5
 	fleetTargets      = 280
-	targetsPerPage    = 50                     // registrations that one call to the store returns
-	storeCallTime     = 4 * time.Millisecond   // time of one call
+	targetsPerPage    = 50                     // registrations returned by one call to the store
+	storeCallTime     = 4 * time.Millisecond   // duration of one call
 	networkDelay      = 900 * time.Microsecond // one way
-	callOverheadBytes = 150                    // bytes of headers and acknowledgements of a call
+	callOverheadBytes = 150                    // headers and acknowledgements of a call
 )
 
 var errNoHost = errors.New("no host listens")
 
-// simNet carries the calls between the hosts of a fleet.
+// simNet is the simulated network between the hosts of a fleet.
 type simNet struct {
 	mu               sync.Mutex
 	hosts            map[string]*simHost // by address
-	crossDomainBytes map[string]int      // bytes between failure domains, by call
-	cfg              *Config             // of the hosts; nil: that of the large site
+	crossDomainBytes map[string]int      // bytes sent between failure domains, by call
+	cfg              *Config             // of the hosts; nil: largeSite
 }
 
 // simHost is one host.
@@ -60,7 +60,7 @@
 	return n.hosts[address]
 }
 
-// bytes returns the bytes between failure domains of calls whose name has the prefix.
+// bytes returns the bytes sent between failure domains by calls whose name has the prefix.
 func (n *simNet) bytes(prefix string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,7 +73,7 @@
 	return sum
 }
 
-// carry takes the time of one message and counts it.
+// carry delays one message and counts its bytes.
 func (n *simNet) carry(call string, from, to *simHost, m proto.Message) {
 	time.Sleep(networkDelay)
 	if from.self.FailureDomain == to.self.FailureDomain {
@@ -84,11 +84,11 @@
 	n.crossDomainBytes[call] += proto.Size(m) + callOverheadBytes
 }
 
-// call makes one call of a host to an address.
+// call makes a call from a host to an address.
 func call[In, Out proto.Message](ctx context.Context, name string, from *simHost, address string, in In, serve func(context.Context, *simHost, In) (Out, error)) (Out, error) {
 	var none Out
 	to := from.net.host(address)
-	if to == nil || from.net.host(from.self.Peer) != from { // a host that was killed tells nobody
+	if to == nil || from.net.host(from.self.Peer) != from { // a killed host can no longer send
 		time.Sleep(networkDelay)
 		return none, errNoHost
 	}
@@ -111,7 +111,7 @@
 // Conn implements peer.Dialer.
 func (h *simHost) Conn(_ context.Context, address string) drpc.Conn { return simConn{h, address} }
 
-// simConn is the drpc.Conn to one host; only calls with one answer are carried.
+// simConn is the drpc.Conn to one host. It supports unary calls only.
 type simConn struct {
 	from    *simHost
 	address string
@@ -136,7 +136,7 @@
 			return to.spread.Tell(ctx, in)
 		})
 	default:
-		return fmt.Errorf("call %s is not carried", rpc)
+		return fmt.Errorf("call %s is not supported by simConn", rpc)
 	}
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// pagedStore is a fakeStore with many targets, whose whole list takes several calls.
+// pagedStore is a fakeStore with many targets, whose full list takes several calls.
 type pagedStore struct{ *fakeStore }
 
 func (s pagedStore) Targets(ctx context.Context) (TargetList, error) {
@@ -172,16 +172,16 @@
 	return s.fakeStore.Config(ctx)
 }
 
-// manyRoutes is a configuration of a usual size.
+// manyRoutes returns a configuration of typical size.
 func manyRoutes(v uint64) routing.Config {
-	c := version(v)
+	c := configVersion(v)
 	for i := range 200 {
 		c.Routes = append(c.Routes, routing.Route{Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/a/"})
 	}
 	return c
 }
 
-// startSimFleet starts n hosts over 0.3 s. settle is what hosts wait at a first start.
+// startSimFleet starts n hosts over 0.3 s, with settle as their Settle setting.
 func startSimFleet(t *testing.T, net *simNet, store Source, n int, settle time.Duration) []*simHost {
 	t.Helper()
 	all := make([]*simHost, n)
@@ -196,7 +196,7 @@
 	return all
 }
 
-// largeSite returns the settings of hosts of the large site.
+// largeSite returns the settings for hosts of a large site.
 func largeSite() Config {
 	cfg := DefaultConfig()
 	cfg.ApplyWithin, cfg.LeaveWithin = unit.Duration(6*time.Second), unit.Duration(6*time.Second)
@@ -266,31 +266,31 @@
 	})
 }
 
-// At a first start few hosts of each failure domain read the store, and the rest are
-// told inside the domain.
+// At a first start few hosts of each failure domain read the store, and the others get the state
+// within the domain.
 func TestFirstStartOfAFleetTakesFewCalls(t *testing.T) {
 	for _, n := range []int{30, 100, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			withFleet(t, n, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 				is := is.New(t)
 				time.Sleep(5 * time.Second)
-				calls, crossed := store.callCount(), net.bytes("follow")
-				t.Logf("%d hosts: %d calls to the store, %d KB of news between failure domains", n, calls, crossed/1000)
+				calls, crossedBytes := store.callCount(), net.bytes("follow")
+				t.Logf("%d hosts: %d calls to the store, %d KB of updates between failure domains", n, calls, crossedBytes/1000)
 				is.Equal(countReady(all), n)
 				is.True(calls <= 150)
-				is.True(crossed <= 2_000_000)
+				is.True(crossedBytes <= 2_000_000)
 			})
 		})
 	}
 }
 
-// All hosts lose power and are back together; callers wait.
+// All hosts lose power and start together while callers wait.
 func TestFleetIsBackSoonAfterALossOfAllHosts(t *testing.T) {
 	for _, n := range []int{30, 100, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			withFleet(t, n, 0, func(net *simNet, store *fakeStore, all []*simHost) {
 				is := is.New(t)
-				time.Sleep(300 * time.Millisecond) // 0.3 to 0.6 s after each has started
+				time.Sleep(300 * time.Millisecond) // 0.3 to 0.6 s after the start of each host
 				is.True(countReady(all) >= n*9/10)
 				time.Sleep(700 * time.Millisecond)
 				calls := store.callCount()
@@ -302,15 +302,15 @@
 	}
 }
 
-// In a steady fleet the calls to the store follow the failure domains, not the hosts, and
-// a change of the configuration crosses none.
+// In a steady fleet the calls to the store grow with the failure domains, not with the hosts, and a
+// new configuration does not cross failure domains.
 func TestSteadyFleetSparesStoreAndLinks(t *testing.T) {
 	for _, n := range []int{30, 100, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			withFleet(t, n, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 				is := is.New(t)
 				time.Sleep(30 * time.Second)
-				calls, crossed := store.callCount(), net.bytes("follow")
+				calls, crossedBytes := store.callCount(), net.bytes("follow")
 				store.set(func() {
 					store.revision++
 					store.configRevision = store.revision
@@ -322,17 +322,16 @@
 					is.Equal(table.Config.Version, uint64(2))
 				}
 				time.Sleep(19 * time.Second)
-				t.Logf("%d hosts in 20 s: %d calls to the store, %d KB of news between failure domains", n,
-					store.callCount()-calls, (net.bytes("follow")-crossed)/1000)
+				t.Logf("%d hosts in 20 s: %d calls to the store, %d KB of updates between failure domains", n,
+					store.callCount()-calls, (net.bytes("follow")-crossedBytes)/1000)
 				is.True(store.callCount()-calls <= 150)
-				is.True(net.bytes("follow")-crossed <= 500_000)
+				is.True(net.bytes("follow")-crossedBytes <= 500_000)
 			})
 		})
 	}
 }
 
-// The death of the host that watches for a domain leaves no host of it without news for
-// longer than a change may take.
+// When the watching host of a domain dies, every other host still applies a change in time.
 func TestDomainWithoutItsWatcherStaysCurrent(t *testing.T) {
 	withFleet(t, 100, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 		is := is.New(t)
@@ -360,7 +359,7 @@
 	})
 }
 
-// While the store is away few hosts of each failure domain ask it.
+// During an outage few hosts of each failure domain call the store.
 func TestOutageOfTheStoreTakesFewCalls(t *testing.T) {
 	withFleet(t, 295, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 		is := is.New(t)
@@ -378,16 +377,16 @@
 	})
 }
 
-// The hosts that watch for a failure domain are cut off from the store: the others of the
-// domain are told by other domains, and a change is in force in time.
+// When the watching hosts of a failure domain are cut off from the store, the others of the domain
+// get updates from other domains, and a change is in force in time.
 func TestDomainWhoseWatchersAreCutOffStaysCurrent(t *testing.T) {
 	withFleet(t, 100, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 		is := is.New(t)
 		time.Sleep(10 * time.Second)
-		away := newFakeStore()
-		away.unavailable = true
+		downStore := newFakeStore()
+		downStore.unavailable = true
 		for _, w := range all[0].spread.ownGroup().watchers() {
-			net.host(w.Peer).follower.source = pagedStore{away}
+			net.host(w.Peer).follower.source = pagedStore{downStore}
 		}
 		time.Sleep(10 * time.Second)
 		calls := store.callCount()
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -16,21 +16,21 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-var errUnavailable = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-// fakeStore is a Source with the faults of a store.
+// fakeStore is a Source that simulates faults of a store.
 type fakeStore struct {
 	mu             sync.Mutex
 	config         routing.Config
 	revision       uint64
-	restores       uint64 // of an older copy; the era counts from 1
-	configRevision uint64 // revision of the configuration
+	restores       uint64 // from an older copy; the era counts from 1
+	configRevision uint64 // at which the configuration was written
 	changed        chan struct{}
 	unavailable    bool
-	missesChanges  bool
-	compactedTo    uint64 // history up to this revision is gone
+	missesChanges  bool   // watches do not return on changes
+	compactedTo    uint64 // history up to this revision is not available
 	calls          int
-	listCalls      int // of these, for the registry or a page of it
+	listCalls      int // of these, full reads of the registry or of one page of it
 
 	evacuations evacuationLog
 }
@@ -42,7 +42,7 @@
 	defer f.mu.Unlock()
 	f.revision++
 	f.configRevision = f.revision
-	f.config = version(v)
+	f.config = configVersion(v)
 	f.wakeLocked()
 }
 
@@ -60,12 +60,12 @@
 	f.wakeLocked()
 }
 
-// at returns a revision in the present era. The lock is held.
+// at returns a revision of the current era. The caller holds the lock.
 func (f *fakeStore) at(number uint64) revision.Revision {
 	return revision.Revision{Era: 1 + f.restores, Number: number}
 }
 
-// restore takes the store back by some revisions.
+// restore takes the store back by a number of revisions, into a new era.
 func (f *fakeStore) restore(by uint64) {
 	f.set(func() {
 		f.restores++
@@ -74,7 +74,7 @@
 	})
 }
 
-// callCount returns the calls so far.
+// callCount returns the number of calls so far.
 func (f *fakeStore) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +96,7 @@
 	return ConfigRead{Config: f.config, Found: f.configRevision > 0, Listed: true, Revision: f.at(f.revision)}, err
 }
 
-// wait returns when something changes, or after the wait.
+// wait returns on a change after a revision, or after the wait.
 func (f *fakeStore) wait(ctx context.Context, since revision.Revision, wait time.Duration) (uint64, error) {
 	after := since.Number
 	timer := time.NewTimer(wait)
@@ -154,7 +154,7 @@
 	return TargetChanges{Revision: f.at(reached)}, err
 }
 
-// fakePeers is a host's way to one that watches.
+// fakePeers connects a host to one watching host.
 type fakePeers struct {
 	watches bool
 	watcher *State
@@ -164,17 +164,17 @@
 
 func (f *fakePeers) Watches() bool { return f.watches }
 
-// Hosts is that of a large fleet, in which calls are spaced.
+// Hosts returns the size of a large fleet, in which failed calls are spaced.
 func (f *fakePeers) Hosts() int { return 71 }
 
-// Rank is that of one that several others come before.
+// Rank puts several hosts before this one.
 func (f *fakePeers) Rank() int { return 4 }
 
 func (f *fakePeers) Isolated() bool                                        { return false }
 func (f *fakePeers) SendRequests(context.Context, []quarantine.Record) int { return 0 }
 func (f *fakePeers) SendFindings(_ context.Context, all []Finding)         { f.watcher.publishFindings(all) }
 
-// BootstrapContacts returns none: the one peer is asked for news.
+// BootstrapContacts returns none: the one peer is polled for updates.
 func (f *fakePeers) BootstrapContacts() []string { return nil }
 func (f *fakePeers) FetchState(context.Context, string, Cursor) (Update, error) {
 	return Update{}, errUnavailable
@@ -235,22 +235,22 @@
 		do   func(store *fakeStore, peers *fakePeers)
 	}{
 		{"calm", func(store *fakeStore, _ *fakePeers) { store.write(2) }},
-		{"the watches are deaf for a second", func(store *fakeStore, _ *fakePeers) {
+		{"the watches miss changes for a second", func(store *fakeStore, _ *fakePeers) {
 			store.set(func() { store.missesChanges = true })
 			store.write(2)
 			time.AfterFunc(time.Second, func() { store.set(func() { store.missesChanges, store.compactedTo = false, store.revision }) })
 		}},
-		{"the history is dropped", func(store *fakeStore, _ *fakePeers) {
+		{"the history is compacted", func(store *fakeStore, _ *fakePeers) {
 			store.write(2)
 			store.set(func() { store.compactedTo = store.revision + 1; store.revision++ })
 		}},
-		{"the history is dropped and the way to the peer is cut", func(store *fakeStore, peers *fakePeers) {
+		{"the history is compacted and the connection to the peer is cut", func(store *fakeStore, peers *fakePeers) {
 			peers.setCut(true)
-			time.Sleep(5 * time.Second) // both ask the store by now
+			time.Sleep(5 * time.Second) // both hosts read the store by now
 			store.write(2)
 			store.set(func() { store.compactedTo = store.revision + 1; store.revision++ })
 		}},
-		{"the way to the peer is cut", func(store *fakeStore, peers *fakePeers) {
+		{"the connection to the peer is cut", func(store *fakeStore, peers *fakePeers) {
 			peers.setCut(true)
 			store.write(2)
 		}},
@@ -277,9 +277,8 @@
 	}
 }
 
-// After a loss of power the host that should know may be away and answer
-// nothing.
-func TestHostThatKnowsNothingSoonAsksTheStore(t *testing.T) {
+// After a power loss the watching host may be down and not answer.
+func TestHostWithoutStateReadsTheStoreSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -291,16 +290,16 @@
 	})
 }
 
-// A host that the store turns away gets its news from one that it serves.
-func TestHostThatTheStoreTurnsAwayFollowsItsPeer(t *testing.T) {
+// A host that the store refuses gets updates from one that it serves.
+func TestHostThatTheStoreRefusesFollowsItsPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, turnedAway := newFakeStore(), newFakeStore()
-		turnedAway.unavailable = true
+		store, refusing := newFakeStore(), newFakeStore()
+		refusing.unavailable = true
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		other, stopOther := startFollower(t, turnedAway, &fakePeers{watcher: watcher})
+		other, stopOther := startFollower(t, refusing, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(time.Second)
 		store.write(2)
@@ -310,8 +309,8 @@
 	})
 }
 
-// The calls to the store must not grow with the hosts.
-func TestHostsThatFollowAPeerSpareTheStore(t *testing.T) {
+// The number of store calls must not grow with the number of hosts.
+func TestHostsThatPollAPeerMakeFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store, unused := newFakeStore(), newFakeStore()
@@ -322,13 +321,13 @@
 		_, stopOther := startFollower(t, unused, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(time.Minute)
-		is.True(unused.callCount() <= 4)  // at the start, before there was news
-		is.True(store.callCount() <= 150) // two kinds, one watch a second each
+		is.True(unused.callCount() <= 4)  // at the start, before the first update
+		is.True(store.callCount() <= 150) // two feeds, one watch a second each
 	})
 }
 
-// Configuration and targets are both known soon after the store is back.
-func TestBothBeliefsAreReadOnceTheStoreIsBack(t *testing.T) {
+// Configuration and targets are both read soon after the end of an outage.
+func TestConfigurationAndTargetsAreReadOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -338,14 +337,14 @@
 		defer stop()
 		time.Sleep(10*time.Second + 17*time.Millisecond)
 		store.set(func() { store.unavailable = false })
-		time.Sleep(DefaultConfig().RetryMost.Std()*3/2 + time.Millisecond) // pauses are spread by half
+		time.Sleep(DefaultConfig().RetryMost.Std()*3/2 + time.Millisecond) // delays are randomized by up to half
 		is.True(!s.Freshness().IsZero())
 		v := s.View()
 		is.True(v.RegistryAsOf.Sub(v.ConfigAsOf).Abs() < 20*time.Millisecond)
 	})
 }
 
-// While the store is away the calls are paid for, too.
+// Calls during an outage are billed, too.
 func TestCallsDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -353,15 +352,15 @@
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		away := newFakeStore()
-		_, stopOther := startFollower(t, away, &fakePeers{watcher: watcher})
+		otherStore := newFakeStore()
+		_, stopOther := startFollower(t, otherStore, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(10 * time.Second)
 		store.set(func() { store.unavailable = true })
-		away.set(func() { away.unavailable = true })
-		watcherCalls, otherCalls := store.callCount(), away.callCount()
+		otherStore.set(func() { otherStore.unavailable = true })
+		watcherCalls, otherCalls := store.callCount(), otherStore.callCount()
 		time.Sleep(10 * time.Second)
 		is.True(store.callCount()-watcherCalls <= 100)
-		is.True(away.callCount()-otherCalls <= 30)
+		is.True(otherStore.callCount()-otherCalls <= 30)
 	})
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -11,8 +11,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/quarantine"
 )
 
-// Whatever another host tells, it is taken or refused, and what is believed stays sound.
-func FuzzNewsOfAPeer(f *testing.F) {
+// Any reply of a peer is either refused or applied, and leaves a consistent state.
+func FuzzReplyOfAPeer(f *testing.F) {
 	add := func(m *peerpb.FollowReply) {
 		text, err := proto.Marshal(m)
 		if err != nil {
@@ -45,11 +45,11 @@
 		view := s.View()
 		for _, target := range view.Targets {
 			if view.RegistryRevision.Before(update.RegistryRevision) {
-				t.Fatalf("target %+v of a revision that is not known", target)
+				t.Fatalf("target %+v of a revision newer than the cached one", target)
 			}
 		}
 		if _, changed := s.updateSince(Cursor{}); changed == nil {
-			t.Fatal("nobody would hear of the next change")
+			t.Fatal("polls are not woken by the next change")
 		}
 	})
 }
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// registryLog is the registry of a store with all that ever happened to it.
+// registryLog is the registry of a store with its whole history.
 type registryLog struct {
 	revision    uint64
-	compactedTo uint64 // the changes up to this revision can't be watched any more
+	compactedTo uint64 // changes up to this revision cannot be watched
 	events      []revisedChange
 }
 
@@ -22,7 +22,7 @@
 	r.events = append(r.events, revisedChange{at(r.revision), c})
 }
 
-// at returns the registered targets as of a revision.
+// at returns the targets registered at a revision.
 func (r *registryLog) at(revision uint64) map[string]Target {
 	held := map[string]Target{}
 	for _, e := range r.events {
@@ -37,7 +37,8 @@
 	return held
 }
 
-// list is the answer to a reading that began at a revision: what a later page holds may be newer.
+// list returns the answer to a full read that began at a revision. Targets from lastPageFrom on are
+// those of the current revision, as later pages are read later.
 func (r *registryLog) list(began uint64, lastPageFrom string) TargetList {
 	l := TargetList{Revision: at(began)}
 	first, last := r.at(began), r.at(r.revision)
@@ -53,7 +54,8 @@
 	return l
 }
 
-// watch is the answer to a watch from a revision: of each target that changed since, the last change.
+// watch returns the answer to a watch from a revision: for each target changed since, the last
+// change.
 func (r *registryLog) watch(after uint64) (TargetChanges, error) {
 	if after < r.compactedTo {
 		return TargetChanges{}, ErrHistoryGone
@@ -73,22 +75,22 @@
 
 var targetNames = []string{"a", "b"}
 
-// heldAtOrAfter reports whether the registry held what a host believes of a target at the host's revision or later.
-func (r *registryLog) heldAtOrAfter(revision uint64, id string, believed Target, known bool) bool {
+// heldAtOrAfter reports whether the registry had the cached state of a target at a revision or
+// later.
+func (r *registryLog) heldAtOrAfter(revision uint64, id string, cached Target, known bool) bool {
 	for at := revision; at <= r.revision; at++ {
 		held, ok := r.at(at)[id]
-		if ok == known && held == believed {
+		if ok == known && held == cached {
 			return true
 		}
 	}
 	return false
 }
 
-// Seven hosts, three of which were restarted; one of these watched the store for all. While they were
-// away the registrations of eight targets were removed. The host that watches read the registry anew, and
-// answered the four that had gone on with the 85 targets that it had read, as if those were all that had
-// changed since their revision. They took its revision for theirs, and two of them sent requests to a removed
-// target 3.4 s later. No line "target_gone" of the eight was ever logged by the four.
+// A restarted host reads the registry in full and does not see which registrations were removed
+// before. Peers at an older revision must not get its targets as if they were all changes since
+// that revision. When a host sent the 85 targets it had read in this way, four others kept eight
+// removed targets, and two of them sent requests to one 3.4 s after its removal.
 func TestRemovalsBeforeAHostsFirstReadingReachItsPeers(t *testing.T) {
 	is := is.New(t)
 	before := NewState()
@@ -99,42 +101,43 @@
 	update, _ := started.updateSince(before.Cursor())
 	changes := before.ApplyUpdate(update).Targets
 
-	is.Equal(ids(before), []string{"drained", "stays"})
+	is.Equal(targetIDs(before), []string{"drained", "stays"})
 	is.Equal(len(changes), 2) // one is draining, one is gone
 }
 
-// A host that had to read everything anew, as the store had dropped its history, never saw a target that
-// came and went in between. A peer that did see it come holds a revision in between.
+// After the store has compacted its history, a host that reads everything again does not see a
+// target that was added and removed in between. A peer at a revision in between has that target and
+// must remove it.
 func TestTargetThatCameAndWentBetweenTwoReadingsIsGoneAtPeers(t *testing.T) {
 	is := is.New(t)
 	reader, peer := NewState(), NewState()
 	for _, s := range []*State{reader, peer} {
 		s.ApplyTargets(TargetList{Targets: []Target{{ID: "stays"}}, Revision: at(100)}, time.Now())
 	}
-	peer.ApplyChanges(TargetChanges{Changes: additionOf("short"), Revision: at(120)}, time.Now())
+	peer.ApplyChanges(TargetChanges{Changes: additionsOf("short"), Revision: at(120)}, time.Now())
 	reader.ApplyTargets(TargetList{Targets: []Target{{ID: "stays"}}, Revision: at(140)}, time.Now())
 	update, _ := reader.updateSince(peer.Cursor())
 	peer.ApplyUpdate(update)
-	is.Equal(ids(peer), []string{"stays"})
+	is.Equal(targetIDs(peer), []string{"stays"})
 }
 
-// A watch tells the last change of each target only. A host that is told of a removal without having heard
-// of the target passes it on: a peer may have.
-func TestRemovalOfATargetNeverHeardOfIsPassedOn(t *testing.T) {
+// A watch returns only the last change of each target. A host that gets a removal without ever
+// having seen the target must still pass it on, as a peer may have the target.
+func TestRemovalOfAnUnknownTargetIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	watcher, peer := NewState(), NewState()
 	for _, s := range []*State{watcher, peer} {
 		s.ApplyTargets(TargetList{Targets: []Target{{ID: "stays"}}, Revision: at(100)}, time.Now())
 	}
-	peer.ApplyChanges(TargetChanges{Changes: additionOf("short"), Revision: at(120)}, time.Now())
+	peer.ApplyChanges(TargetChanges{Changes: additionsOf("short"), Revision: at(120)}, time.Now())
 	watcher.ApplyChanges(TargetChanges{Changes: removalOf("short"), Revision: at(140)}, time.Now())
 	update, _ := watcher.updateSince(peer.Cursor())
 	peer.ApplyUpdate(update)
-	is.Equal(ids(peer), []string{"stays"})
+	is.Equal(targetIDs(peer), []string{"stays"})
 }
 
-// The last page of a long list is newer than the revision of the list. What the watch tells after it changes
-// nothing here, and is news to a peer all the same.
+// The last page of a long list is newer than the revision of the list. The change that the next
+// watch returns then has no effect on this host, but must still reach peers.
 func TestChangeSeenEarlyInALaterPageIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	reader, peer := NewState(), NewState()
@@ -143,13 +146,14 @@
 	reader.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: Target{ID: "z", Draining: true}}}, Revision: at(105)}, time.Now())
 	update, _ := reader.updateSince(peer.Cursor())
 	peer.ApplyUpdate(update)
-	is.Equal(ids(peer), []string{"a", "z"})
+	is.Equal(targetIDs(peer), []string{"a", "z"})
 	is.True(peer.View().Targets[1].Draining)
 }
 
-// Whatever order lists, watches and news of peers come in, late ones included, and whichever hosts start anew: a host at a
-// revision believes of each target what the registry held at that revision or later.
-func TestBeliefsAreThoseOfTheRevisionHeld(t *testing.T) {
+// Full reads, watches and updates of peers, late ones included, come in any order, and hosts
+// restart. A host at a revision has for each target what the registry held at that revision or
+// later.
+func TestTargetsMatchTheCachedRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		site := &simRegistrySite{registry: &registryLog{}, hosts: []*State{NewState(), NewState(), NewState()}}
 		site.inFlight = make([]Update, len(site.hosts))
@@ -177,11 +181,11 @@
 	return Target{ID: rapid.SampledFrom(targetNames).Draw(t, "target")}
 }
 
-// simRegistrySite is hosts that follow one registry.
+// simRegistrySite is a set of hosts that follow one registry.
 type simRegistrySite struct {
 	registry *registryLog
 	hosts    []*State
-	inFlight []Update // answers of peers that are under way, one for each host
+	inFlight []Update // replies of peers that are under way, one for each host
 }
 
 func (s *simRegistrySite) draw(t *rapid.T, label string) int {
@@ -203,7 +207,7 @@
 	host := s.hosts[s.draw(t, "host")]
 	after := host.Cursor().RegistryRevision.Number
 	if after == 0 {
-		return // it has to read everything first
+		return // a full read has to come first
 	}
 	if changes, err := s.registry.watch(after); err == nil {
 		host.ApplyChanges(changes, time.Now())
@@ -232,9 +236,9 @@
 			known[target.ID] = target
 		}
 		for _, id := range targetNames {
-			believed, ok := known[id]
-			if !s.registry.heldAtOrAfter(v.RegistryRevision.Number, id, believed, ok) {
-				t.Fatalf("host %d at revision %s of %d believes of %s: %+v, registered %v", i, v.RegistryRevision, s.registry.revision, id, believed, ok)
+			cached, ok := known[id]
+			if !s.registry.heldAtOrAfter(v.RegistryRevision.Number, id, cached, ok) {
+				t.Fatalf("host %d at revision %s of %d has for %s: %+v, registered %v", i, v.RegistryRevision, s.registry.revision, id, cached, ok)
 			}
 		}
 	}
--- a/internal/discovery/livestore_test.go
+++ b/internal/discovery/livestore_test.go
@@ -11,34 +11,35 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Times of a liveStore.
+// Settings of a liveStore.
 const (
 	registrationBeat = time.Second            // between two writes of a registration
-	lapseBeats       = 3                      // without a write, after which a registration lapses
+	lapseBeats       = 3                      // missed writes after which a registration lapses
 	copyInterval     = 700 * time.Millisecond // between two copies
 	keptCopies       = 8
 )
 
-// liveStore is an erasStore that hosts call. Its operator writes again soon after a restore, and targets with their next beat.
+// liveStore is a restorableStore for calls of simulated hosts. After a restore the operator writes
+// again soon, and targets with their next beat.
 type liveStore struct {
 	mu sync.Mutex
-	erasStore
+	restorableStore
 	changed          chan struct{}
 	unavailable      bool
-	stableSince      time.Time // since when it has been without trouble
-	compactedTo      uint64    // history up to this number is gone
-	missedBeats      map[string]int
-	wantEvacuated    map[string]bool // that the operator wants to be evacuated
-	versionWrittenAt []time.Time     // when each version was acknowledged, by version
-	leavingSince     map[Target]time.Time
-	evacuatedSince   map[string]time.Time
+	stableSince      time.Time            // since when it has been without faults
+	compactedTo      uint64               // history up to this number is not available
+	missedBeats      map[string]int       // of registrations that nothing writes, by target
+	wantEvacuated    map[string]bool      // failure domains to evacuate, as the operator wants
+	versionWrittenAt []time.Time          // when each version was written, by version
+	leavingSince     map[Target]time.Time // by incarnation
+	evacuatedSince   map[string]time.Time // by failure domain
 	startedAt        time.Time
 }
 
 func newLiveStore() *liveStore {
 	s := &liveStore{
-		erasStore: erasStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}},
-		changed:   make(chan struct{}), missedBeats: map[string]int{}, wantEvacuated: map[string]bool{}, versionWrittenAt: []time.Time{{}},
+		restorableStore: restorableStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}},
+		changed:         make(chan struct{}), missedBeats: map[string]int{}, wantEvacuated: map[string]bool{}, versionWrittenAt: []time.Time{{}},
 		leavingSince: map[Target]time.Time{}, evacuatedSince: map[string]time.Time{}, stableSince: time.Now(), startedAt: time.Now(),
 	}
 	for i := range len(targetNames) {
@@ -48,7 +49,7 @@
 	return s
 }
 
-// do runs a change and wakes the watches.
+// do makes a change and wakes the watches.
 func (s *liveStore) do(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,15 +58,15 @@
 	s.changed = make(chan struct{})
 }
 
-// launch starts a target anew.
+// launch starts a new incarnation of a target.
 func (s *liveStore) launch(i int) {
-	s.born++
-	t := Target{ID: targetNames[i], Born: s.born, Service: "s", Address: fmt.Sprintf("10.9.0.%d:80", i), Domain: fmt.Sprintf("domain-%d", i%3)}
+	s.lastBorn++
+	t := Target{ID: targetNames[i], Born: s.lastBorn, Service: "s", Address: fmt.Sprintf("10.9.0.%d:80", i), Domain: fmt.Sprintf("domain-%d", i%3)}
 	s.live[t.ID] = t
 	s.put(t, false)
 }
 
-// put writes a registration if the store is there.
+// put writes or removes a registration unless the store is unavailable.
 func (s *liveStore) put(t Target, gone bool) {
 	if s.unavailable {
 		return
@@ -80,8 +81,8 @@
 	if s.unavailable {
 		return
 	}
-	s.newest++
-	s.configure(s.newest)
+	s.newestVersion++
+	s.configure(s.newestVersion)
 	s.versionWrittenAt = append(s.versionWrittenAt, time.Now())
 }
 
@@ -101,7 +102,7 @@
 	s.setEvacuated(s.wantEvacuated)
 }
 
-// setEvacuated writes what differs from the failure domains that are to be evacuated.
+// setEvacuated makes the stored evacuations equal to the wanted ones.
 func (s *liveStore) setEvacuated(want map[string]bool) {
 	held := s.evacuations.at(s.number)
 	for _, domain := range []string{"domain-0", "domain-1", "domain-2"} {
@@ -112,7 +113,7 @@
 	}
 }
 
-// run makes the store's copies and the targets' beats until the test ends.
+// run makes the copies of the store and the beats of the targets until ctx is done.
 func (s *liveStore) run(ctx context.Context) {
 	beat, copies := time.NewTicker(registrationBeat), time.NewTicker(copyInterval)
 	defer beat.Stop()
@@ -133,7 +134,7 @@
 	}
 }
 
-// beatOnce lets the targets that live write again, and the entries lapse that nobody writes.
+// beatOnce writes the registrations of the running targets again, and lets the others lapse.
 func (s *liveStore) beatOnce() {
 	if s.unavailable {
 		return
@@ -153,11 +154,12 @@
 	}
 }
 
-// runOutage makes the store be away for a while, and come back from a copy, if one is named. It does nothing while the store is away.
+// runOutage makes the store unavailable for a time, and restores it from a copy if older is one. It
+// does nothing if the store is already unavailable.
 func (s *liveStore) runOutage(d time.Duration, older int) {
-	isAway := false
-	s.do(func() { isAway, s.unavailable = s.unavailable, true })
-	if isAway {
+	wasUnavailable := false
+	s.do(func() { wasUnavailable, s.unavailable = s.unavailable, true })
+	if wasUnavailable {
 		return
 	}
 	time.Sleep(d)
@@ -173,23 +175,23 @@
 	})
 	time.Sleep(d / 2) // until the operator writes again
 	s.do(func() {
-		s.configure(s.newest)
+		s.configure(s.newestVersion)
 		s.setEvacuated(s.wantEvacuated)
 	})
 }
 
-// await returns when there is something after a revision, or after a wait.
+// await returns on a change after a revision, or after a wait.
 func (s *liveStore) await(ctx context.Context, after revision.Revision, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		changed, away := s.changed, s.unavailable
+		changed, unavailable := s.changed, s.unavailable
 		isGone := after.Era != s.era || s.number < after.Number || after.Number < s.compactedTo
 		ready := s.number > after.Number
 		s.mu.Unlock()
 		switch {
-		case away:
+		case unavailable:
 			return errUnavailable
 		case isGone:
 			return ErrHistoryGone
@@ -206,13 +208,13 @@
 	}
 }
 
-// hostStore is how one host reaches the store.
+// hostStore is the store as one host reaches it.
 type hostStore struct {
 	*liveStore
 	cut *bool // guarded by the store's lock
 }
 
-// startCall takes the time of a call, and fails it where the host is cut off.
+// startCall takes the time of a call, and fails if the store is unavailable or the host is cut off.
 func (w hostStore) startCall() error {
 	time.Sleep(storeCallTime)
 	w.mu.Lock()
@@ -223,7 +225,8 @@
 	return nil
 }
 
-// callStore makes a call that waits for changes, or does not if wait is 0, and reads what it answers.
+// callStore makes a call and returns the result of read. It waits for changes after a revision,
+// unless wait is 0.
 func callStore[T any](ctx context.Context, w hostStore, after revision.Revision, wait time.Duration, read func() T) (T, error) {
 	var none T
 	if err := w.startCall(); err != nil {
@@ -247,13 +250,13 @@
 
 func (w hostStore) Config(ctx context.Context) (ConfigRead, error) {
 	return callStore(ctx, w, revision.Revision{}, 0, func() ConfigRead {
-		return ConfigRead{Config: version(w.version), Found: w.version > 0, Listed: true, Revision: w.at()}
+		return ConfigRead{Config: configVersion(w.version), Found: w.version > 0, Listed: true, Revision: w.at()}
 	})
 }
 
 func (w hostStore) WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error) {
 	return callStore(ctx, w, after, wait, func() ConfigRead {
-		return ConfigRead{Config: version(w.version), Found: w.version > 0 && w.at() != after, Revision: w.at()}
+		return ConfigRead{Config: configVersion(w.version), Found: w.version > 0 && w.at() != after, Revision: w.at()}
 	})
 }
 
--- a/internal/discovery/permit_age_test.go
+++ b/internal/discovery/permit_age_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// What a peer read before this host did takes nothing from what this host knows: permits would count for less long.
-func TestOlderNewsDoNotAgeTheRegistry(t *testing.T) {
+// An update that a peer read before this host's last read must not make the registry state older,
+// which would shorten the validity of permits.
+func TestOlderUpdatesDoNotAgeTheRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -14,7 +14,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// loggedStore is a store whose registry changes, with the configuration of a fakeStore.
+// loggedStore is a store with a changing registry and the configuration of a fakeStore.
 type loggedStore struct {
 	*fakeStore
 	mu       sync.Mutex
@@ -22,19 +22,19 @@
 	down     atomic.Bool // for all hosts
 }
 
-// cutSource is the way of one host to a store; nothing comes through it once it is cut.
+// cutSource is the store as one host reaches it. All calls fail once ctx is done.
 type cutSource struct {
 	Source
 	ctx context.Context
 }
 
-// newCutSource returns the way of a host, and what cuts it.
+// newCutSource returns a source for one host, and the function that cuts the host off.
 func newCutSource(s Source) (cutSource, context.CancelFunc) {
 	ctx, cut := context.WithCancel(context.Background())
 	return cutSource{s, ctx}, cut
 }
 
-// callUnlessCut makes a call unless the way is cut before its answer.
+// callUnlessCut makes a call, which fails if the host is cut off before the answer.
 func callUnlessCut[T any](ctx context.Context, s cutSource, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,7 +112,7 @@
 	}
 }
 
-// withRegistry runs f with n hosts that follow a store with targets, 10 s after they have started.
+// withRegistry runs f with n hosts that follow a store with targets, 10 s after their start.
 func withRegistry(t *testing.T, cfg *Config, n int, targets []TargetChange, f func(net *simNet, store *loggedStore, all []*simHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -131,7 +131,7 @@
 	})
 }
 
-// kill ends the host without a word to the others.
+// kill stops the host without a message to the others.
 func (h *simHost) kill(t *testing.T) {
 	t.Helper()
 	h.net.mu.Lock()
@@ -144,24 +144,24 @@
 	}
 }
 
-// The same with whole hosts in virtual time: the host that watches for all and two others are killed and start again; in the half second in which
-// they are away some targets are removed, others say that they leave. Every host knows it within the time for a change, and no host
-// ever takes a removed target back.
+// The watching host and two others are killed and restarted. In the half second in between some
+// registrations are removed and other targets start to drain. Every host must apply this within the
+// time for a change, and must not add a removed target again.
 func TestTargetsThatLeaveWhileTheWatcherRestarts(t *testing.T) {
 	const targets, removed, drained = 85, 8, 23
 	var ids []string
 	for i := range targets {
 		ids = append(ids, fmt.Sprintf("t%02d", i))
 	}
-	withRegistry(t, nil, 7, additionOf(ids...), func(net *simNet, store *loggedStore, all []*simHost) {
+	withRegistry(t, nil, 7, additionsOf(ids...), func(net *simNet, store *loggedStore, all []*simHost) {
 		watcher := all[0].spread.ownGroup().watchers()[0]
-		var away []int
+		var killed []int
 		for i, h := range all {
-			if h.self.ID == watcher.ID || len(away) < 2 {
-				away = append(away, i)
+			if h.self.ID == watcher.ID || len(killed) < 2 {
+				killed = append(killed, i)
 			}
 		}
-		for _, i := range away {
+		for _, i := range killed {
 			all[i].kill(t)
 		}
 		for _, id := range ids[:removed] {
@@ -171,7 +171,7 @@
 			store.write(TargetChange{Target: Target{ID: id, Service: "s", Draining: true}})
 		}
 		time.Sleep(300 * time.Millisecond)
-		for _, i := range away {
+		for _, i := range killed {
 			all[i] = startSimHost(t, net, store, i, 0)
 		}
 
@@ -184,15 +184,16 @@
 				}
 			}
 			if known := len(h.state.View().Targets); known != targets-removed || leaving != drained {
-				t.Errorf("%s knows %d targets, %d of which leave; want %d and %d", h.self.ID, known, leaving, targets-removed, drained)
+				t.Errorf("%s has %d targets, %d of which are leaving; want %d and %d", h.self.ID, known, leaving, targets-removed, drained)
 			}
 		}
 	})
 }
 
-// The host that watches for all is cut off from the store, and hears the others. It says that the store could not be
-// read. A target whose registration is removed meanwhile is gone on every other host within the time for a change:
-// those have read the store all the while, or were told by hosts that had.
+// The watching host is cut off from the store, but not from the other hosts, and reports failed
+// reads of the registry. A target whose registration is removed meanwhile must be gone on every
+// other host within the time for a change, as those have read the store themselves or got updates
+// from hosts that had.
 func TestTargetThatLeavesWhileTheWatcherIsCutOff(t *testing.T) {
 	for _, within := range []time.Duration{3 * time.Second, 6 * time.Second} {
 		t.Run(within.String(), func(t *testing.T) {
@@ -205,32 +206,33 @@
 
 func testTargetLeavesWhileWatcherIsCutOff(t *testing.T, cfg Config) {
 	t.Helper()
-	withRegistry(t, &cfg, 7, additionOf("leaves", "stays"), func(net *simNet, store *loggedStore, all []*simHost) {
+	withRegistry(t, &cfg, 7, additionsOf("leaves", "stays"), func(net *simNet, store *loggedStore, all []*simHost) {
 		watcher := all[0].spread.ownGroup().watchers()[0]
 		net.host(watcher.Peer).cut()
 		store.write(removalOf("leaves")...)
 		time.Sleep(cfg.LeaveWithin.Std())
 		for _, h := range all {
 			if h.self.ID != watcher.ID && len(h.state.View().Targets) != 1 {
-				t.Errorf("%s still knows the target that left", h.self.ID)
+				t.Errorf("%s still has the target that left", h.self.ID)
 			}
 		}
 	})
 }
 
-// The store is away for all hosts for some seconds. Half of the registrations lapse, and are written again 1.5 s after its return. No host
-// takes those targets for gone meanwhile; one that does not return is gone 3 s after.
+// The store is down for all hosts for some seconds. Half of the registrations lapse; one of the two
+// is written again 1.5 s after the end. No host may remove these targets in that time. The one that
+// is not written again must be gone 3 s after the end.
 func TestTargetsThatLapseInAnOutageAreKept(t *testing.T) {
 	for _, tc := range []struct {
-		hosts int
-		away  time.Duration
+		hosts  int
+		outage time.Duration
 	}{{1, 5 * time.Second}, {7, 2600 * time.Millisecond}, {7, 5 * time.Second}, {100, 2600 * time.Millisecond}, {100, 4 * time.Second}, {100, 5 * time.Second}} {
-		t.Run(fmt.Sprintf("%d hosts, %s", tc.hosts, tc.away), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, %s", tc.hosts, tc.outage), func(t *testing.T) {
 			cfg := DefaultConfig()
-			withRegistry(t, &cfg, tc.hosts, additionOf("a", "b", "lapses", "lost"), func(_ *simNet, store *loggedStore, all []*simHost) {
+			withRegistry(t, &cfg, tc.hosts, additionsOf("a", "b", "lapses", "lost"), func(_ *simNet, store *loggedStore, all []*simHost) {
 				const lastMoment = 200 * time.Millisecond // of the outage, in which registrations lapse
 				store.down.Store(true)
-				time.Sleep(tc.away - lastMoment)
+				time.Sleep(tc.outage - lastMoment)
 				store.write(removalOf("lapses")...)
 				store.write(removalOf("lost")...)
 				time.Sleep(lastMoment)
@@ -239,7 +241,7 @@
 					time.Sleep(500 * time.Millisecond)
 					wantTargets(t, all, 4)
 				}
-				store.write(additionOf("lapses")...)
+				store.write(additionsOf("lapses")...)
 				time.Sleep(1500 * time.Millisecond)
 				wantTargets(t, all, 3)
 			})
@@ -247,22 +249,22 @@
 	}
 }
 
-// wantTargets fails the test if not all hosts know a number of targets.
+// wantTargets fails the test unless all hosts have the given number of targets.
 func wantTargets(t *testing.T, all []*simHost, want int) {
 	t.Helper()
-	others := 0
+	wrong := 0
 	for _, h := range all {
 		if len(h.state.View().Targets) != want {
-			others++
+			wrong++
 		}
 	}
-	if others > 0 {
-		t.Errorf("%d of %d hosts do not know %d targets", others, len(all), want)
+	if wrong > 0 {
+		t.Errorf("%d of %d hosts do not have %d targets", wrong, len(all), want)
 	}
 }
 
-// Where targets that leave must get no new work sooner than a configuration must be in force, the registry is followed at the
-// pace of the former.
+// If LeaveWithin is shorter than ApplyWithin, the registry must be followed at the pace of
+// LeaveWithin.
 func TestTargetLeavesInTimeWhereConfigurationsTakeLonger(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ApplyWithin, cfg.LeaveWithin = unit.Duration(6*time.Second), unit.Duration(2*time.Second)
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -11,10 +11,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// The store is away for some seconds and comes back from an older copy. That takes few calls more than the same outage
-// without: each host that watches reads everything once. The versions that follow are in force everywhere in time.
+// The store is down for some seconds and is restored from an older copy. This takes few calls more
+// than the outage alone, as each watching host reads everything once. Later versions are in force
+// on every host in time.
 func TestRestoreOfTheStoreTakesFewCalls(t *testing.T) {
-	const lost = 3 // revisions
+	const lostRevisions = 3
 	for _, n := range []int{7, 65, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			calls := map[bool]int{}
@@ -22,7 +23,7 @@
 				withFleet(t, n, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 					is := is.New(t)
 					time.Sleep(10 * time.Second)
-					for range lost {
+					for range lostRevisions {
 						store.set(func() { store.revision++ })
 					}
 					time.Sleep(2 * time.Second)
@@ -30,12 +31,12 @@
 					store.set(func() { store.unavailable = true })
 					time.Sleep(4500 * time.Millisecond)
 					if restored {
-						store.restore(lost)
+						store.restore(lostRevisions)
 					}
 					store.set(func() { store.unavailable = false })
 					time.Sleep(2 * time.Second)
 					calls[restored] = store.callCount() - before
-					for v := range uint64(2 * lost) {
+					for v := range uint64(2 * lostRevisions) {
 						store.set(func() {
 							store.revision++
 							store.configRevision = store.revision
@@ -49,32 +50,33 @@
 					}
 				})
 			}
-			watching := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*minOwnGroupHosts), 1)
-			pages := (fleetTargets-1)/targetsPerPage + 1 + 1 // of the registry, and the configuration
-			t.Logf("%d hosts: %d calls around an outage of 4.5 s, %d with a restore; at most %d hosts watch", n, calls[false], calls[true], watching)
-			drawn := calls[false] / 10 // pauses between failed calls are drawn anew
-			if calls[true] > calls[false]+drawn+watching*(pages+2) {
+			watcherCount := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*minOwnGroupHosts), 1)
+			pages := (fleetTargets-1)/targetsPerPage + 1 + 1 // of the registry, and one call for the configuration
+			t.Logf("%d hosts: %d calls around an outage of 4.5 s, %d with a restore; at most %d hosts watch", n, calls[false], calls[true], watcherCount)
+			tolerance := calls[false] / 10 // delays between failed calls are random
+			if calls[true] > calls[false]+tolerance+watcherCount*(pages+2) {
 				t.Errorf("%d calls with a restore, %d without", calls[true], calls[false])
 			}
 		})
 	}
 }
 
-// Hosts that do not watch the store have turned to it in the outage, and are refused like the one that does: it reads the
-// registry, and they are told.
+// In an outage the other hosts call the store, too, and their watches fail like those of the
+// watching host after a restore. Only the watching host may read the registry then; the others get
+// it from that host.
 func TestOnlyTheWatcherReadsTheRegistryAfterARestore(t *testing.T) {
-	const lost = 3 // revisions
-	for range 20 { // pauses between failed calls are drawn anew
+	const lostRevisions = 3
+	for range 20 { // delays between failed calls are random
 		withFleet(t, 7, time.Second, func(_ *simNet, store *fakeStore, all []*simHost) {
 			is := is.New(t)
 			time.Sleep(10 * time.Second)
-			for range lost {
+			for range lostRevisions {
 				store.set(func() { store.revision++ })
 			}
 			time.Sleep(2 * time.Second)
 			store.set(func() { store.unavailable = true })
 			time.Sleep(4500 * time.Millisecond)
-			store.restore(lost)
+			store.restore(lostRevisions)
 			before := store.listCalls
 			store.set(func() { store.unavailable = false })
 			time.Sleep(2 * time.Second)
@@ -91,7 +93,7 @@
 	return revision.Revision{Era: era, Number: number}
 }
 
-// virtualState returns a state that knows nothing, its clock, and what lets time pass.
+// virtualState returns an empty state, its clock, and a function that lets time pass.
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
 	c, pass = clock.Virtual()
 	s = NewState()
@@ -99,8 +101,8 @@
 	return s, c, pass
 }
 
-// The registration of a target that left lapses once more after a restore. A second restore, ten seconds later, to a copy
-// from before it lapsed does not bring the target back either.
+// The registration of a target that left lapses once more after a restore. A second restore ten
+// seconds later, to a copy from before it lapsed, must not bring the target back either.
 func TestTombstoneOutlivesASecondRestore(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
@@ -118,8 +120,9 @@
 	is.Equal(len(s.View().Targets), 0)
 }
 
-// A target leaves while a host has no news of the registry, which keeps it for a moment, as it may have lapsed. An older copy of the
-// store that comes back just then does not make it one that is there.
+// A target leaves while a host has not confirmed its registry state for long, so that the host
+// keeps the target as possibly lapsed. A restore from an older copy just then must not make it a
+// registered target.
 func TestTargetThatWentMissingBeforeARestoreIsKeptNoLonger(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
@@ -132,8 +135,8 @@
 	pass(lapseGrace)
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	pass(tombstoneBeats * defaultRegistrationBeat) // its registration still stands
+	pass(tombstoneBeats * defaultRegistrationBeat) // the registration still exists
 	s.ApplyChanges(TargetChanges{Revision: revisionIn(2, 7)}, c.Now())
 	s.Expire(c.Now())
-	is.Equal(ids(s), []string{"left"})
+	is.Equal(targetIDs(s), []string{"left"})
 }
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -28,7 +28,7 @@
 
 func (m fixedMembers) Generation() uint64 { return 1 }
 
-// socketHost is one host's exchange of beliefs over loopback.
+// socketHost is a host's exchange over loopback.
 type socketHost struct {
 	host   member.Host
 	server *peer.Server
@@ -37,7 +37,7 @@
 	spread *Spread
 }
 
-// startHosts starts hosts that know each other.
+// startHosts starts hosts that have each other as members.
 func startHosts(t *testing.T, n int) []*socketHost {
 	t.Helper()
 	var all []*socketHost
@@ -70,7 +70,7 @@
 	return all
 }
 
-// splitWatcher returns the one host that watches the store and those that follow it.
+// splitWatcher returns the one watching host and the others.
 func splitWatcher(t *testing.T, all []*socketHost) (watcher *socketHost, followers []*socketHost) {
 	t.Helper()
 	for _, h := range all {
@@ -86,11 +86,11 @@
 	return watcher, followers
 }
 
-func TestNewsOverSockets(t *testing.T) {
+func TestUpdateOverSockets(t *testing.T) {
 	is := is.New(t)
 	watcher, followers := splitWatcher(t, startHosts(t, 3))
 	now := time.Now()
-	watcher.state.ApplyConfig(read(7, 3), now.Add(-time.Second))
+	watcher.state.ApplyConfig(configRead(7, 3), now.Add(-time.Second))
 	watcher.state.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: Target{
 		ID: "i-1", Service: "s", Address: "10.1.0.1:80", Domain: "salt-lake", Slots: 2, Draining: true, Warmup: time.Second,
 	}}}, Revision: at(4)}, now)
@@ -100,23 +100,23 @@
 	f.state.ApplyUpdate(update)
 	table, asOf := f.state.Table()
 	is.Equal(table.Config.Version, uint64(7))
-	is.True(time.Since(asOf) >= time.Second) // the age comes along
-	told, held := f.state.View().Targets, watcher.state.View().Targets
-	is.True(!told[0].ColdUntil.Before(held[0].ColdUntil)) // the news took a while; nobody takes the target for warm earlier
-	is.True(!told[0].ColdUntil.After(time.Now().Add(time.Second)))
-	told[0].ColdUntil = held[0].ColdUntil
-	is.Equal(told, held)
+	is.True(time.Since(asOf) >= time.Second) // the age is sent, too
+	received, cached := f.state.View().Targets, watcher.state.View().Targets
+	is.True(!received[0].ColdUntil.Before(cached[0].ColdUntil)) // transit makes the end later, never earlier
+	is.True(!received[0].ColdUntil.After(time.Now().Add(time.Second)))
+	received[0].ColdUntil = cached[0].ColdUntil
+	is.Equal(received, cached)
 	is.Equal(f.state.Cursor(), watcher.state.Cursor())
 }
 
 func TestFindingsReachEveryHost(t *testing.T) {
 	is := is.New(t)
 	watcher, followers := splitWatcher(t, startHosts(t, 3))
-	heard := make(chan Finding, 10)
-	watcher.state.FollowFindings(func(all []Finding) { heard <- all[0] })
+	delivered := make(chan Finding, 10)
+	watcher.state.FollowFindings(func(all []Finding) { delivered <- all[0] })
 	finding := Finding{Target: "i-1", Bad: true, Latency: 80 * time.Millisecond, Failures: 0.5, Domain: "salt-lake"}
 	followers[0].spread.SendFindings(t.Context(), []Finding{finding})
-	is.Equal((<-heard).Target, "i-1")
+	is.Equal((<-delivered).Target, "i-1")
 
 	update, err := followers[1].spread.Poll(t.Context(), Cursor{}, time.Minute)
 	is.NoErr(err)
@@ -127,30 +127,30 @@
 
 	update, err = followers[1].spread.Poll(t.Context(), Cursor{}, time.Millisecond)
 	is.NoErr(err)
-	is.Equal(len(update.Findings), 0) // told once
+	is.Equal(len(update.Findings), 0) // each finding is sent once
 }
 
-// While the watcher knows nothing, every second question goes to another host.
-func TestAnotherHostIsAskedWhenTheWatcherKnowsNothing(t *testing.T) {
+// If the watching host has no state, every second poll goes to another host.
+func TestAnotherHostIsPolledWhenTheWatcherHasNoState(t *testing.T) {
 	is := is.New(t)
 	_, followers := splitWatcher(t, startHosts(t, 3))
-	knows, asks := followers[0], followers[1]
-	knows.state.ApplyConfig(read(7, 3), time.Now())
-	knows.state.ApplyTargets(TargetList{Revision: at(3)}, time.Now())
+	informed, polling := followers[0], followers[1]
+	informed.state.ApplyConfig(configRead(7, 3), time.Now())
+	informed.state.ApplyTargets(TargetList{Revision: at(3)}, time.Now())
 	for range 2 {
-		update, err := asks.spread.Poll(t.Context(), asks.state.Cursor(), time.Millisecond)
+		update, err := polling.spread.Poll(t.Context(), polling.state.Cursor(), time.Millisecond)
 		is.NoErr(err)
-		asks.state.ApplyUpdate(update)
+		polling.state.ApplyUpdate(update)
 	}
-	table, _ := asks.state.Table()
+	table, _ := polling.state.Table()
 	is.True(table != nil)
 }
 
-// A watcher that the store turns away takes the news of a host that it serves.
-func TestWatcherAsksTheOthers(t *testing.T) {
+// A watching host that the store refuses gets updates from a host that the store serves.
+func TestWatcherPollsTheOthers(t *testing.T) {
 	is := is.New(t)
 	watcher, followers := splitWatcher(t, startHosts(t, 2))
-	followers[0].state.ApplyConfig(read(7, 3), time.Now())
+	followers[0].state.ApplyConfig(configRead(7, 3), time.Now())
 	followers[0].state.ApplyTargets(TargetList{Revision: at(3)}, time.Now())
 	store := newFakeStore()
 	store.set(func() { store.unavailable = true })
@@ -162,16 +162,16 @@
 			return
 		}
 	}
-	t.Error("the watcher learned nothing")
+	t.Error("the watching host got no configuration from its peer")
 }
 
-func TestFindingsOfLongAgoAreNotHandedOn(t *testing.T) {
+func TestExpiredFindingsAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	f := newFindings()
 	now := time.Now()
 	f.add(now, []Finding{{Target: "old", Age: findingTTL}, {Target: "new"}})
 	is.Equal(len(f.since(now, f.epoch, 0)), 1)
-	is.Equal(len(f.since(now, f.epoch+1, 9)), 1) // another process counted to nine
+	is.Equal(len(f.since(now, f.epoch+1, 9)), 1) // number 9 is of another process
 	is.Equal(len(f.since(now, f.epoch, f.lastNumber)), 0)
 	for range maxFindings + 1 {
 		f.add(now, []Finding{{Target: "more"}})
@@ -179,25 +179,26 @@
 	is.Equal(len(f.recent), maxFindings)
 }
 
-// The clock of a peer may have counted a suspension that this host's did not. What the peer tells is taken to be of the moment in which
-// it arrived at the latest: dated later, beliefs would count as current, and targets as cold, for all of the difference.
-func TestNewsAreNotOfTheFuture(t *testing.T) {
+// A peer's clock may have counted a suspension that this host's clock did not. State in its reply
+// is dated at the arrival of the reply at the latest. With a later time it would count as current,
+// and targets as cold, for the whole difference.
+func TestReplyTimesAreNotInTheFuture(t *testing.T) {
 	is := is.New(t)
-	asked := time.Now()
-	received := asked.Add(200 * time.Millisecond)
+	requestedAt := time.Now()
+	receivedAt := requestedAt.Add(200 * time.Millisecond)
 	n, err := decodeReply(&peerpb.FollowReply{
 		HeldUs: (17 * time.Second).Microseconds(), RegistryRevision: 7, ConfigRevision: 7, EvacuationRevision: 7, OutageAgeUs: neverAge,
 		Evacuations: &peerpb.Evacuations{Ended: []*peerpb.EvacuationEnd{{FailureDomain: "a"}}},
-	}, asked, received)
+	}, requestedAt, receivedAt)
 	is.NoErr(err)
 	for _, at := range []time.Time{n.RegistryAsOf, n.ConfigAsOf, n.EvacuationsAsOf, n.EvacuationEnds["a"]} {
-		is.True(!at.After(received))
+		is.True(!at.After(receivedAt))
 	}
 }
 
-// All hosts of a failure domain have just started together: one that starts there asks a host elsewhere that has run for long, as none
-// of its own knows what a restore of the store has lost.
-func TestContactsHoldOneThatHasRunForLong(t *testing.T) {
+// All hosts of a failure domain have just started, so none of them has what a restore of the store
+// has lost. A host that starts there must also query an established host of another domain.
+func TestContactsIncludeAnEstablishedHost(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	started := func(id, domain string, ago time.Duration) member.Host {
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -13,13 +13,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-func version(v uint64) routing.Config { return routing.Config{Version: v} }
+func configVersion(v uint64) routing.Config { return routing.Config{Version: v} }
 
-func read(v, revision uint64) ConfigRead {
-	return ConfigRead{Config: version(v), Found: true, Revision: at(revision)}
+func configRead(v, revision uint64) ConfigRead {
+	return ConfigRead{Config: configVersion(v), Found: true, Revision: at(revision)}
 }
 
-func additionOf(ids ...string) []TargetChange {
+func additionsOf(ids ...string) []TargetChange {
 	var changes []TargetChange
 	for _, id := range ids {
 		changes = append(changes, TargetChange{Target: Target{ID: id, Service: "s"}})
@@ -29,7 +29,7 @@
 
 func removalOf(id string) []TargetChange { return []TargetChange{{Target: Target{ID: id}, Gone: true}} }
 
-func ids(s *State) []string {
+func targetIDs(s *State) []string {
 	all := []string{}
 	for _, t := range s.View().Targets {
 		all = append(all, t.ID)
@@ -43,7 +43,7 @@
 		newest := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reads") {
 			v := rapid.Uint64Range(1, 9).Draw(t, "version")
-			s.ApplyConfig(read(v, rapid.Uint64Range(1, 99).Draw(t, "revision")), time.Now())
+			s.ApplyConfig(configRead(v, rapid.Uint64Range(1, 99).Draw(t, "revision")), time.Now())
 			newest = max(newest, v)
 			table, _ := s.Table()
 			if table.Config.Version != newest {
@@ -56,79 +56,78 @@
 func TestAnOldListChangesNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.ApplyChanges(TargetChanges{Changes: additionOf("a", "b"), Revision: at(9)}, time.Now())
+	s.ApplyChanges(TargetChanges{Changes: additionsOf("a", "b"), Revision: at(9)}, time.Now())
 	s.ApplyTargets(TargetList{Targets: []Target{{ID: "c"}}, Revision: at(8)}, time.Now())
-	is.Equal(ids(s), []string{"a", "b"})
+	is.Equal(targetIDs(s), []string{"a", "b"})
 	s.ApplyChanges(TargetChanges{Changes: removalOf("a"), Revision: at(8)}, time.Now())
-	is.Equal(ids(s), []string{"a", "b"})
+	is.Equal(targetIDs(s), []string{"a", "b"})
 	s.ApplyTargets(TargetList{Targets: []Target{{ID: "b", Service: "s"}}, Revision: at(10)}, time.Now())
-	is.Equal(ids(s), []string{"b"})
+	is.Equal(targetIDs(s), []string{"b"})
 }
 
-// Registrations lapse while the store is away, and are written again once it
-// is back.
+// Registrations lapse while the store is down, and are written again once it is back.
 func TestTargetMissingAfterAnOutageIsKeptForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyChanges(TargetChanges{Changes: additionOf("a", "b"), Revision: at(1)}, time.Now())
+		s.ApplyChanges(TargetChanges{Changes: additionsOf("a", "b"), Revision: at(1)}, time.Now())
 		s.NoteReadFailure()
 		time.Sleep(s.lapseAfter)
 		s.NoteReadSuccess()
 		s.ApplyTargets(TargetList{Revision: at(5)}, time.Now())
-		is.Equal(ids(s), []string{"a", "b"})
-		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(6)}, time.Now()) // written again
+		is.Equal(targetIDs(s), []string{"a", "b"})
+		s.ApplyChanges(TargetChanges{Changes: additionsOf("a"), Revision: at(6)}, time.Now()) // written again
 		time.Sleep(lapseGrace - time.Millisecond)
 		is.Equal(len(s.Expire(time.Now())), 0)
 		time.Sleep(time.Millisecond)
 		gone := s.Expire(time.Now())
 		is.Equal(len(gone), 1)
 		is.Equal(gone[0].Target.ID, "b")
-		is.Equal(ids(s), []string{"a"})
+		is.Equal(targetIDs(s), []string{"a"})
 	})
 }
 
-func TestTargetThatLeavesInCalmTimesIsGoneAtOnce(t *testing.T) {
+func TestTargetThatLeavesWithoutAnOutageIsGoneAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(1)}, time.Now())
+		s.ApplyChanges(TargetChanges{Changes: additionsOf("a"), Revision: at(1)}, time.Now())
 		s.NoteReadFailure()
 		time.Sleep(s.lapseAfter)
 		s.NoteReadSuccess()
 		s.ApplyChanges(TargetChanges{Revision: at(1)}, time.Now())
 		time.Sleep(lapseGrace)
 		s.ApplyChanges(TargetChanges{Changes: removalOf("a"), Revision: at(2)}, time.Now())
-		is.Equal(ids(s), []string{})
+		is.Equal(targetIDs(s), []string{})
 	})
 }
 
-func TestNewsWakeWhoWaits(t *testing.T) {
+func TestUpdateEndsAWaitingPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyConfig(read(1, 3), time.Now())
-		s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(3)}, time.Now())
+		s.ApplyConfig(configRead(1, 3), time.Now())
+		s.ApplyChanges(TargetChanges{Changes: additionsOf("a"), Revision: at(3)}, time.Now())
 		got := make(chan Update, 1)
 		go func() { got <- s.AwaitUpdate(context.Background(), s.Cursor(), time.Minute) }()
 		synctest.Wait()
 		is.Equal(len(got), 0)
-		s.ApplyConfig(read(2, 4), time.Now())
-		n := <-got
-		is.Equal(n.Config.Version, uint64(2))
-		is.Equal(len(n.Changes), 0)
+		s.ApplyConfig(configRead(2, 4), time.Now())
+		u := <-got
+		is.Equal(u.Config.Version, uint64(2))
+		is.Equal(len(u.Changes), 0)
 
 		began := time.Now()
-		n = s.AwaitUpdate(context.Background(), s.Cursor(), time.Minute)
+		u = s.AwaitUpdate(context.Background(), s.Cursor(), time.Minute)
 		is.Equal(time.Since(began), time.Minute)
-		is.True(n.Config == nil)
-		is.True(!n.RegistryAsOf.IsZero()) // how old the beliefs are is told all the same
+		is.True(u.Config == nil)
+		is.True(!u.RegistryAsOf.IsZero()) // the ages are sent even without changes
 	})
 }
 
-// TestNewsCarryEverything lets one host learn from another only, through any
-// mix of changes, outages and lost replies, and compares what both believe.
-func TestNewsCarryEverything(t *testing.T) {
+// One host gets its state from another only, through any mix of changes, outages and lost replies,
+// and has the same state in the end.
+func TestUpdatesCarryAllState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := NewState(), NewState()
 		revision := uint64(0)
@@ -137,20 +136,20 @@
 			id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "target")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				first.ApplyChanges(TargetChanges{Changes: additionOf(id), Revision: at(revision)}, time.Now())
+				first.ApplyChanges(TargetChanges{Changes: additionsOf(id), Revision: at(revision)}, time.Now())
 			case 1:
 				first.ApplyChanges(TargetChanges{Changes: removalOf(id), Revision: at(revision)}, time.Now())
 			case 2:
-				first.ApplyConfig(read(revision, revision), time.Now())
+				first.ApplyConfig(configRead(revision, revision), time.Now())
 			case 3:
-				n, _ := first.updateSince(second.Cursor())
-				second.ApplyUpdate(n)
+				u, _ := first.updateSince(second.Cursor())
+				second.ApplyUpdate(u)
 			}
 		}
-		n, _ := first.updateSince(second.Cursor())
-		second.ApplyUpdate(n)
+		u, _ := first.updateSince(second.Cursor())
+		second.ApplyUpdate(u)
 		is := is.New(t)
-		is.Equal(ids(first), ids(second))
+		is.Equal(targetIDs(first), targetIDs(second))
 		a, _ := first.Table()
 		b, _ := second.Table()
 		is.Equal(a == nil, b == nil)
@@ -160,25 +159,26 @@
 	})
 }
 
-func TestHistoryThatIsNotKeptBringsTheWholeList(t *testing.T) {
+func TestTruncatedHistoryYieldsTheFullList(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.ApplyChanges(TargetChanges{Changes: additionOf("a"), Revision: at(1)}, time.Now())
+	s.ApplyChanges(TargetChanges{Changes: additionsOf("a"), Revision: at(1)}, time.Now())
 	for r := uint64(2); r < maxHistory+10; r += 2 {
-		s.ApplyChanges(TargetChanges{Changes: additionOf("b"), Revision: at(r)}, time.Now())
+		s.ApplyChanges(TargetChanges{Changes: additionsOf("b"), Revision: at(r)}, time.Now())
 		s.ApplyChanges(TargetChanges{Changes: removalOf("b"), Revision: at(r + 1)}, time.Now())
 	}
-	n, _ := s.updateSince(Cursor{RegistryRevision: at(2)})
-	is.True(n.AllTargets)
-	is.Equal(len(n.Changes), 1)
-	n, _ = s.updateSince(Cursor{RegistryRevision: at(s.Cursor().RegistryRevision.Number - 2)})
-	is.True(!n.AllTargets)
-	is.Equal(len(n.Changes), 2)
+	u, _ := s.updateSince(Cursor{RegistryRevision: at(2)})
+	is.True(u.AllTargets)
+	is.Equal(len(u.Changes), 1)
+	u, _ = s.updateSince(Cursor{RegistryRevision: at(s.Cursor().RegistryRevision.Number - 2)})
+	is.True(!u.AllTargets)
+	is.Equal(len(u.Changes), 2)
 }
 
-// A registration that another writer spoils takes its target out at once, also around an outage of
-// the store, in which those that lapse are kept; sound again it is back. It is told once.
-func TestRegistrationThatTurnsUnusableIsOutUntilItIsSound(t *testing.T) {
+// A registration that another program makes unusable removes its target at once, even around an
+// outage of the store, in which lapsed targets are kept. Once usable again it returns. The problem
+// is reported once.
+func TestUnusableRegistrationIsOutUntilItIsUsable(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	good := Target{ID: "a", Service: "s", Address: "h:1", Slots: 1}
@@ -187,19 +187,19 @@
 	is.Equal(len(s.ApplyTargets(TargetList{Targets: []Target{good, other}, Revision: at(1)}, now.Add(-s.lapseAfter))), 2)
 	s.NoteReadFailure()
 	s.NoteReadSuccess()
-	spoilt := TargetChange{Target: Target{ID: "a"}, Gone: true, Problem: "service: want the name of a service"}
-	told := s.ApplyChanges(TargetChanges{Changes: []TargetChange{spoilt}, Revision: at(2)}, now)
-	is.Equal(len(told), 2) // the target is gone, and why
+	unusable := TargetChange{Target: Target{ID: "a"}, Gone: true, Problem: "service: want the name of a service"}
+	changes := s.ApplyChanges(TargetChanges{Changes: []TargetChange{unusable}, Revision: at(2)}, now)
+	is.Equal(len(changes), 2) // the target is gone, and the problem
 	is.Equal(s.View().Targets, []Target{other})
-	is.Equal(len(s.ApplyChanges(TargetChanges{Changes: []TargetChange{spoilt}, Revision: at(3)}, now)), 0)
-	list := TargetList{Targets: []Target{other}, Unusable: []Unusable{{ID: "a", Problem: spoilt.Problem}}, Revision: at(4)}
+	is.Equal(len(s.ApplyChanges(TargetChanges{Changes: []TargetChange{unusable}, Revision: at(3)}, now)), 0)
+	list := TargetList{Targets: []Target{other}, Unusable: []Unusable{{ID: "a", Problem: unusable.Problem}}, Revision: at(4)}
 	is.Equal(len(s.ApplyTargets(list, now)), 0)
 	is.Equal(len(s.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: good}}, Revision: at(5)}, now)), 1)
 	is.Equal(len(s.View().Targets), 2)
-	is.Equal(len(s.ApplyChanges(TargetChanges{Changes: []TargetChange{spoilt}, Revision: at(6)}, now)), 2) // told again
+	is.Equal(len(s.ApplyChanges(TargetChanges{Changes: []TargetChange{unusable}, Revision: at(6)}, now)), 2) // reported again
 }
 
-// Registrations of other writers do not grow what a host remembers without bound.
+// Registrations by other programs must not grow a host's memory without limit.
 func TestUnusableRegistrationsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
@@ -210,9 +210,9 @@
 	is.True(len(s.unusable) <= maxUnusable)
 }
 
-// News of an incarnation that come late, from the store or from a host, do not take the place of
-// those of the next one.
-func TestOldNewsOfAnIncarnationDoNotComeBack(t *testing.T) {
+// Late changes or lists with an old incarnation, from the store or from a peer, must not replace
+// the next one.
+func TestOldIncarnationDoesNotReplaceANewerOne(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	first := Target{ID: "a", Service: "s", Address: "h:1", Slots: 1, Born: 1000}
--- a/internal/discovery/suspend_test.go
+++ b/internal/discovery/suspend_test.go
@@ -11,10 +11,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/event"
 )
 
-// A host that was suspended believes nothing older than its bound: to its steady clock no time has
-// passed, yet it is stale at once, asks the store though its peer is silent, and has what was changed
-// meanwhile in force within the bound.
-func TestHostThatWasSuspendedIsStaleUntilItHasAsked(t *testing.T) {
+// For a host that was suspended, no time has passed by the monotonic clock. Its state must still
+// count as stale at once, so that it reads the store although its peer does not answer, and applies
+// what changed meanwhile within the bound.
+func TestSuspendedHostIsStaleUntilItHasReadTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
@@ -30,7 +30,7 @@
 		is.NoErr(f.Start(t.Context()))
 		defer func() { is.NoErr(f.Stop(t.Context())) }()
 		time.Sleep(10 * time.Second)
-		is.True(!f.shouldReadStore()) // its peer tells it all
+		is.True(!f.shouldReadStore()) // it gets everything from its peer
 
 		peers.setCut(true)
 		store.write(2)
@@ -41,9 +41,9 @@
 	})
 }
 
-// An answer that came while the host was suspended proves what stood when the store gave it, which is
-// no later than the end of the time for which it was asked to wait.
-func TestWatchProvesNothingOfASuspension(t *testing.T) {
+// An answer that arrived while the host was suspended confirms the state as of the time the store
+// gave it, which is no later than the end of the watch's wait.
+func TestWatchConfirmsNothingDuringASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
@@ -51,23 +51,23 @@
 		state := NewState()
 		state.GoBy(machine)
 		f := NewFollower(cfg, nil, nil, state, event.Discard(), nil)
-		asked := machine.Now()
-		w := f.newWatch(asked)
+		requestedAt := machine.Now()
+		w := f.newWatch(requestedAt)
 		suspend(time.Minute)
-		is.Equal(w.currentAsOf(false), asked.Add(cfg.watchWait()))
+		is.Equal(w.currentAsOf(false), requestedAt.Add(cfg.watchWait()))
 		is.True(machine.Since(w.currentAsOf(false)) > cfg.staleAfter())
 	})
 }
 
-// A watcher that is suspended while it holds the question of a peer tells the age that its news have by
-// then, not the one that its steady clock knows of.
-func TestNewsOfAHostThatWasSuspendedTellTheirAge(t *testing.T) {
+// A watching host that is suspended while it holds a poll must reply with the age that its state
+// has by then, not with the age by its monotonic clock.
+func TestSuspendedHostReportsTheAgeOfItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		machine, suspend := clock.Virtual()
 		state := NewState()
 		state.GoBy(machine)
-		state.ApplyConfig(ConfigRead{Config: version(1), Found: true, Revision: at(1)}, machine.Now())
+		state.ApplyConfig(ConfigRead{Config: configVersion(1), Found: true, Revision: at(1)}, machine.Now())
 		suspend(time.Minute)
 		reply := encodeReply(state.AwaitUpdate(t.Context(), Cursor{}, time.Second), machine.Now(), machine.Now())
 		update, err := decodeReply(reply, time.Now(), time.Now())
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -12,8 +12,9 @@
 
 func inEra(era, number uint64) revision.Revision { return revision.Revision{Era: era, Number: number} }
 
-// A host is suspended while the tombstone of a target that left counts. It wakes after its end: what it believes is that old, and the
-// target is not used until the store is known to tell its registration still.
+// A host is suspended while the tombstone of a target that left is active, and wakes after the
+// tombstone's end. Its registry state is that old, so the target must not be used until the
+// registry has been confirmed to still contain it.
 func TestTombstoneOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
 	c, pass := clock.Virtual()
@@ -23,19 +24,19 @@
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: inEra(1, 9)}, c.Now())
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 6)}, c.Now())
-	asked := c.Now()
+	requestedAt := c.Now()
 	pass(20 * time.Second)
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 7)}, asked) // an answer from before
+	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 7)}, requestedAt) // an answer from before the suspension
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	s.ApplyChanges(TargetChanges{Revision: inEra(2, 7)}, c.Now()) // it still stands
+	s.ApplyChanges(TargetChanges{Revision: inEra(2, 7)}, c.Now()) // the registration still exists
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 1)
 }
 
-// The same with an evacuation that an older copy of the store lacks.
+// The same for an evacuation that is missing in an older copy of the store.
 func TestKeptEvacuationOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
 	c, pass := clock.Virtual()
@@ -47,7 +48,7 @@
 	pass(20 * time.Second)
 	s.ExpireEvacuations()
 	is.Equal(s.Evacuations(), []string{"d"})
-	s.ApplyEvacuationChanges(EvacuationChanges{Revision: inEra(2, 4)}, c.Now()) // nobody has written it again
+	s.ApplyEvacuationChanges(EvacuationChanges{Revision: inEra(2, 4)}, c.Now()) // not written again meanwhile
 	s.ExpireEvacuations()
 	is.Equal(len(s.Evacuations()), 0)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,8 +12,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// lateSource is a store whose answers to watches are under way for a time, as to a
-// host that was frozen.
+// lateSource is a store whose answers to watches of the configuration arrive late, as at a host
+// that was frozen.
 type lateSource struct {
 	*fakeStore
 	late time.Duration
@@ -26,9 +26,8 @@
 	return read, err
 }
 
-// An answer that was under way for long proves what stood when it was made, not
-// when it came.
-func TestWatchProvesNothingBeyondTheMomentOfItsAnswer(t *testing.T) {
+// An answer that was delayed confirms the state as of the time it was made, not of its arrival.
+func TestWatchConfirmsNothingAfterItsAnswerWasMade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -38,7 +37,7 @@
 		is.NoErr(f.Start(t.Context()))
 		time.Sleep(50 * time.Millisecond)
 		first := DefaultConfig().watchWait()
-		time.Sleep(first + 3*time.Second) // the first watch has ended, and its answer has come
+		time.Sleep(first + 3*time.Second) // the first watch has ended, and its answer has arrived
 		_, asOf := state.Table()
 		is.True(time.Since(asOf) >= 3*time.Second)
 		store.set(func() { store.unavailable = true })
@@ -46,8 +45,8 @@
 	})
 }
 
-// After a change a belief is as old as the watch that found it, so the next watch
-// is shorter: hosts that ask this one must not find it old.
+// After a change the state counts as confirmed at the beginning of the watch that found it, so the
+// next watch must be shorter: hosts that poll this one must not find its state stale.
 func TestWatchAfterAChangeIsShorter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
