--- a/internal/discovery/evacuation.go
+++ b/internal/discovery/evacuation.go
@@ -183,8 +183,8 @@
 
 // followEvacuations reads or watches the evacuations with one store call.
 func (f *Follower) followEvacuations(ctx context.Context, feed *feed) error {
-	known := f.state.Cursor().EvacuationRevision
-	if feed.mustList(known) {
+	cachedRevision := f.state.Cursor().EvacuationRevision
+	if feed.mustList(cachedRevision) {
 		requestedAt := f.state.clock.Now()
 		read, err := f.source.Evacuations(ctx)
 		if err != nil {
@@ -197,7 +197,7 @@
 		return nil
 	}
 	w := f.newWatch(f.state.evacuationsAsOf())
-	changes, err := f.source.WatchEvacuations(ctx, known, w.wait)
+	changes, err := f.source.WatchEvacuations(ctx, cachedRevision, w.wait)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/findings.go
+++ b/internal/discovery/findings.go
@@ -18,7 +18,7 @@
 	Age      time.Duration // since the finding was made
 }
 
-// maxFindings is how many findings are kept for peers.
+// maxFindings is how many findings are kept for peers, which have no use for older ones.
 const maxFindings = 256
 
 // findingTTL is the age from which a finding is no longer passed on: the target may have changed
--- a/internal/discovery/fleet_restore_test.go
+++ b/internal/discovery/fleet_restore_test.go
@@ -34,11 +34,11 @@
 
 // historyStep is one step of a history.
 type historyStep struct {
-	pause  time.Duration // before the step
-	action string
-	which  int           // index of a host, target or failure domain
-	older  int           // restore from this many copies before the newest one
-	lasts  time.Duration // of faults that end by themselves
+	pause    time.Duration // before the step
+	action   string
+	index    int           // index of a host, target or failure domain
+	older    int           // restore from this many copies before the newest one
+	duration time.Duration // of faults that end by themselves
 }
 
 var historyActions = []string{
@@ -47,11 +47,11 @@
 
 func drawStep(t *rapid.T) historyStep {
 	return historyStep{
-		pause:  time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond,
-		action: rapid.SampledFrom(historyActions).Draw(t, "action"),
-		which:  rapid.IntRange(0, 99).Draw(t, "which"),
-		older:  rapid.IntRange(0, keptCopies-1).Draw(t, "older"),
-		lasts:  time.Duration(rapid.IntRange(50, int(maxFaultTime.Milliseconds())).Draw(t, "lasts")) * time.Millisecond,
+		pause:    time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond,
+		action:   rapid.SampledFrom(historyActions).Draw(t, "action"),
+		index:    rapid.IntRange(0, 99).Draw(t, "which"),
+		older:    rapid.IntRange(0, keptCopies-1).Draw(t, "older"),
+		duration: time.Duration(rapid.IntRange(50, int(maxFaultTime.Milliseconds())).Draw(t, "lasts")) * time.Millisecond,
 	}
 }
 
@@ -73,7 +73,7 @@
 	store   *liveStore
 	mu      sync.Mutex // guards hosts
 	hosts   []*watchedHost
-	work    sync.WaitGroup
+	tasks   sync.WaitGroup
 	problem string // the first violated promise
 }
 
@@ -85,7 +85,7 @@
 
 // do runs one step. Faults with a duration continue during the next steps.
 func (h *restoreHistory) do(step historyStep) {
-	name, domain := targetNames[step.which%len(targetNames)], fmt.Sprintf("domain-%d", step.which%3)
+	name, domain := targetNames[step.index%len(targetNames)], fmt.Sprintf("domain-%d", step.index%3)
 	s := h.store
 	switch step.action {
 	case "configure":
@@ -110,7 +110,7 @@
 	case "start":
 		s.do(func() {
 			if _, lives := s.live[name]; !lives {
-				s.launch(step.which % len(targetNames))
+				s.launch(step.index % len(targetNames))
 			}
 		})
 	case "restore", "outage":
@@ -118,15 +118,15 @@
 		if step.action == "restore" {
 			older = step.older
 		}
-		h.work.Go(func() { s.runOutage(step.lasts, older) })
+		h.tasks.Go(func() { s.runOutage(step.duration, older) })
 	case "compact":
 		s.do(func() { s.compactedTo, s.stableSince = s.number, time.Now() })
 	case "evacuate", "end":
 		s.do(func() { s.evacuate(domain, step.action == "evacuate") })
 	case "kill":
-		h.restart(1+step.which%(len(h.hosts)-1), step.lasts)
+		h.restart(1+step.index%(len(h.hosts)-1), step.duration)
 	case "cut":
-		h.cutOff(step.which%len(h.hosts), step.lasts)
+		h.cutOff(step.index%len(h.hosts), step.duration)
 	}
 }
 
@@ -141,7 +141,7 @@
 		return // already down
 	}
 	host.kill(h.t)
-	h.work.Go(func() {
+	h.tasks.Go(func() {
 		time.Sleep(after)
 		restarted := h.startHost(i)
 		h.mu.Lock()
@@ -150,7 +150,7 @@
 	})
 }
 
-func (h *restoreHistory) cutOff(i int, lasts time.Duration) {
+func (h *restoreHistory) cutOff(i int, duration time.Duration) {
 	h.mu.Lock()
 	host := h.hosts[i]
 	h.mu.Unlock()
@@ -158,8 +158,8 @@
 		return
 	}
 	h.store.do(func() { host.cut = true })
-	h.work.Go(func() {
-		time.Sleep(lasts)
+	h.tasks.Go(func() {
+		time.Sleep(duration)
 		h.store.do(func() { host.cut, host.stableSince = false, time.Now() })
 	})
 }
@@ -217,24 +217,24 @@
 	host, s := h.hosts[i], h.store
 	hasPeerState := !host.cut && now.Sub(host.stableSince) > startGrace // hosts get state from each other even if the store is down
 	for _, t := range v.Targets {
-		one := incarnation(t)
-		left, hasLeft := s.leavingSince[one]
+		id := incarnation(t)
+		left, hasLeft := s.leavingSince[id]
 		if isStable && hasLeft && now.Sub(left) > changeBound && !t.Draining {
-			h.fail("host %d uses %v, which left %v ago", i, one, now.Sub(left))
+			h.fail("host %d uses %v, which left %v ago", i, id, now.Sub(left))
 		}
-		if host.left[one] && !t.Draining {
-			h.fail("host %d uses %v again after seeing it leave", i, one)
+		if host.left[id] && !t.Draining {
+			h.fail("host %d uses %v again after seeing it leave", i, id)
 		}
-		if hasPeerState && hasLeft && now.Sub(left) > changeBound && !t.Draining && h.hosts[0].left[one] && !host.state.isMissing(t.ID) {
-			h.fail("host %d uses %v, which left %v ago and which host 0 has seen leaving", i, one, now.Sub(left))
+		if hasPeerState && hasLeft && now.Sub(left) > changeBound && !t.Draining && h.hosts[0].left[id] && !host.state.isMissing(t.ID) {
+			h.fail("host %d uses %v, which left %v ago and which host 0 has seen leaving", i, id, now.Sub(left))
 		}
 		if t.Draining {
-			host.left[one] = true
+			host.left[id] = true
 		}
 	}
-	for _, one := range host.previous {
-		if !slices.ContainsFunc(v.Targets, func(t Target) bool { return incarnation(t) == one }) {
-			host.left[one] = true // removed
+	for _, id := range host.previous {
+		if !slices.ContainsFunc(v.Targets, func(t Target) bool { return incarnation(t) == id }) {
+			host.left[id] = true // removed
 		}
 	}
 	host.previous = host.previous[:0]
@@ -285,11 +285,11 @@
 		cfg.RegistrationBeat = unit.Duration(registrationBeat)
 		h := &restoreHistory{t: t, store: newLiveStore(), net: &simNet{hosts: map[string]*simHost{}, crossDomainBytes: map[string]int{}, cfg: &cfg}}
 		ctx, cancel := context.WithCancel(t.Context())
-		h.work.Go(func() { h.store.run(ctx) })
+		h.tasks.Go(func() { h.store.run(ctx) })
 		for i := range n {
 			h.hosts = append(h.hosts, h.startHost(i))
 		}
-		h.work.Go(func() {
+		h.tasks.Go(func() {
 			for ctx.Err() == nil && h.problem == "" {
 				time.Sleep(viewCheckInterval)
 				h.check()
@@ -303,7 +303,7 @@
 		time.Sleep(maxKeptTime)
 		h.checkSettled()
 		cancel()
-		h.work.Wait()
+		h.tasks.Wait()
 		for _, host := range h.hosts {
 			if err := errors.Join(host.follower.Stop(context.Background()), host.members.Stop(context.Background())); err != nil {
 				t.Error(err)
--- a/internal/discovery/livestore_test.go
+++ b/internal/discovery/livestore_test.go
@@ -104,9 +104,9 @@
 
 // setEvacuated makes the stored evacuations equal to the wanted ones.
 func (s *liveStore) setEvacuated(want map[string]bool) {
-	held := s.evacuations.at(s.number)
+	stored := s.evacuations.at(s.number)
 	for _, domain := range []string{"domain-0", "domain-1", "domain-2"} {
-		if want[domain] != slices.Contains(held, domain) {
+		if want[domain] != slices.Contains(stored, domain) {
 			s.number++
 			s.evacuations.write(s.number, domain, !want[domain])
 		}
@@ -187,13 +187,13 @@
 	for {
 		s.mu.Lock()
 		changed, unavailable := s.changed, s.unavailable
-		isGone := after.Era != s.era || s.number < after.Number || after.Number < s.compactedTo
+		historyGone := after.Era != s.era || s.number < after.Number || after.Number < s.compactedTo
 		ready := s.number > after.Number
 		s.mu.Unlock()
 		switch {
 		case unavailable:
 			return errUnavailable
-		case isGone:
+		case historyGone:
 			return ErrHistoryGone
 		case ready:
 			return nil
@@ -215,11 +215,11 @@
 }
 
 // startCall takes the time of a call, and fails if the store is unavailable or the host is cut off.
-func (w hostStore) startCall() error {
+func (h hostStore) startCall() error {
 	time.Sleep(storeCallTime)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.unavailable || *w.cut {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.unavailable || *h.cut {
 		return errUnavailable
 	}
 	return nil
@@ -248,37 +248,37 @@
 	return read(), nil
 }
 
-func (w hostStore) Config(ctx context.Context) (ConfigRead, error) {
-	return callStore(ctx, w, revision.Revision{}, 0, func() ConfigRead {
-		return ConfigRead{Config: configVersion(w.version), Found: w.version > 0, Listed: true, Revision: w.at()}
+func (h hostStore) Config(ctx context.Context) (ConfigRead, error) {
+	return callStore(ctx, h, revision.Revision{}, 0, func() ConfigRead {
+		return ConfigRead{Config: configVersion(h.version), Found: h.version > 0, Listed: true, Revision: h.at()}
 	})
 }
 
-func (w hostStore) WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error) {
-	return callStore(ctx, w, after, wait, func() ConfigRead {
-		return ConfigRead{Config: configVersion(w.version), Found: w.version > 0 && w.at() != after, Revision: w.at()}
+func (h hostStore) WatchConfig(ctx context.Context, after revision.Revision, wait time.Duration) (ConfigRead, error) {
+	return callStore(ctx, h, after, wait, func() ConfigRead {
+		return ConfigRead{Config: configVersion(h.version), Found: h.version > 0 && h.at() != after, Revision: h.at()}
 	})
 }
 
-func (w hostStore) Targets(ctx context.Context) (TargetList, error) {
-	return callStore(ctx, w, revision.Revision{}, 0, w.list)
+func (h hostStore) Targets(ctx context.Context) (TargetList, error) {
+	return callStore(ctx, h, revision.Revision{}, 0, h.list)
 }
 
-func (w hostStore) WatchTargets(ctx context.Context, after revision.Revision, wait time.Duration) (TargetChanges, error) {
-	return callStore(ctx, w, after, wait, func() TargetChanges {
-		changes, _ := w.watch(after)
+func (h hostStore) WatchTargets(ctx context.Context, after revision.Revision, wait time.Duration) (TargetChanges, error) {
+	return callStore(ctx, h, after, wait, func() TargetChanges {
+		changes, _ := h.watch(after)
 		return changes
 	})
 }
 
-func (w hostStore) Evacuations(ctx context.Context) (EvacuationRead, error) {
-	return callStore(ctx, w, revision.Revision{}, 0, func() EvacuationRead {
-		return EvacuationRead{Domains: w.evacuations.at(w.number), Revision: w.at()}
+func (h hostStore) Evacuations(ctx context.Context) (EvacuationRead, error) {
+	return callStore(ctx, h, revision.Revision{}, 0, func() EvacuationRead {
+		return EvacuationRead{Domains: h.evacuations.at(h.number), Revision: h.at()}
 	})
 }
 
-func (w hostStore) WatchEvacuations(ctx context.Context, after revision.Revision, wait time.Duration) (EvacuationChanges, error) {
-	return callStore(ctx, w, after, wait, func() EvacuationChanges {
-		return EvacuationChanges{Changes: w.evacuations.since(after.Number, w.number).Changes, Revision: w.at()}
+func (h hostStore) WatchEvacuations(ctx context.Context, after revision.Revision, wait time.Duration) (EvacuationChanges, error) {
+	return callStore(ctx, h, after, wait, func() EvacuationChanges {
+		return EvacuationChanges{Changes: h.evacuations.since(after.Number, h.number).Changes, Revision: h.at()}
 	})
 }
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -117,18 +117,18 @@
 }
 
 // Poll implements Peers. After a failed poll or a stale reply the next poll goes to another host.
-func (s *Spread) Poll(ctx context.Context, position Cursor, wait time.Duration) (Update, error) {
-	watcher, cursor, err := s.choosePeer()
+func (s *Spread) Poll(ctx context.Context, cursor Cursor, wait time.Duration) (Update, error) {
+	watcher, watcherCursor, err := s.choosePeer()
 	if err != nil {
 		return Update{}, err
 	}
 	requestedAt := s.state.clock.Now()
 	req := &peerpb.FollowRequest{
-		WaitUs: wait.Microseconds(), PermitNumber: cursor.permitNumber, KeptNumber: cursor.keptNumber,
-		FindingEpoch: cursor.findingEpoch, FindingNumber: cursor.findingNumber,
-		RequestEpoch: cursor.requests.Epoch, RequestNumber: cursor.requests.Number,
+		WaitUs: wait.Microseconds(), PermitNumber: watcherCursor.permitNumber, KeptNumber: watcherCursor.keptNumber,
+		FindingEpoch: watcherCursor.findingEpoch, FindingNumber: watcherCursor.findingNumber,
+		RequestEpoch: watcherCursor.requests.Epoch, RequestNumber: watcherCursor.requests.Number,
 	}
-	encodeRequestRevisions(position, req)
+	encodeRequestRevisions(cursor, req)
 	reply, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, watcher.Peer)).Follow(ctx, req)
 	if err != nil {
 		s.noteReply(watcher.ID, nil)
--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -157,7 +157,7 @@
 }
 
 // MayPermit returns the era of the registry, and whether permits of that era may be written and
-// used: that is after those of earlier eras have become invalid on all hosts.
+// used. They may once those of earlier eras have become invalid on all hosts.
 func (s *State) MayPermit() (era uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
