--- a/internal/discovery/cold_test.go
+++ b/internal/discovery/cold_test.go
@@ -12,8 +12,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// coldFor returns how long a host takes a target to stay cold.
-func coldFor(s *State, id string) time.Duration {
+// remainingWarmup returns the remaining warm-up time of a target in a host's state, -1 if there is
+// no such target.
+func remainingWarmup(s *State, id string) time.Duration {
 	for _, t := range s.View().Targets {
 		if t.ID == id {
 			return max(time.Until(t.ColdUntil), 0)
@@ -22,54 +23,56 @@
 	return -1
 }
 
-func registered(warmup time.Duration, revision uint64) TargetChanges {
+// registrationOf returns the registration of target a with a warm-up time, as a change at a
+// revision.
+func registrationOf(warmup time.Duration, revision uint64) TargetChanges {
 	return TargetChanges{Changes: []TargetChange{{Target: Target{ID: "a", Warmup: warmup}}}, Revision: at(revision)}
 }
 
-// A target is cold until the time of its registration is over. It says how long at each beat; that is no news, but that it is warm
-// early, or cold again, is.
+// A target is cold until the warm-up time of its registration has passed. Every registration
+// repeats the remaining time; only an early end or a new start of the warm-up is a change.
 func TestTargetIsColdAsItsRegistrationSays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
 		changed := func(warmup time.Duration, revision uint64) bool {
-			return len(s.ApplyChanges(registered(warmup, revision), time.Now())) > 0
+			return len(s.ApplyChanges(registrationOf(warmup, revision), time.Now())) > 0
 		}
 		is.True(changed(3*time.Second, 1))
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 		time.Sleep(time.Second)
-		is.True(!changed(2100*time.Millisecond, 2)) // the beat was under way
-		is.Equal(coldFor(s, "a"), 2*time.Second)
+		is.True(!changed(2100*time.Millisecond, 2)) // within the tolerance for transit
+		is.Equal(remainingWarmup(s, "a"), 2*time.Second)
 		time.Sleep(time.Second)
-		is.True(changed(0, 3)) // warm early
-		is.Equal(coldFor(s, "a"), time.Duration(0))
-		is.True(changed(3*time.Second, 4)) // cold again
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.True(changed(0, 3)) // early end
+		is.Equal(remainingWarmup(s, "a"), time.Duration(0))
+		is.True(changed(3*time.Second, 4)) // new start
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 		time.Sleep(4 * time.Second)
 		is.True(!changed(0, 5))
 		is.True(changed(2*time.Second, 6))
-		is.Equal(coldFor(s, "a"), 2*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 2*time.Second)
 	})
 }
 
-// News that come late never make a cold target warm.
-func TestOldNewsMakeNoTargetWarm(t *testing.T) {
+// Late changes and lists never make a cold target warm.
+func TestOldUpdatesMakeNoTargetWarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewState()
-		s.ApplyChanges(registered(0, 1), time.Now())
-		s.ApplyChanges(registered(3*time.Second, 5), time.Now())
-		s.ApplyChanges(registered(0, 4), time.Now())
+		s.ApplyChanges(registrationOf(0, 1), time.Now())
+		s.ApplyChanges(registrationOf(3*time.Second, 5), time.Now())
+		s.ApplyChanges(registrationOf(0, 4), time.Now())
 		s.ApplyTargets(TargetList{Targets: []Target{{ID: "a"}}, Revision: at(3)}, time.Now())
-		is.Equal(coldFor(s, "a"), 3*time.Second)
+		is.Equal(remainingWarmup(s, "a"), 3*time.Second)
 	})
 }
 
-// exchange lets one host ask another, as over the network.
-func exchange(t *testing.T, from, to *State) {
+// pollOnce applies at one host the reply of another, encoded and decoded as on the network.
+func pollOnce(t *testing.T, from, to *State) {
 	t.Helper()
-	news, _ := from.newsSince(to.Known())
-	reply := writeReply(news, time.Now(), time.Now())
+	update, _ := from.updateSince(to.Cursor())
+	reply := encodeReply(update, time.Now(), time.Now())
 	text, err := proto.Marshal(reply)
 	if err != nil {
 		t.Fatal(err)
@@ -78,43 +81,43 @@
 	if err := proto.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
-	read, err := readReply(&got, time.Now(), time.Now())
+	read, err := decodeReply(&got, time.Now(), time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	to.ApplyNews(read)
+	to.ApplyUpdate(read)
 }
 
-// A peer is told how much longer a target stays cold, not how long it was to stay so when it registered.
-func TestPeersAreToldHowMuchLongerATargetIsCold(t *testing.T) {
+// A peer gets the remaining warm-up time as of the reply, not the one as of the registration.
+func TestPeersGetTheRemainingWarmup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, listed := range []bool{true, false} {
 			first, second := NewState(), NewState()
 			first.ApplyTargets(TargetList{Revision: at(1)}, time.Now())
 			second.ApplyTargets(TargetList{Revision: at(1)}, time.Now())
-			first.ApplyChanges(registered(3*time.Second, 5), time.Now())
+			first.ApplyChanges(registrationOf(3*time.Second, 5), time.Now())
 			if listed {
-				second = NewState() // is told everything
+				second = NewState() // without state it gets the full list
 			}
 			time.Sleep(2 * time.Second)
-			exchange(t, first, second)
-			is.Equal(coldFor(second, "a"), time.Second)
+			pollOnce(t, first, second)
+			is.Equal(remainingWarmup(second, "a"), time.Second)
 			time.Sleep(2 * time.Second)
 			third := NewState()
-			exchange(t, second, third)
-			is.Equal(coldFor(third, "a"), time.Duration(0))
+			pollOnce(t, second, third)
+			is.Equal(remainingWarmup(third, "a"), time.Duration(0))
 		}
 	})
 }
 
-// Permits reach peers, each once, and never change in an era. In another one they do not count.
-func TestPermitsAreToldAndStay(t *testing.T) {
+// Permits reach each peer once and never change within an era. In another era they are not valid.
+func TestPermitsReachPeersAndNeverChange(t *testing.T) {
 	is := is.New(t)
 	first, second := NewState(), NewState()
 	first.ApplyTargets(TargetList{Revision: at(1)}, time.Now())
 	first.ApplyPermits([]Permit{{Target: "a", Hosts: []string{"x", "y"}, Each: 3, Era: 1}})
-	exchange(t, first, second)
+	pollOnce(t, first, second)
 	is.Equal(second.View().Permits["a"].Of("x"), 3)
 	is.Equal(second.View().Permits["a"].Of("z"), 0)
 	second.ApplyPermits([]Permit{{Target: "a", Hosts: []string{"z"}, Each: 5, Era: 1}})
@@ -125,21 +128,22 @@
 	is.Equal(len(third.View().Permits), 0)
 	third.ApplyPermits([]Permit{{Target: "a", Hosts: []string{"z"}, Each: 5, Era: 2}})
 	is.Equal(third.View().Permits["a"].Of("z"), 5)
-	news, _ := first.newsSince(Known{FindingEpoch: first.findings.epoch, PermitNumber: 1})
-	is.Equal(len(news.Permits), 0)
-	news, _ = first.newsSince(Known{FindingEpoch: first.findings.epoch + 1, PermitNumber: 1}) // of an earlier process
-	is.Equal(len(news.Permits), 1)
+	update, _ := first.updateSince(Cursor{FindingEpoch: first.findings.epoch, PermitNumber: 1})
+	is.Equal(len(update.Permits), 0)
+	update, _ = first.updateSince(Cursor{FindingEpoch: first.findings.epoch + 1, PermitNumber: 1}) // cursor of an earlier process
+	is.Equal(len(update.Permits), 1)
 }
 
-// A host that starts is told which evacuations have just ended: targets there may have become cold meanwhile.
-func TestPeersAreToldWhichEvacuationsHaveEnded(t *testing.T) {
+// A starting host gets the evacuations that have just ended, as targets there may have become cold
+// meanwhile.
+func TestPeersGetTheEndsOfEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		first, second := NewState(), NewState()
 		first.ApplyEvacuations(EvacuationRead{Domains: []string{"d"}, Revision: at(1)}, time.Now())
 		first.ApplyEvacuations(EvacuationRead{Revision: at(2)}, time.Now())
 		time.Sleep(time.Second)
-		exchange(t, first, second)
+		pollOnce(t, first, second)
 		is.Equal(time.Since(second.View().EvacuationEnds["d"]), time.Second)
 	})
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -16,21 +16,21 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-// fakeStore is a Source with the faults of a store.
+// fakeStore is a Source that simulates faults of a store.
 type fakeStore struct {
-	mu       sync.Mutex
-	config   routing.Config
-	revision uint64
-	restores uint64 // of an older copy; the era counts from 1
-	written  uint64 // revision of the configuration
-	changed  chan struct{}
-	away     bool
-	deaf     bool
-	gone     uint64 // history up to this revision is gone
-	calls    int
-	lists    int // of these, for the registry or a page of it
+	mu             sync.Mutex
+	config         routing.Config
+	revision       uint64
+	restores       uint64 // from an older copy; the era counts from 1
+	configRevision uint64 // at which the configuration was written
+	changed        chan struct{}
+	unavailable    bool
+	missesChanges  bool   // watches do not return on changes
+	compactedTo    uint64 // history up to this revision is not available
+	calls          int
+	listCalls      int // of these, full reads of the registry or of one page of it
 
 	evacuations evacuationLog
 }
@@ -41,13 +41,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision++
-	f.written = f.revision
-	f.config = version(v)
+	f.configRevision = f.revision
+	f.config = configVersion(v)
 	f.wakeLocked()
 }
 
 func (f *fakeStore) wakeLocked() {
-	if !f.deaf {
+	if !f.missesChanges {
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
@@ -60,31 +60,31 @@
 	f.wakeLocked()
 }
 
-// at returns a revision in the present era. The lock is held.
+// at returns a revision of the current era. The caller holds the lock.
 func (f *fakeStore) at(number uint64) revision.Revision {
 	return revision.Revision{Era: 1 + f.restores, Number: number}
 }
 
-// restore takes the store back by some revisions.
+// restore takes the store back by a number of revisions, into a new era.
 func (f *fakeStore) restore(by uint64) {
 	f.set(func() {
 		f.restores++
 		f.revision -= by
-		f.written = min(f.written, f.revision)
+		f.configRevision = min(f.configRevision, f.revision)
 	})
 }
 
-// called returns the calls so far.
-func (f *fakeStore) called() int {
+// callCount returns the number of calls so far.
+func (f *fakeStore) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-func (f *fakeStore) begin() error {
+func (f *fakeStore) countCall() error {
 	f.calls++
-	if f.away {
-		return errAway
+	if f.unavailable {
+		return errUnavailable
 	}
 	return nil
 }
@@ -92,23 +92,23 @@
 func (f *fakeStore) Config(context.Context) (ConfigRead, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.begin()
-	return ConfigRead{Config: f.config, Found: f.written > 0, Listed: true, Revision: f.at(f.revision)}, err
+	err := f.countCall()
+	return ConfigRead{Config: f.config, Found: f.configRevision > 0, Listed: true, Revision: f.at(f.revision)}, err
 }
 
-// wait returns when something changes, or after the wait.
+// wait returns on a change after a revision, or after the wait.
 func (f *fakeStore) wait(ctx context.Context, since revision.Revision, wait time.Duration) (uint64, error) {
 	after := since.Number
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	f.mu.Lock()
-	err := f.begin()
+	err := f.countCall()
 	for {
 		changed, revision := f.changed, f.revision
-		if err == nil && (after < f.gone || since.Era != 1+f.restores) {
+		if err == nil && (after < f.compactedTo || since.Era != 1+f.restores) {
 			err = ErrHistoryGone
 		}
-		if f.deaf {
+		if f.missesChanges {
 			revision = after
 		}
 		f.mu.Unlock()
@@ -123,8 +123,8 @@
 			return 0, ctx.Err()
 		}
 		f.mu.Lock()
-		if f.away {
-			err = errAway
+		if f.unavailable {
+			err = errUnavailable
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	reached, err := f.wait(ctx, since, wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err != nil || reached <= after || f.written <= after {
+	if err != nil || reached <= after || f.configRevision <= after {
 		return ConfigRead{Revision: f.at(reached)}, err
 	}
 	return ConfigRead{Config: f.config, Found: true, Revision: f.at(reached)}, nil
@@ -143,8 +143,8 @@
 func (f *fakeStore) Targets(context.Context) (TargetList, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lists++
-	return TargetList{Revision: f.at(f.revision)}, f.begin()
+	f.listCalls++
+	return TargetList{Revision: f.at(f.revision)}, f.countCall()
 }
 
 func (f *fakeStore) WatchTargets(ctx context.Context, since revision.Revision, wait time.Duration) (TargetChanges, error) {
@@ -154,45 +154,47 @@
 	return TargetChanges{Revision: f.at(reached)}, err
 }
 
-// fakePeers is a host's way to one that watches.
+// fakePeers connects a host to one watching host.
 type fakePeers struct {
 	watches bool
 	watcher *State
 	mu      sync.Mutex
-	cut     bool
+	isCut   bool
 }
 
 func (f *fakePeers) Watches() bool { return f.watches }
 
-// Hosts is that of a large fleet, in which calls are spaced.
+// Hosts returns the size of a large fleet, in which failed calls are spaced.
 func (f *fakePeers) Hosts() int { return 71 }
 
-// Turn is that of one that several others come before.
-func (f *fakePeers) Turn() int { return 4 }
+// Rank puts several hosts before this one.
+func (f *fakePeers) Rank() int { return 4 }
 
 func (f *fakePeers) Isolated() bool                                        { return false }
-func (f *fakePeers) TellRequests(context.Context, []quarantine.Record) int { return 0 }
-func (f *fakePeers) TellFindings(_ context.Context, all []Finding)         { f.watcher.spreadFindings(all) }
+func (f *fakePeers) SendRequests(context.Context, []quarantine.Record) int { return 0 }
+func (f *fakePeers) SendFindings(_ context.Context, all []Finding)         { f.watcher.publishFindings(all) }
 
-// Contacts returns none: the one peer is asked for news.
-func (f *fakePeers) Contacts() []string                                  { return nil }
-func (f *fakePeers) Recall(context.Context, string, Known) (News, error) { return News{}, errAway }
+// BootstrapContacts returns none: the one peer is polled for updates.
+func (f *fakePeers) BootstrapContacts() []string { return nil }
+func (f *fakePeers) FetchState(context.Context, string, Cursor) (Update, error) {
+	return Update{}, errUnavailable
+}
 
 func (f *fakePeers) setCut(cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = cut
+	f.isCut = cut
 }
 
-func (f *fakePeers) News(ctx context.Context, than Known, wait time.Duration) (News, error) {
+func (f *fakePeers) Poll(ctx context.Context, than Cursor, wait time.Duration) (Update, error) {
 	f.mu.Lock()
-	cut := f.cut
+	cut := f.isCut
 	f.mu.Unlock()
 	if cut {
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return Update{}, ctx.Err()
 	}
-	return f.watcher.AwaitNews(ctx, than, wait), nil
+	return f.watcher.AwaitUpdate(ctx, than, wait), nil
 }
 
 func startFollower(t *testing.T, store Source, peers Peers) (*State, func()) {
@@ -214,8 +216,8 @@
 	}
 }
 
-// inForceAfter returns how long it takes until a version is in force.
-func inForceAfter(s *State, v uint64) time.Duration {
+// timeUntilApplied returns how long it takes until a version is in force.
+func timeUntilApplied(s *State, v uint64) time.Duration {
 	began := time.Now()
 	for time.Since(began) < time.Minute {
 		if table, _ := s.Table(); table != nil && table.Config.Version >= v {
@@ -233,22 +235,22 @@
 		do   func(store *fakeStore, peers *fakePeers)
 	}{
 		{"calm", func(store *fakeStore, _ *fakePeers) { store.write(2) }},
-		{"the watches are deaf for a second", func(store *fakeStore, _ *fakePeers) {
-			store.set(func() { store.deaf = true })
+		{"the watches miss changes for a second", func(store *fakeStore, _ *fakePeers) {
+			store.set(func() { store.missesChanges = true })
 			store.write(2)
-			time.AfterFunc(time.Second, func() { store.set(func() { store.deaf, store.gone = false, store.revision }) })
+			time.AfterFunc(time.Second, func() { store.set(func() { store.missesChanges, store.compactedTo = false, store.revision }) })
 		}},
-		{"the history is dropped", func(store *fakeStore, _ *fakePeers) {
+		{"the history is compacted", func(store *fakeStore, _ *fakePeers) {
 			store.write(2)
-			store.set(func() { store.gone = store.revision + 1; store.revision++ })
+			store.set(func() { store.compactedTo = store.revision + 1; store.revision++ })
 		}},
-		{"the history is dropped and the way to the peer is cut", func(store *fakeStore, peers *fakePeers) {
+		{"the history is compacted and the connection to the peer is cut", func(store *fakeStore, peers *fakePeers) {
 			peers.setCut(true)
-			time.Sleep(5 * time.Second) // both ask the store by now
+			time.Sleep(5 * time.Second) // both hosts read the store by now
 			store.write(2)
-			store.set(func() { store.gone = store.revision + 1; store.revision++ })
+			store.set(func() { store.compactedTo = store.revision + 1; store.revision++ })
 		}},
-		{"the way to the peer is cut", func(store *fakeStore, peers *fakePeers) {
+		{"the connection to the peer is cut", func(store *fakeStore, peers *fakePeers) {
 			peers.setCut(true)
 			store.write(2)
 		}},
@@ -266,7 +268,7 @@
 				time.Sleep(10 * time.Second)
 				tc.do(store, peers)
 				for name, s := range map[string]*State{"watcher": watcher, "other": other} {
-					if took := inForceAfter(s, 2); took > bound {
+					if took := timeUntilApplied(s, 2); took > bound {
 						t.Errorf("%s: in force after %s, want %s", name, took, bound)
 					}
 				}
@@ -275,41 +277,40 @@
 	}
 }
 
-// After a loss of power the host that should know may be away and answer
-// nothing.
-func TestHostThatKnowsNothingSoonAsksTheStore(t *testing.T) {
+// After a power loss the watching host may be down and not answer.
+func TestHostWithoutStateReadsTheStoreSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
 		store.write(1)
-		peers := &fakePeers{watcher: NewState(), cut: true}
+		peers := &fakePeers{watcher: NewState(), isCut: true}
 		s, stop := startFollower(t, store, peers)
 		defer stop()
-		is.True(inForceAfter(s, 1) < 2*coldGrace)
+		is.True(timeUntilApplied(s, 1) < 2*coldPeerGrace)
 	})
 }
 
-// A host that the store turns away gets its news from one that it serves.
-func TestHostThatTheStoreTurnsAwayFollowsItsPeer(t *testing.T) {
+// A host that the store refuses gets updates from one that it serves.
+func TestHostThatTheStoreRefusesFollowsItsPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, turnedAway := newFakeStore(), newFakeStore()
-		turnedAway.away = true
+		store, refusing := newFakeStore(), newFakeStore()
+		refusing.unavailable = true
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		other, stopOther := startFollower(t, turnedAway, &fakePeers{watcher: watcher})
+		other, stopOther := startFollower(t, refusing, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(time.Second)
 		store.write(2)
-		is.True(inForceAfter(other, 2) < DefaultConfig().ApplyWithin.Std())
+		is.True(timeUntilApplied(other, 2) < DefaultConfig().ApplyWithin.Std())
 		time.Sleep(time.Minute)
 		is.True(time.Since(other.Freshness()) < DefaultConfig().staleAfter())
 	})
 }
 
-// The calls to the store must not grow with the hosts.
-func TestHostsThatFollowAPeerSpareTheStore(t *testing.T) {
+// The number of store calls must not grow with the number of hosts.
+func TestHostsThatPollAPeerMakeFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store, unused := newFakeStore(), newFakeStore()
@@ -320,30 +321,30 @@
 		_, stopOther := startFollower(t, unused, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(time.Minute)
-		is.True(unused.called() <= 4)  // at the start, before there was news
-		is.True(store.called() <= 150) // two kinds, one watch a second each
+		is.True(unused.callCount() <= 4)  // at the start, before the first update
+		is.True(store.callCount() <= 150) // two feeds, one watch a second each
 	})
 }
 
-// Configuration and targets are both known soon after the store is back.
-func TestBothBeliefsAreReadOnceTheStoreIsBack(t *testing.T) {
+// Configuration and targets are both read soon after the end of an outage.
+func TestConfigurationAndTargetsAreReadOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
 		store.write(1)
-		store.set(func() { store.away = true })
+		store.set(func() { store.unavailable = true })
 		s, stop := startFollower(t, store, nil)
 		defer stop()
 		time.Sleep(10*time.Second + 17*time.Millisecond)
-		store.set(func() { store.away = false })
-		time.Sleep(DefaultConfig().RetryMost.Std()*3/2 + time.Millisecond) // pauses are spread by half
+		store.set(func() { store.unavailable = false })
+		time.Sleep(DefaultConfig().RetryMost.Std()*3/2 + time.Millisecond) // delays are randomized by up to half
 		is.True(!s.Freshness().IsZero())
 		v := s.View()
 		is.True(v.RegistryAsOf.Sub(v.ConfigAsOf).Abs() < 20*time.Millisecond)
 	})
 }
 
-// While the store is away the calls are paid for, too.
+// Calls during an outage are billed, too.
 func TestCallsDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -351,15 +352,15 @@
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		away := newFakeStore()
-		_, stopOther := startFollower(t, away, &fakePeers{watcher: watcher})
+		otherStore := newFakeStore()
+		_, stopOther := startFollower(t, otherStore, &fakePeers{watcher: watcher})
 		defer stopOther()
 		time.Sleep(10 * time.Second)
-		store.set(func() { store.away = true })
-		away.set(func() { away.away = true })
-		watcherCalls, otherCalls := store.called(), away.called()
+		store.set(func() { store.unavailable = true })
+		otherStore.set(func() { otherStore.unavailable = true })
+		watcherCalls, otherCalls := store.callCount(), otherStore.callCount()
 		time.Sleep(10 * time.Second)
-		is.True(store.called()-watcherCalls <= 100)
-		is.True(away.called()-otherCalls <= 30)
+		is.True(store.callCount()-watcherCalls <= 100)
+		is.True(otherStore.callCount()-otherCalls <= 30)
 	})
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -11,8 +11,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/quarantine"
 )
 
-// Whatever another host tells, it is taken or refused, and what is believed stays sound.
-func FuzzNewsOfAPeer(f *testing.F) {
+// Any reply of a peer is either refused or applied, and leaves a consistent state.
+func FuzzReplyOfAPeer(f *testing.F) {
 	add := func(m *peerpb.FollowReply) {
 		text, err := proto.Marshal(m)
 		if err != nil {
@@ -32,24 +32,24 @@
 		if proto.Unmarshal(text, &reply) != nil {
 			t.Skip("not a message")
 		}
-		news, err := readReply(&reply, time.Now(), time.Now())
+		update, err := decodeReply(&reply, time.Now(), time.Now())
 		if err != nil {
 			return
 		}
 		s := NewState()
 		s.ShareRequests(quarantine.NewTable(quarantine.DefaultConfig(), event.Discard()))
-		s.ApplyNews(news)
-		s.ApplyNews(news)
-		s.mergeRequests(news.Requests)
-		s.spreadFindings(news.Findings)
+		s.ApplyUpdate(update)
+		s.ApplyUpdate(update)
+		s.mergeRequests(update.Requests)
+		s.publishFindings(update.Findings)
 		view := s.View()
 		for _, target := range view.Targets {
-			if view.RegistryRevision.Before(news.RegistryRevision) {
-				t.Fatalf("target %+v of a revision that is not known", target)
+			if view.RegistryRevision.Before(update.RegistryRevision) {
+				t.Fatalf("target %+v of a revision newer than the cached one", target)
 			}
 		}
-		if _, changed := s.newsSince(Known{}); changed == nil {
-			t.Fatal("nobody would hear of the next change")
+		if _, changed := s.updateSince(Cursor{}); changed == nil {
+			t.Fatal("polls are not woken by the next change")
 		}
 	})
 }
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -11,10 +11,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// The store is away for some seconds and comes back from an older copy. That takes few calls more than the same outage
-// without: each host that watches reads everything once. The versions that follow are in force everywhere in time.
+// The store is down for some seconds and is restored from an older copy. This takes few calls more
+// than the outage alone, as each watching host reads everything once. Later versions are in force
+// on every host in time.
 func TestRestoreOfTheStoreTakesFewCalls(t *testing.T) {
-	const lost = 3 // revisions
+	const lostRevisions = 3
 	for _, n := range []int{7, 65, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			calls := map[bool]int{}
@@ -22,23 +23,23 @@
 				withFleet(t, n, time.Second, func(net *simNet, store *fakeStore, all []*simHost) {
 					is := is.New(t)
 					time.Sleep(10 * time.Second)
-					for range lost {
+					for range lostRevisions {
 						store.set(func() { store.revision++ })
 					}
 					time.Sleep(2 * time.Second)
-					before := store.called()
-					store.set(func() { store.away = true })
+					before := store.callCount()
+					store.set(func() { store.unavailable = true })
 					time.Sleep(4500 * time.Millisecond)
 					if restored {
-						store.restore(lost)
+						store.restore(lostRevisions)
 					}
-					store.set(func() { store.away = false })
+					store.set(func() { store.unavailable = false })
 					time.Sleep(2 * time.Second)
-					calls[restored] = store.called() - before
-					for v := range uint64(2 * lost) {
+					calls[restored] = store.callCount() - before
+					for v := range uint64(2 * lostRevisions) {
 						store.set(func() {
 							store.revision++
-							store.written = store.revision
+							store.configRevision = store.revision
 							store.config = manyRoutes(2 + v)
 						})
 						time.Sleep(largeSite().ApplyWithin.Std() / 2)
@@ -49,47 +50,50 @@
 					}
 				})
 			}
-			watching := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*leastDomain), 1)
-			pages := (fleetTargets-1)/pageOfTargets + 1 + 1 // of the registry, and the configuration
-			t.Logf("%d hosts: %d calls around an outage of 4.5 s, %d with a restore; at most %d hosts watch", n, calls[false], calls[true], watching)
-			drawn := calls[false] / 10 // pauses between failed calls are drawn anew
-			if calls[true] > calls[false]+drawn+watching*(pages+2) {
+			watcherCount := 1 + n/96 + fleetDomains*2*min(n/(fleetDomains*minOwnGroupHosts), 1)
+			pages := (fleetTargets-1)/targetsPerPage + 1 + 1 // of the registry, and one call for the configuration
+			t.Logf("%d hosts: %d calls around an outage of 4.5 s, %d with a restore; at most %d hosts watch", n, calls[false], calls[true], watcherCount)
+			tolerance := calls[false] / 10 // delays between failed calls are random
+			if calls[true] > calls[false]+tolerance+watcherCount*(pages+2) {
 				t.Errorf("%d calls with a restore, %d without", calls[true], calls[false])
 			}
 		})
 	}
 }
 
-// Hosts that do not watch the store have turned to it in the outage, and are refused like the one that does: it reads the
-// registry, and they are told.
+// In an outage the other hosts call the store, too, and their watches fail like those of the
+// watching host after a restore. Only the watching host may read the registry then; the others get
+// it from that host.
 func TestOnlyTheWatcherReadsTheRegistryAfterARestore(t *testing.T) {
-	const lost = 3 // revisions
-	for range 20 { // pauses between failed calls are drawn anew
+	const lostRevisions = 3
+	for range 20 { // delays between failed calls are random
 		withFleet(t, 7, time.Second, func(_ *simNet, store *fakeStore, all []*simHost) {
 			is := is.New(t)
 			time.Sleep(10 * time.Second)
-			for range lost {
+			for range lostRevisions {
 				store.set(func() { store.revision++ })
 			}
 			time.Sleep(2 * time.Second)
-			store.set(func() { store.away = true })
+			store.set(func() { store.unavailable = true })
 			time.Sleep(4500 * time.Millisecond)
-			store.restore(lost)
-			before := store.lists
-			store.set(func() { store.away = false })
+			store.restore(lostRevisions)
+			before := store.listCalls
+			store.set(func() { store.unavailable = false })
 			time.Sleep(2 * time.Second)
-			is.Equal(store.lists-before, (fleetTargets-1)/pageOfTargets+1)
+			is.Equal(store.listCalls-before, (fleetTargets-1)/targetsPerPage+1)
 			for _, h := range all {
-				is.Equal(h.state.Known().RegistryRevision.Era, uint64(2))
+				is.Equal(h.state.Cursor().RegistryRevision.Era, uint64(2))
 			}
 		})
 	}
 }
 
-// in returns a revision of an era.
-func in(era, number uint64) revision.Revision { return revision.Revision{Era: era, Number: number} }
+// revisionIn returns a revision of an era.
+func revisionIn(era, number uint64) revision.Revision {
+	return revision.Revision{Era: era, Number: number}
+}
 
-// virtualState returns a state that knows nothing, its clock, and what lets time pass.
+// virtualState returns an empty state, its clock, and a function that lets time pass.
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
 	c, pass = clock.Virtual()
 	s = NewState()
@@ -97,41 +101,42 @@
 	return s, c, pass
 }
 
-// The registration of a target that left lapses once more after a restore. A second restore, ten seconds later, to a copy
-// from before it lapsed does not bring the target back either.
+// The registration of a target that left lapses once more after a restore. A second restore ten
+// seconds later, to a copy from before it lapsed, must not bring the target back either.
 func TestTombstoneOutlivesASecondRestore(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(1, 5)}, c.Now())
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(1, 9)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(2, 6)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(2, 6)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
 	pass(4 * time.Second)
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(2, 7)}, c.Now())
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(2, 7)}, c.Now())
 	pass(6 * time.Second)
 	s.Expire(c.Now())
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(3, 6)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(3, 6)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
 }
 
-// A target leaves while a host has no news of the registry, which keeps it for a moment, as it may have lapsed. An older copy of the
-// store that comes back just then does not make it one that is there.
+// A target leaves while a host has not confirmed its registry state for long, so that the host
+// keeps the target as possibly lapsed. A restore from an older copy just then must not make it a
+// registered target.
 func TestTargetThatWentMissingBeforeARestoreIsKeptNoLonger(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(1, 5)}, c.Now())
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	pass(s.lapseAfter + time.Second)
-	s.ApplyChanges(TargetChanges{Changes: went("left"), Revision: in(1, 9)}, c.Now())
-	is.True(s.keepsLapsed("left"))
-	s.ApplyTargets(TargetList{Targets: left, Revision: in(2, 6)}, c.Now())
-	pass(lapseHold)
+	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
+	is.True(s.isMissing("left"))
+	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(2, 6)}, c.Now())
+	pass(lapseGrace)
 	s.Expire(c.Now())
 	is.Equal(len(s.View().Targets), 0)
-	pass(revivalBeats * defaultBeat) // its registration still stands
-	s.ApplyChanges(TargetChanges{Revision: in(2, 7)}, c.Now())
+	pass(tombstoneBeats * defaultRegistrationBeat) // the registration still exists
+	s.ApplyChanges(TargetChanges{Revision: revisionIn(2, 7)}, c.Now())
 	s.Expire(c.Now())
-	is.Equal(ids(s), []string{"left"})
+	is.Equal(targetIDs(s), []string{"left"})
 }
