--- a/internal/gatherrpc/fuzz_test.go
+++ b/internal/gatherrpc/fuzz_test.go
@@ -10,7 +10,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// Whatever another host asks or answers, it is taken or refused.
+// Any message of another host is decoded completely or rejected with an error.
 func FuzzMessages(f *testing.F) {
 	for _, m := range []proto.Message{
 		&peerpb.GatherRequest{RequestId: "r", Shards: []string{"s"}, Header: []*peerpb.HeaderField{nil, {Name: "X"}}, TopK: 1 << 31, BudgetUs: -1},
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -1,5 +1,7 @@
-// Package gatherrpc carries queries over shards that one host gathers for
-// another, over drpc. Time travels as what is left of it.
+// Package gatherrpc is the drpc transport by which one host gathers a query over
+// shards for another. Messages carry remaining durations instead of times of day,
+// so that the clocks of the hosts need not agree. The gathering itself is in
+// internal/gateway. Begin reading at Client.Gather and Server.Gather.
 package gatherrpc
 
 import (
@@ -26,21 +28,21 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("gather")
 
-// Gatherer gathers a query of another host.
+// Gatherer gathers queries for other hosts.
 type Gatherer interface {
 	GatherFor(ctx, enough context.Context, q gateway.Query, p gateway.Progress, goOn *atomic.Bool) gateway.Gathered
 }
 
-// Server takes the queries of other hosts.
+// Server receives queries of other hosts and answers them with a Gatherer.
 type Server struct {
 	gatherer Gatherer
-	clock    *clock.Clock // of the ages of what is known of requests
+	clock    *clock.Clock // for the ages of quarantine records
 }
 
-// NewServer returns a server in front of a gatherer.
+// NewServer returns a server that answers queries with g.
 func NewServer(g Gatherer, c *clock.Clock) *Server { return &Server{gatherer: g, clock: c} }
 
-// Register adds the server to those of a peer listener.
+// Register registers the service with the mux of a peer listener.
 func (s *Server) Register(mux drpc.Mux) error {
 	return Error.Wrap(peerpb.DRPCRegisterGather(mux, s))
 }
@@ -53,12 +55,12 @@
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	enough, hasEnough := context.WithCancel(context.WithoutCancel(ctx))
-	defer hasEnough()
+	enough, signalEnough := context.WithCancel(context.WithoutCancel(ctx))
+	defer signalEnough()
 	var goOn atomic.Bool
 	send := func(m *peerpb.GatherReply) bool {
 		if err := stream.Send(m); err != nil {
-			cancel() // nobody waits for the parts
+			cancel() // the requesting host can't receive the result
 			return false
 		}
 		return true
@@ -68,27 +70,27 @@
 			if !send(&peerpb.GatherReply{Taken: true, Load: uint32(load)}) {
 				return false
 			}
-			go awaitWord(stream, &goOn, hasEnough)
+			go receiveSignals(stream, &goOn, signalEnough)
 			return true
 		},
-		Partial: func(got gateway.Gathered) {
-			m := gatheredToWire(&got, s.clock.Now())
+		Partial: func(partial gateway.Gathered) {
+			m := gatheredToWire(&partial, s.clock.Now())
 			m.Partial = true
 			send(m)
 		},
 	}
-	got := s.gatherer.GatherFor(ctx, enough, queryFromWire(in), progress, &goOn)
-	return Error.Wrap(stream.Send(gatheredToWire(&got, s.clock.Now())))
+	result := s.gatherer.GatherFor(ctx, enough, queryFromWire(in), progress, &goOn)
+	return Error.Wrap(stream.Send(gatheredToWire(&result, s.clock.Now())))
 }
 
-// awaitWord waits for the word to go on and for that the other host has enough, which it
-// says by the end of its messages; any other end is its caller's leave. It ends with the
-// stream at the latest.
-func awaitWord(stream peerpb.DRPCGather_GatherStream, goOn *atomic.Bool, hasEnough func()) {
+// receiveSignals receives the signals of the requesting host until the stream ends. A message
+// with GoOn sets goOn. The host closes its send direction when it has enough; any other error
+// means that it has cancelled the query.
+func receiveSignals(stream peerpb.DRPCGather_GatherStream, goOn *atomic.Bool, signalEnough func()) {
 	for {
 		m, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			hasEnough()
+			signalEnough()
 		}
 		if err != nil {
 			return
@@ -99,10 +101,10 @@
 	}
 }
 
-// Client lets other hosts gather queries. It implements gateway.Helpers.
+// Client sends queries to other hosts, which gather them. It implements gateway.Helpers.
 type Client struct {
 	dialer peer.Dialer
-	clock  *clock.Clock // of the ages of what is known of requests
+	clock  *clock.Clock // for the ages of quarantine records
 }
 
 // NewClient returns a client over connections to other hosts.
@@ -115,13 +117,13 @@
 func (c *Client) Gather(ctx, enough context.Context, host member.Host, q gateway.Query, p gateway.Progress) (gateway.Gathered, error) {
 	stream, err := peerpb.NewDRPCGatherClient(c.dialer.Conn(ctx, host.Peer)).Gather(ctx)
 	if err != nil {
-		return gateway.Gathered{}, Error.New("ask %s: %w", host.ID, err)
+		return gateway.Gathered{}, Error.New("open stream to %s: %w", host.ID, err)
 	}
-	defer func() { _ = stream.Close() }() // the result is known by then
+	defer func() { _ = stream.Close() }() // the result doesn't depend on it
 	if err := stream.Send(queryToWire(&q)); err != nil {
 		return gateway.Gathered{}, Error.New("send query to %s: %w", host.ID, err)
 	}
-	stop := context.AfterFunc(enough, func() { _ = stream.CloseSend() }) // a stream that has ended needs no word
+	stop := context.AfterFunc(enough, func() { _ = stream.CloseSend() }) // fails only if the stream has ended
 	defer stop()
 	for {
 		m, err := stream.Recv()
@@ -131,10 +133,10 @@
 		switch {
 		case m.Taken:
 			if !p.Taken(int(m.Load)) {
-				return gateway.Gathered{}, Error.New("%s took the query too late", host.ID)
+				return gateway.Gathered{}, Error.New("%s accepted the query too late", host.ID)
 			}
 			if err := stream.Send(&peerpb.GatherRequest{GoOn: true}); err != nil && enough.Err() == nil {
-				return gateway.Gathered{}, Error.New("tell %s to go on: %w", host.ID, err)
+				return gateway.Gathered{}, Error.New("send go-on to %s: %w", host.ID, err)
 			}
 		case m.Partial:
 			got, err := gatheredFromWire(m, c.clock.Now())
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -20,48 +20,50 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// gatherer answers with what it was given, or waits until its context ends.
-type gatherer struct {
-	got   gateway.Gathered
-	waits bool
-	// partial makes it tell a part, and the rest once the other host has enough.
+// fakeGatherer returns a fixed result, or blocks until its context is done.
+type fakeGatherer struct {
+	result gateway.Gathered
+	blocks bool
+	// partial makes it report a partial result first, and return when the other host has enough.
 	partial bool
-	// needsGoOn makes it wait for the second message first.
+	// needsGoOn makes it wait for the go-on message first.
 	needsGoOn bool
-	// enough reports whether it was told that the other host has enough.
-	enough bool
-	asked  chan gateway.Query
-	ended  chan error
+	// enoughSignalled is set if the requesting host has signalled that it has enough.
+	enoughSignalled bool
+	received        chan gateway.Query
+	ended           chan error
 }
 
-func (g *gatherer) GatherFor(ctx, enough context.Context, q gateway.Query, p gateway.Progress, goOn *atomic.Bool) gateway.Gathered {
+func (g *fakeGatherer) GatherFor(ctx, enough context.Context, q gateway.Query, p gateway.Progress, goOn *atomic.Bool) gateway.Gathered {
 	p.Taken(3)
-	g.asked <- q
+	g.received <- q
 	for g.needsGoOn && !goOn.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	if g.waits {
+	if g.blocks {
 		<-ctx.Done()
-		time.Sleep(10 * time.Millisecond) // for a word that should not come
-		g.enough = enough.Err() != nil
+		time.Sleep(10 * time.Millisecond) // time for an enough signal, which must not come
+		g.enoughSignalled = enough.Err() != nil
 		g.ended <- ctx.Err()
 	}
 	if g.partial {
 		p.Partial(gateway.Gathered{Signatures: []string{"a"}, Cut: true})
 		<-enough.Done()
 	}
-	return g.got
+	return g.result
 }
 
-// taking is the progress of a host that goes on, or does not, once the query is taken.
-func taking(on bool) gateway.Progress { return gateway.Progress{Taken: func(int) bool { return on }} }
+// progressReplying returns a Progress whose Taken returns on.
+func progressReplying(on bool) gateway.Progress {
+	return gateway.Progress{Taken: func(int) bool { return on }}
+}
 
-func newGatherer() *gatherer {
-	return &gatherer{asked: make(chan gateway.Query, 1), ended: make(chan error, 1)}
+func newGatherer() *fakeGatherer {
+	return &fakeGatherer{received: make(chan gateway.Query, 1), ended: make(chan error, 1)}
 }
 
-// serve returns a client and the host that it may ask.
-func serve(t *testing.T, g *gatherer) (*Client, member.Host) {
+// serve starts a server with g, and returns a client and the host to send queries to.
+func serve(t *testing.T, g *fakeGatherer) (*Client, member.Host) {
 	t.Helper()
 	s := peer.NewServer("127.0.0.1:0")
 	if err := NewServer(g, nil).Register(s); err != nil {
@@ -80,7 +82,7 @@
 	is := is.New(t)
 	g := newGatherer()
 	g.needsGoOn = true
-	g.got = gateway.Gathered{
+	g.result = gateway.Gathered{
 		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, Lacking: "s(t)", Reason: "r",
 		Attempts: 4, Cut: true, PartBytes: 99, Failed: 2,
 	}
@@ -103,37 +105,37 @@
 	}})
 	is.NoErr(err)
 	is.Equal(load, 3)
-	is.Equal(got, g.got)
-	is.Equal(<-g.asked, q)
+	is.Equal(got, g.result)
+	is.Equal(<-g.received, q)
 }
 
 func TestCancelReachesTheOtherHost(t *testing.T) {
 	is := is.New(t)
 	g := newGatherer()
-	g.waits = true
+	g.blocks = true
 	client, host := serve(t, g)
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
-		_, err := client.Gather(ctx, t.Context(), host, gateway.Query{}, taking(true))
+		_, err := client.Gather(ctx, t.Context(), host, gateway.Query{}, progressReplying(true))
 		failed <- err
 	}()
-	<-g.asked
+	<-g.received
 	cancel()
 	err := <-failed
 	is.True(err != nil)
-	is.True(!client.NotRun(err)) // it was taken
+	is.True(!client.NotRun(err)) // the host had accepted the query
 	is.True(<-g.ended != nil)
-	is.True(!g.enough) // else attempts in flight would go on for a caller that left
+	is.True(!g.enoughSignalled) // else attempts in flight would go on for a caller that left
 }
 
-// A host that took the query too late is not told to go on.
+// A host that accepts the query too late gets no go-on message, and its query is cancelled.
 func TestQueryThatWasTakenTooLateIsCancelled(t *testing.T) {
 	is := is.New(t)
 	g := newGatherer()
-	g.waits = true
+	g.blocks = true
 	client, host := serve(t, g)
-	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, taking(false))
+	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, progressReplying(false))
 	is.True(err != nil)
 	is.True(<-g.ended != nil)
 }
@@ -142,24 +144,24 @@
 	is := is.New(t)
 	g := newGatherer()
 	client, host := serve(t, g)
-	host.Peer = "127.0.0.1:1" // nobody listens
-	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, taking(true))
+	host.Peer = "127.0.0.1:1" // no process listens on it
+	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, progressReplying(true))
 	is.True(client.NotRun(err))
 }
 
-func TestAnswerWithAnUnknownOutcomeIsNone(t *testing.T) {
+func TestUnknownOutcomeIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := gatheredFromWire(&peerpb.GatherReply{Outcome: "perhaps"}, time.Now())
 	is.True(err != nil)
 }
 
-// What there is when the answer is due comes before the rest, and a host that has enough
-// ends the wait without a cancel: attempts in flight may end by themselves.
+// A partial result is delivered before the final one. A host that has enough ends the gathering
+// without cancelling it, so that attempts in flight can complete.
 func TestPartsComeBeforeTheRest(t *testing.T) {
 	is := is.New(t)
 	g := newGatherer()
 	g.partial = true
-	g.got = gateway.Gathered{Signatures: []string{"a", "b"}, Outcome: outcome.Done}
+	g.result = gateway.Gathered{Signatures: []string{"a", "b"}, Outcome: outcome.Done}
 	client, host := serve(t, g)
 	enough, hasEnough := context.WithCancel(t.Context())
 	var partial gateway.Gathered
@@ -173,5 +175,5 @@
 	is.NoErr(err)
 	is.Equal(partial.Signatures, []string{"a"})
 	is.True(partial.Cut)
-	is.Equal(got, g.got)
+	is.Equal(got, g.result)
 }
