--- a/internal/gatewayhost/cold_test.go
+++ b/internal/gatewayhost/cold_test.go
@@ -39,11 +39,11 @@
 	minColdTargets int // minimum number of targets that got requests while they were cold
 }
 
-// endDomain ends all targets of a failure domain at once; they restart together after their downtime, cold.
-func endDomain(f *fleet) {
+// killDomain ends all targets of a failure domain at once; they restart together after their downtime, cold.
+func killDomain(f *fleet) {
 	for _, t := range f.targets {
 		if t.domain == fleetDomains[0] {
-			t.lose()
+			t.kill()
 		}
 	}
 }
@@ -53,19 +53,19 @@
 func TestColdTargetsGetNoMoreThanTheyBear(t *testing.T) {
 	for name, c := range map[string]coldCase{
 		"a failure domain is back": {minColdTargets: 10, makeCold: func(f *fleet) {
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 		}},
 		"a failure domain is back under its ids": {keepTargetIDs: true, minColdTargets: 10, makeCold: func(f *fleet) {
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 		}},
 		"one host gathers for the others": {linkMbps: oneWideLink, minColdTargets: 10, makeCold: func(f *fleet) {
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 		}},
 		"all hosts are killed": {minColdTargets: 1, makeCold: func(f *fleet) {
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + 500*time.Millisecond)
 			f.killAll()
 			time.Sleep(coldDuration + time.Second)
@@ -75,24 +75,24 @@
 				h.network.partition()
 			}
 			time.Sleep(time.Second)
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 		}},
 		"the store loses answers": {minColdTargets: 1, makeCold: func(f *fleet) {
 			f.store.SetFaults(objectstore.Faults{LoseProbability: 0.5, LateProbability: 0.3, LateDelay: unit.Duration(time.Second)})
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 			f.store.SetFaults(objectstore.Faults{})
 		}},
 		"all targets are back at once": {minColdTargets: 10, makeCold: func(f *fleet) {
 			for _, t := range f.targets {
-				t.lose()
+				t.kill()
 			}
 			time.Sleep(targetDowntime + coldDuration + time.Second)
 		}},
 		"a failure domain is back at once under its ids, and watches get no changes": {keepTargetIDs: true, downtime: 30 * time.Millisecond, makeCold: func(f *fleet) {
 			f.store.SetFaults(objectstore.Faults{DeafWatches: true})
-			endDomain(f)
+			killDomain(f)
 			time.Sleep(coldDuration + time.Second)
 			f.store.SetFaults(objectstore.Faults{})
 		}},
--- a/internal/gatewayhost/crash_test.go
+++ b/internal/gatewayhost/crash_test.go
@@ -17,8 +17,8 @@
 // broken connection for a failed target retries the query at the next one, and the caller sends it
 // again through other hosts. Without quarantine, 25 to 30 of 30 targets crashed within half a second,
 // twelve times, and hosts set 1,030 targets aside in 12 s but no request. Four seconds after the
-// third crash, the time in which all hosts must know of it, 12 and 8 more attempts of the caller
-// still reached targets, where three are allowed, and crashed 120 and 145 targets.
+// third crash, when all hosts must withhold the query from targets, 12 and 8 more attempts of the
+// caller still reached targets, where three are allowed, and crashed 120 and 145 targets.
 func TestRequestThatEndsItsTargetsIsKeptFromThem(t *testing.T) {
 	for name, c := range map[string]crashCase{
 		"query":                    {path: pathQuery},
@@ -30,7 +30,7 @@
 		"hosts are partitioned":    {path: pathQuery, partitioned: true},
 		"caller of many addresses": {path: pathQuery, manyAddresses: true},
 		"targets end late":         {path: pathQuery, crashDelay: crashAfterUpTo80ms, burstSize: 3},
-		"some shards are lost":     {path: pathQuery, crashDelay: crashAfterUpTo80ms, lostShards: 3},
+		"some shards are lost":     {path: pathQuery, crashDelay: crashAfterUpTo80ms, killedShards: 3},
 		"copies to hosts at once":  {path: pathQuery, simultaneous: true},
 		"caller with long pauses":  {path: pathQuery, pause: 10 * time.Second},
 	} {
@@ -65,9 +65,9 @@
 	crashDelay func(target int) time.Duration
 	// burstSize is the number of copies sent 80 ms apart before each pause; 0: one.
 	burstSize int
-	// lostShards is the number of shards whose targets end before each copy is sent, so that the
+	// killedShards is the number of shards whose targets end before each copy is sent, so that the
 	// query fails before the other targets crash.
-	lostShards int
+	killedShards int
 	// manyAddresses sends each copy from another address.
 	manyAddresses bool
 	pause         time.Duration // between two copies; 0: 4.4 s, just after the targets have restarted
@@ -100,7 +100,7 @@
 		is.True(len(f.crashes) >= 3)          // the request does crash targets
 		is.True(len(late) <= maxLateAttempts) // it is withheld from targets
 		is.True(len(f.crashes) <= maxCrashes) // it crashes few targets
-		if c.lostShards == 0 {
+		if c.killedShards == 0 {
 			is.True(float64(served) >= minServedRatio*float64(sent)) // other callers are hardly affected
 		}
 		is.Equal(f.quarantined(), 1) // no other request is in quarantine
@@ -131,8 +131,8 @@
 			continue
 		}
 		for _, target := range f.targets {
-			if slices.Contains(shardNames(c.lostShards), target.service) {
-				target.lose()
+			if slices.Contains(shardNames(c.killedShards), target.service) {
+				target.kill()
 			}
 		}
 		host := 2 * i % fleetHosts
@@ -233,7 +233,7 @@
 	}
 }
 
-// Targets crash at random for a minute, independently of their requests. No request is quarantined
+// Targets are killed at random for a minute, independently of their requests. No request is quarantined
 // for that: the requests in flight are retried at other targets.
 func TestRequestsAtTargetsThatEndByThemselvesAreNotHeldAgainstTheirCallers(t *testing.T) {
 	runFleet(t, &fleet{}, func(t *testing.T, f *fleet) {
@@ -242,16 +242,16 @@
 		stopOthers := f.startOtherCallers()
 		for range 120 {
 			time.Sleep(500 * time.Millisecond)
-			f.targets[rng.IntN(len(f.targets))].lose()
+			f.targets[rng.IntN(len(f.targets))].kill()
 		}
 		served, sent := stopOthers()
-		t.Logf("%d targets lost, %d of %d requests served", f.lostTargets, served, sent)
+		t.Logf("%d targets killed, %d of %d requests served", f.killedTargets, served, sent)
 		is.Equal(f.quarantined(), 0)
 		is.True(float64(served) >= minServedRatio*float64(sent))
 	})
 }
 
-// All targets of a failure domain crash at the same moment, repeatedly, as in a power failure.
+// All targets of a failure domain are killed at the same moment, repeatedly, as in a power failure.
 func TestLossOfADomainsTargetsPutsNoRequestIntoQuarantine(t *testing.T) {
 	runFleet(t, &fleet{}, func(t *testing.T, f *fleet) {
 		is := is.New(t)
@@ -260,12 +260,12 @@
 			time.Sleep(4 * time.Second)
 			for _, target := range f.targets {
 				if target.domain == fleetDomains[i%3] {
-					target.lose()
+					target.kill()
 				}
 			}
 		}
 		served, sent := stopOthers()
-		t.Logf("%d targets lost, %d of %d requests served", f.lostTargets, served, sent)
+		t.Logf("%d targets killed, %d of %d requests served", f.killedTargets, served, sent)
 		is.Equal(f.quarantined(), 0)
 		is.True(float64(served) >= minServedRatio*float64(sent))
 	})
--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -63,7 +63,7 @@
 	crashes []crash
 	// arrivals are the poison requests in the order in which they reached targets.
 	arrivals      []arrival
-	lostTargets   int           // targets that ended independently of a request
+	killedTargets int           // targets that ended independently of a request
 	keepTargetIDs bool          // a target restarts with the same id
 	downtime      time.Duration // from the end of a target to its restart; 0: targetDowntime
 	// settings changes the settings of each host; nil: default settings.
@@ -181,12 +181,12 @@
 	}
 }
 
-// lose ends the target independently of any request.
-func (t *fleetTarget) lose() {
+// kill ends the target independently of any request.
+func (t *fleetTarget) kill() {
 	if _, ended := t.end(); ended {
 		t.fleet.mu.Lock()
 		defer t.fleet.mu.Unlock()
-		t.fleet.lostTargets++
+		t.fleet.killedTargets++
 	}
 }
 
--- a/internal/gatewayhost/startgap_test.go
+++ b/internal/gatewayhost/startgap_test.go
@@ -14,16 +14,16 @@
 // restored from a copy that still has targets which left. The new hosts send these targets nothing, though they reach that host
 // later than the store.
 func TestHostsThatStartTogetherLeaveOutTargetsThatLeft(t *testing.T) {
-	for name, stays := range map[string]int{"one that is no seed stays": fleetHosts - 1, "one that is a seed stays": 1} {
+	for name, keptHost := range map[string]int{"one that is no seed stays": fleetHosts - 1, "one that is a seed stays": 1} {
 		t.Run(name, func(t *testing.T) {
 			runFleet(t, &fleet{}, func(t *testing.T, f *fleet) {
 				is := is.New(t)
 				time.Sleep(20 * time.Second)
 				older := f.store.Copy()
-				var gone []*fleetTarget
+				var removed []*fleetTarget
 				for _, t := range f.targets {
 					if t.service == singleService {
-						gone = append(gone, t)
+						removed = append(removed, t)
 						f.store.Remove(platform.KindTargets, t.id)
 					}
 				}
@@ -32,9 +32,9 @@
 
 				f.store.SetFaults(objectstore.Faults{Outage: objectstore.OutageCut})
 				time.Sleep(storeOutage)
-				f.slowDialAddress = hostAddress(stays, portPeers)
+				f.slowDialAddress = hostAddress(keptHost, portPeers)
 				for i := range f.hosts {
-					if i != stays {
+					if i != keptHost {
 						f.restartHost(i)
 					}
 				}
@@ -44,7 +44,7 @@
 				f.store.Restore(older)
 				f.store.SetFaults(objectstore.Faults{})
 				time.Sleep(time.Second)
-				for _, t := range gone {
+				for _, t := range removed {
 					is.Equal(f.countTargetRequests(t, left), 0)
 				}
 			})
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -126,7 +126,7 @@
 	is.True(err != nil)
 	is.True(!client.NotRun(err)) // the host had accepted the query
 	is.True(<-g.ended != nil)
-	is.True(!g.enoughSignalled) // else attempts in flight would go on for a caller that left
+	is.True(!g.enoughSignalled) // otherwise attempts in flight would continue though the caller has left
 }
 
 // A host that accepts the query too late gets no go-on message, and its query is cancelled.
