--- a/internal/relay/api.go
+++ b/internal/relay/api.go
@@ -1,6 +1,3 @@
-// Package relay runs shard requests against the targets assigned to this
-// host: connections, queue, hedges, retries, health and cancellation. Replica
-// choice, hedging and retry for a service happen here and nowhere else.
 package relay
 
 import (
@@ -9,9 +6,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Searcher runs the shards of a batch. It calls emit once for each shard of
-// the batch, one call at a time, as soon as the shard's result is final, and
-// returns when all are. A shard that was given up on is emitted at once. An
+// Searcher runs the shards of a batch. It calls emit exactly once per shard,
+// never concurrently, as soon as the result of the shard is final, and returns
+// once every shard was emitted. Shards that fail early are emitted early. An
 // error means that the relay was lost: shards not emitted by then have the
 // outcome Unknown.
 type Searcher interface {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,8 +16,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// attempt is one shard request to one target. Body is the JSON form of a
-// targetapi.Request; the attempts of a batch share it.
+// attempt is one shard request to one target. The body is an encoded
+// targetapi.Request, shared by all attempts of a batch.
 type attempt struct {
 	id        string
 	requestID string
@@ -26,52 +26,53 @@
 	snapshot  uint64
 	limit     int
 	body      []byte
-	deadline  time.Time // by this process's monotonic clock
+	deadline  time.Time // with the monotonic clock reading of this process
 }
 
-// answer is what the sender of an attempt knows of it. The target's answer is
-// set only when the outcome is Done.
-type answer struct {
+// attemptResult is the result of an attempt as the sender observed it. The
+// answer is set only if the outcome is Done.
+type attemptResult struct {
 	outcome    outcome.Outcome
 	reason     query.Reason
 	retryAfter time.Duration
-	body       shardAnswer
+	answer     shardAnswer
 	cause      error
 }
 
-// shardAnswer is a targetapi.Answer whose rows are read into the form in
-// which they are handed on.
+// shardAnswer is a targetapi.Answer whose rows are decoded directly into query
+// rows.
 type shardAnswer struct {
 	targetapi.Answer
 	Rows []query.Row `json:"rows"`
 }
 
-// errNoTime means that the budget ended before the attempt was sent.
-var errNoTime = Error.New("no budget left to send")
+// errBudgetExhausted is the cause of an attempt whose budget ended before it
+// was sent.
+var errBudgetExhausted = Error.New("budget exhausted before the attempt was sent")
 
-// send sends the attempt to the target one time at most and returns when the
-// whole answer is here, or ctx is done. It never sends once ctx or the
-// attempt's deadline is past.
+// send sends the attempt to the target at most once and returns when the
+// response was read completely or ctx is done. Nothing is sent after ctx is
+// done or the deadline of the attempt has passed.
 //
-// cancel must be that of ctx.
-func (t *target) send(ctx context.Context, cancel context.CancelFunc, a *attempt) answer {
-	w := &wire{cancel: cancel, ctx: ctx, deadline: a.deadline}
-	if w.late() {
-		return answer{outcome: outcome.NotSent, reason: query.ReasonBudget, cause: errNoTime}
+// cancel must be the cancel function of ctx.
+func (t *target) send(ctx context.Context, cancel context.CancelFunc, a *attempt) attemptResult {
+	tracker := &sendTracker{cancel: cancel, ctx: ctx, deadline: a.deadline}
+	if tracker.expired() {
+		return attemptResult{outcome: outcome.NotSent, reason: query.ReasonBudget, cause: errBudgetExhausted}
 	}
-	req := t.request(w.trace(ctx), a)
-	w.header = req.Header
+	req := t.newRequest(tracker.withTrace(ctx), a)
+	tracker.header = req.Header
 	res, err := t.transport.RoundTrip(req)
 	if err != nil {
-		return unanswered(w.outcome(), err)
+		return transportFailure(tracker.outcome(), err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return t.read(res, a)
+	return t.readResponse(res, a)
 }
 
-// request builds the HTTP request. It has neither GetBody nor an idempotency
-// key, so net/http never sends it again by itself.
-func (t *target) request(ctx context.Context, a *attempt) *http.Request {
+// newRequest builds the HTTP request. It sets neither GetBody nor an
+// idempotency key, so that net/http never retries it on its own.
+func (t *target) newRequest(ctx context.Context, a *attempt) *http.Request {
 	h := make(http.Header, 8)
 	h["Content-Type"] = jsonType
 	h[targetapi.HeaderRequest] = []string{a.requestID}
@@ -90,38 +91,38 @@
 
 var jsonType = []string{"application/json"}
 
-// unanswered is the answer of an attempt whose connection failed or whose
-// time ended.
-func unanswered(o outcome.Outcome, err error) answer {
+// transportFailure is the result of an attempt whose connection failed or
+// whose context ended.
+func transportFailure(o outcome.Outcome, err error) attemptResult {
 	reason := query.ReasonConnection
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		reason = query.ReasonBudget
 	}
-	return answer{outcome: o, reason: reason, cause: err}
+	return attemptResult{outcome: o, reason: reason, cause: err}
 }
 
-// read takes the response. Anything but a whole, well-formed answer to this
-// very attempt leaves its outcome Unknown.
-func (t *target) read(res *http.Response, a *attempt) answer {
-	body, err := readAll(res, t.maxAnswer)
+// readResponse reads the response. Unless it is a complete and valid answer to
+// this attempt, or a valid rejection of it, the outcome is Unknown.
+func (t *target) readResponse(res *http.Response, a *attempt) attemptResult {
+	body, err := readBody(res, t.maxAnswerBytes)
 	if err != nil {
 		if errors.Is(err, errTooLarge) {
-			return badAnswer(err)
+			return invalidAnswer(err)
 		}
-		return unanswered(outcome.Unknown, err)
+		return transportFailure(outcome.Unknown, err)
 	}
 	switch res.StatusCode {
 	case http.StatusOK:
-		return t.accept(body, a)
+		return t.parseAnswer(body, a)
 	case http.StatusConflict, http.StatusServiceUnavailable, http.StatusInternalServerError:
-		return refused(res.StatusCode, body, a)
+		return parseRejection(res.StatusCode, body, a)
 	}
-	return badAnswer(Error.New("status %d", res.StatusCode))
+	return invalidAnswer(Error.New("unexpected response status %d", res.StatusCode))
 }
 
-var errTooLarge = Error.New("answer is larger than the limit")
+var errTooLarge = Error.New("answer exceeds the size limit")
 
-func readAll(res *http.Response, limit int64) ([]byte, error) {
+func readBody(res *http.Response, limit int64) ([]byte, error) {
 	if res.ContentLength > limit {
 		return nil, errTooLarge
 	}
@@ -146,66 +147,72 @@
 	return body, nil
 }
 
-// accept checks every echoed field and the row count.
-func (t *target) accept(body []byte, a *attempt) answer {
+// parseAnswer decodes and validates the answer of a target.
+func (t *target) parseAnswer(body []byte, a *attempt) attemptResult {
 	b := shardAnswer{Rows: make([]query.Row, 0, t.rowsHint.Load())}
 	if err := json.Unmarshal(body, &b); err != nil {
-		return badAnswer(Error.New("parse answer: %w", err))
+		return invalidAnswer(Error.New("parse answer: %w", err))
 	}
-	if err := checkEcho(&b, a); err != nil {
-		return badAnswer(err)
+	if err := validateAnswer(&b, a); err != nil {
+		return invalidAnswer(err)
 	}
-	t.rowsHint.Store(int64(min(len(b.Rows), maxRowsHint)))
+	t.rowsHint.Store(int64(min(len(b.Rows), maxPreallocatedRows)))
 	for i := range b.Rows {
 		b.Rows[i].Service, b.Rows[i].Shard = a.service, a.shard
 	}
-	return answer{outcome: outcome.Done, body: b}
+	return attemptResult{outcome: outcome.Done, answer: b}
 }
 
-// maxRowsHint bounds the space made before an answer is read.
-const maxRowsHint = 1024
+// maxPreallocatedRows bounds the row capacity that is allocated before an
+// answer is decoded.
+const maxPreallocatedRows = 1024
 
-func checkEcho(b *shardAnswer, a *attempt) error {
+// validateAnswer checks that the answer echoes the fields of the attempt and
+// that its row counts are consistent.
+func validateAnswer(b *shardAnswer, a *attempt) error {
 	switch {
 	case b.RequestID != a.requestID:
-		return Error.New("answer to request %q", b.RequestID)
+		return Error.New("answer is for request %q", b.RequestID)
 	case b.AttemptID != a.id:
-		return Error.New("answer to attempt %q", b.AttemptID)
+		return Error.New("answer is for attempt %q", b.AttemptID)
 	case b.Service != a.service:
-		return Error.New("answer of service %q", b.Service)
+		return Error.New("answer is for service %q", b.Service)
 	case b.Shard != a.shard:
-		return Error.New("answer of shard %d", b.Shard)
+		return Error.New("answer is for shard %d", b.Shard)
 	case b.Snapshot != a.snapshot:
-		return Error.New("answer of snapshot %d", b.Snapshot)
+		return Error.New("answer is for snapshot %d", b.Snapshot)
 	case b.RowCount != len(b.Rows):
-		return Error.New("%d rows where %d were announced", len(b.Rows), b.RowCount)
+		return Error.New("answer has %d rows but a row count of %d", len(b.Rows), b.RowCount)
 	case b.TotalRows < b.RowCount:
-		return Error.New("%d rows of a total of %d", b.RowCount, b.TotalRows)
+		return Error.New("answer has %d rows but a total of %d", b.RowCount, b.TotalRows)
 	case a.limit > 0 && b.RowCount > a.limit:
-		return Error.New("%d rows over the limit of %d", b.RowCount, a.limit)
+		return Error.New("answer has %d rows, over the limit of %d", b.RowCount, a.limit)
 	}
 	return nil
 }
 
-// refused reads a Rejection. Only a code that belongs to the status, and no
-// word of another attempt, prove that this one did not run.
-func refused(status int, body []byte, of *attempt) answer {
+// parseRejection decodes a Rejection. It proves that the attempt did not run
+// only if the code matches the status and the rejection does not name another
+// attempt.
+func parseRejection(status int, body []byte, a *attempt) attemptResult {
 	var b targetapi.Rejection
 	if err := json.Unmarshal(body, &b); err != nil {
-		return badAnswer(Error.New("parse rejection: %w", err))
+		return invalidAnswer(Error.New("parse rejection: %w", err))
 	}
-	if b.AttemptID != "" && b.AttemptID != of.id {
-		return badAnswer(Error.New("rejection of attempt %q", b.AttemptID))
+	if b.AttemptID != "" && b.AttemptID != a.id {
+		return invalidAnswer(Error.New("rejection is for attempt %q", b.AttemptID))
 	}
-	o, reason, ok := rejection(status, b.Code)
+	o, reason, ok := rejectionOutcome(status, b.Code)
 	if !ok {
-		return badAnswer(Error.New("status %d with code %q", status, b.Code))
+		return invalidAnswer(Error.New("unexpected rejection code for status %d: %q", status, b.Code))
 	}
-	after := time.Duration(max(b.RetryAfterMS, 0)) * time.Millisecond
-	return answer{outcome: o, reason: reason, retryAfter: after}
+	retryAfter := time.Duration(max(b.RetryAfterMS, 0)) * time.Millisecond
+	return attemptResult{outcome: o, reason: reason, retryAfter: retryAfter}
 }
 
-func rejection(status int, code string) (outcome.Outcome, query.Reason, bool) {
+// rejectionOutcome maps a rejection to outcome and reason. It reports false if
+// the code does not belong to the status.
+func rejectionOutcome(status int, code string) (outcome.Outcome, query.Reason, bool) {
 	switch {
 	case status == http.StatusConflict && code == targetapi.CodeSnapshotNotHeld:
 		return outcome.Rejected, query.ReasonSnapshotNotHeld, true
@@ -221,70 +228,71 @@
 	return outcome.Unknown, query.ReasonBadAnswer, false
 }
 
-func badAnswer(err error) answer {
-	return answer{outcome: outcome.Unknown, reason: query.ReasonBadAnswer, cause: err}
+func invalidAnswer(err error) attemptResult {
+	return attemptResult{outcome: outcome.Unknown, reason: query.ReasonBadAnswer, cause: err}
 }
 
-// wire watches how far an attempt got.
-type wire struct {
+// sendTracker tracks how far an attempt got, to decide whether it was
+// certainly not sent.
+type sendTracker struct {
 	ctx      context.Context
-	cancel   context.CancelFunc // of ctx
+	cancel   context.CancelFunc // cancels ctx
 	deadline time.Time
-	header   http.Header // of the request
+	header   http.Header // of the request; gotConn adds the remaining budget
 
-	conn   *conn // nil: no connection of our own kind, or none yet
-	before uint64
-	got    bool
+	conn         *conn  // nil if the connection is shared or none was obtained yet
+	writesBefore uint64 // writes on conn before this attempt
+	obtained     bool   // a connection was obtained for the attempt
 }
 
-// late reports whether the attempt must not be sent any more.
-func (w *wire) late() bool { return w.ctx.Err() != nil || !time.Now().Before(w.deadline) }
+// expired reports whether the attempt must no longer be sent.
+func (w *sendTracker) expired() bool { return w.ctx.Err() != nil || !time.Now().Before(w.deadline) }
 
-// trace returns ctx with the hooks that watch the attempt.
-func (w *wire) trace(ctx context.Context) context.Context {
+// withTrace returns ctx with the httptrace hooks of the tracker.
+func (w *sendTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: w.gotConn})
 }
 
-// gotConn runs before the first byte is written, and after the wait for a
-// connection: only now is it known what is left of the budget. An attempt
-// that came too late is stopped here, and so is a second connection for one
-// attempt, which would be a second send.
-func (w *wire) gotConn(info httptrace.GotConnInfo) {
+// gotConn runs after the wait for a connection and before the first byte is
+// written, so the remaining budget is computed here. It aborts an attempt that
+// expired meanwhile. It also aborts when a second connection is obtained for
+// the same attempt, which would send it twice.
+func (w *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	c, _ := info.Conn.(*conn)
 	if c != nil && c.shared {
 		c = nil
 	}
-	if w.got || w.late() {
-		w.stop(c)
+	if w.obtained || w.expired() {
+		w.abort(c)
 		return
 	}
-	w.got = true
+	w.obtained = true
 	w.conn = c
 	if c != nil {
-		w.before = c.written()
+		w.writesBefore = c.writeCount()
 	}
-	left := float64(time.Until(w.deadline)) / float64(time.Millisecond)
-	w.header[targetapi.HeaderBudget] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
+	remainingMillis := float64(time.Until(w.deadline)) / float64(time.Millisecond)
+	w.header[targetapi.HeaderBudget] = []string{strconv.FormatFloat(remainingMillis, 'f', 3, 64)}
 }
 
-// stop keeps the attempt from being written to the connection.
-func (w *wire) stop(c *conn) {
+// abort keeps the attempt from being written to the connection.
+func (w *sendTracker) abort(c *conn) {
 	w.cancel()
 	if c != nil {
 		c.seal()
 		return
 	}
-	w.got = true // a shared connection can't be sealed: nothing is proved
+	w.obtained = true // a shared connection cannot be sealed, so the outcome stays Unknown
 }
 
-// outcome tells what became of an attempt without an answer. It is called
-// after RoundTrip returned with an error. NotSent needs proof: there was no
-// connection, or nothing was written to it and nothing ever will be.
-func (w *wire) outcome() outcome.Outcome {
-	if !w.got {
+// outcome returns the outcome of an attempt for which RoundTrip returned an
+// error. NotSent requires proof: no connection was obtained, or nothing was
+// written to it and, because it is sealed, nothing ever will be.
+func (w *sendTracker) outcome() outcome.Outcome {
+	if !w.obtained {
 		return outcome.NotSent
 	}
-	if w.conn != nil && w.conn.seal() == w.before {
+	if w.conn != nil && w.conn.seal() == w.writesBefore {
 		return outcome.NotSent
 	}
 	return outcome.Unknown
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -22,8 +22,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// benchTargetsEnv makes the test binary serve targets, so that their
-// processor time is not counted as the relay's.
+// benchTargetsEnv makes the test binary serve targets, so that their CPU time
+// is not attributed to the relay.
 const benchTargetsEnv = "RELAY_BENCH_TARGETS"
 
 const (
@@ -45,8 +45,8 @@
 	return c
 }
 
-// serveBenchTargets prints the addresses of its targets and serves until its
-// standard input ends.
+// serveBenchTargets prints the addresses of its targets and serves until
+// standard input is closed.
 func serveBenchTargets() {
 	for i := range benchTargets {
 		c := benchConfig(i)
@@ -61,7 +61,8 @@
 	_, _ = os.Stdin.Read(make([]byte, 1))
 }
 
-// startBenchTargets starts the targets' process and returns their addresses.
+// startBenchTargets starts the process of the targets and returns their
+// addresses.
 func startBenchTargets(b *testing.B) []string {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), benchTargetsEnv+"=1")
@@ -86,7 +87,8 @@
 	return addresses
 }
 
-// benchRelay returns a relay of targets that hold each shard three times.
+// benchRelay returns a relay of targets that hold each shard benchReplicas
+// times.
 func benchRelay(addresses []string, slots int, change func(*catalog.Rules)) *fixture {
 	f := &fixture{members: &members{self: "h0"}, view: &view{revision: 1}}
 	f.members.set("h0")
@@ -118,8 +120,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkShardRequest measures the relay's processor time for one shard
-// request, at several widths of a batch, with the targets in another process.
+// BenchmarkShardRequest measures the CPU time of the relay per shard request
+// for several batch widths. The targets run in another process.
 func BenchmarkShardRequest(b *testing.B) {
 	addresses := startBenchTargets(b)
 	for _, protocol := range []string{protocolHTTP1, protocolH2C} {
@@ -156,8 +158,9 @@
 	}
 }
 
-// BenchmarkCancellation compares ways to end an attempt that lost, against
-// targets that charge for a new connection and straggle now and then.
+// BenchmarkCancellation measures the cost of cancelling slower attempts after
+// a hedge, with targets that charge for new connections and are sometimes
+// slow.
 func BenchmarkCancellation(b *testing.B) {
 	for _, protocol := range []string{protocolHTTP1, protocolH2C} {
 		for _, rate := range []int{100, 300} {
@@ -197,7 +200,7 @@
 	begin := time.Now()
 	n := 0
 	for b.Loop() {
-		// Open arrivals: the latency counts from when the request was due.
+		// Open workload: latency is measured from when the request was due.
 		due := begin.Add(time.Duration(n) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
 		shard := uint32(n % benchShards)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -6,88 +6,91 @@
 	"rhubarbwood.example/rhubarbwood/internal/policy"
 )
 
-// healthyFree reports whether a holder that is not set aside has a free place.
-func (p *pool) healthyFree(now time.Time, t *try) bool {
-	for i, h := range t.holders {
-		if t.holds(i) && h.free(now) && !h.rep.Outlier.Ejected(now) {
+// hasHealthyCapacity reports whether a candidate that is not ejected has a
+// free slot.
+func (p *pool) hasHealthyCapacity(now time.Time, t *try) bool {
+	for i, c := range t.candidates {
+		if t.eligible(i) && c.hasCapacity(now) && !c.replica.Outlier.Ejected(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// take chooses a holder with a free place and takes the place.
-func (p *pool) take(now time.Time, t *try) bool {
-	if !t.anyFree(now) {
+// assignTarget chooses a candidate with a free slot, assigns the try to it and
+// occupies the slot.
+func (p *pool) assignTarget(now time.Time, t *try) bool {
+	if !t.hasCapacity(now) {
 		return false
 	}
-	i := p.choose(now, t)
+	i := p.chooseReplica(now, t)
 	if i < 0 {
 		return false
 	}
-	h := t.holders[i]
-	h.rep.Send(now)
-	h.untried = false
-	h.stats.attempts++
+	c := t.candidates[i]
+	c.replica.Send(now)
+	c.untried = false
+	c.stats.attempts++
 	p.relay.metrics.attempts.Inc()
-	t.spent |= 1 << i
-	t.target, t.started = h, now
+	t.excluded |= 1 << i
+	t.target, t.started = c, now
 	p.running++
 	return true
 }
 
-func (t *try) anyFree(now time.Time) bool {
-	for i, h := range t.holders {
-		if t.holds(i) && h.free(now) {
+func (t *try) hasCapacity(now time.Time) bool {
+	for i, c := range t.candidates {
+		if t.eligible(i) && c.hasCapacity(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// choose returns the index of the holder that the policy picks, -1 if none. A
-// hedge looks in other failure domains than that of its first try before it
-// looks in the same.
-func (p *pool) choose(now time.Time, t *try) int {
-	replicas := t.replicas()
+// chooseReplica returns the index of the candidate that the policy picks, or
+// -1 if there is none. A hedge prefers candidates outside the failure domain
+// of the try that it hedges. Other tries fall back to an ejected target if
+// exceedsEjectionLimit permits.
+func (p *pool) chooseReplica(now time.Time, t *try) int {
+	replicas := t.policyReplicas()
 	pick := func(usable func(i int) bool) int {
 		r := policy.Pick(now, p.rng, t.kind, replicas, func(r *policy.Replica) bool {
-			i := index(replicas, r)
-			return usable(i) && !t.holders[i].crowded()
+			i := replicaIndex(replicas, r)
+			return usable(i) && !t.candidates[i].blockedByPoll()
 		})
-		return index(replicas, r)
+		return replicaIndex(replicas, r)
 	}
-	if i := p.untried(now, t); i >= 0 {
+	if i := p.chooseUntried(now, t); i >= 0 {
 		return i
 	}
 	if t.kind == policy.Hedge {
-		elsewhere := func(i int) bool { return t.holds(i) && t.holders[i].conf.FailureDomain != t.avoid }
-		if i := pick(elsewhere); i >= 0 {
+		otherDomain := func(i int) bool { return t.eligible(i) && t.candidates[i].conf.FailureDomain != t.avoidDomain }
+		if i := pick(otherDomain); i >= 0 {
 			return i
 		}
 	}
-	if i := pick(t.holds); i >= 0 || t.kind == policy.Hedge {
+	if i := pick(t.eligible); i >= 0 || t.kind == policy.Hedge {
 		return i
 	}
-	return pick(func(i int) bool { return t.holds(i) && p.overEjected(now, t.holders[i]) })
+	return pick(func(i int) bool { return t.eligible(i) && p.exceedsEjectionLimit(now, t.candidates[i]) })
 }
 
-// untried returns a holder that got no attempt since it was first seen or
-// started, once its ramp admits it, -1 if there is none. What a target costs
-// is known only after it was tried.
-func (p *pool) untried(now time.Time, t *try) int {
+// chooseUntried returns the index of a candidate that got no attempt since it
+// was added or restarted and that its ramp admits, or -1. Its cost is unknown
+// until a first attempt has ended.
+func (p *pool) chooseUntried(now time.Time, t *try) int {
 	if t.kind != policy.FirstTry {
 		return -1
 	}
-	for i, h := range t.holders {
-		if h.untried && t.holds(i) && h.free(now) && h.rep.Ramp.Takes(now, p.rng.Float64()) {
+	for i, c := range t.candidates {
+		if c.untried && t.eligible(i) && c.hasCapacity(now) && c.replica.Ramp.Takes(now, p.rng.Float64()) {
 			return i
 		}
 	}
 	return -1
 }
 
-func index(replicas []*policy.Replica, r *policy.Replica) int {
+func replicaIndex(replicas []*policy.Replica, r *policy.Replica) int {
 	for i, x := range replicas {
 		if x == r {
 			return i
@@ -96,25 +99,25 @@
 	return -1
 }
 
-// overEjected reports whether the target is set aside although MaxSuspect of
-// the service's targets, all worse than it, are so already. It then still
-// gets the work that finds no other place.
-func (p *pool) overEjected(now time.Time, h *target) bool {
-	if !h.rep.Outlier.Ejected(now) {
+// exceedsEjectionLimit reports whether the target is ejected although
+// MaxSuspect of the targets of the service are ejected and worse than it. Such
+// a target still gets the work that no other target has a slot for.
+func (p *pool) exceedsEjectionLimit(now time.Time, t *target) bool {
+	if !t.replica.Outlier.Ejected(now) {
 		return false
 	}
 	worse := 0
 	for _, o := range p.targets {
-		if o != h && o.rep.Outlier.Ejected(now) && o.worseThan(h) {
+		if o != t && o.replica.Outlier.Ejected(now) && o.worseThan(t) {
 			worse++
 		}
 	}
 	return worse >= int(p.relay.cfg.MaxSuspect*float64(len(p.targets)))
 }
 
-// worseThan orders targets that are set aside, by id where all else is equal.
+// worseThan orders ejected targets by failure ratio, then latency, then id.
 func (t *target) worseThan(o *target) bool {
-	a, b := t.rep.Outlier, o.rep.Outlier
+	a, b := t.replica.Outlier, o.replica.Outlier
 	if a.FailureRatio() != b.FailureRatio() {
 		return a.FailureRatio() > b.FailureRatio()
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -7,24 +7,24 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config is the part of the host settings that rules its relay. What differs
-// between services stands in catalog.Rules instead.
+// Config holds the host settings of the relay. Settings of a single service
+// are in catalog.Rules.
 type Config struct {
-	StatusInterval   unit.Duration `json:"status_interval"`    // between two status polls of one target
+	StatusInterval   unit.Duration `json:"status_interval"`    // between two status polls of a target
 	StatusTimeout    unit.Duration `json:"status_timeout"`     // of one status poll
-	HostListInterval unit.Duration `json:"host_list_interval"` // between two reads of the platform's host list
-	HostListPollers  int           `json:"host_list_pollers"`  // hosts of the fleet that read the host list
-	HostListLag      unit.Duration `json:"host_list_lag"`      // age of a target's incarnation above which the list is believed to mean it
+	HostListInterval unit.Duration `json:"host_list_interval"` // between two reads of the host list of the platform
+	HostListPollers  int           `json:"host_list_pollers"`  // number of hosts in the fleet that read the host list
+	HostListLag      unit.Duration `json:"host_list_lag"`      // a listing as leaving sooner than this after a start of the target may refer to its previous incarnation
 	ConnectTimeout   unit.Duration `json:"connect_timeout"`    // of a new connection to a target
 	IdleTimeout      unit.Duration `json:"idle_timeout"`       // after which an unused connection is closed
-	MaxAnswerBytes   int64         `json:"max_answer_bytes"`   // largest body of a target's answer
-	QueueLength      int           `json:"queue_length"`       // attempts that wait for the targets of one service
-	ColdRamp         unit.Duration `json:"cold_ramp"`          // until a cold target has its whole share of work
-	MaxSuspect       float64       `json:"max_suspect"`        // 0..1; greatest part of a service's targets that may be suspect at once
-	RetryAfter       unit.Duration `json:"retry_after"`        // told to callers when no better estimate is known
+	MaxAnswerBytes   int64         `json:"max_answer_bytes"`   // maximum response body of a target
+	QueueLength      int           `json:"queue_length"`       // maximum number of queued attempts per service
+	ColdRamp         unit.Duration `json:"cold_ramp"`          // until a started target gets its full share of work
+	MaxSuspect       float64       `json:"max_suspect"`        // 0..1; maximum share of the targets of a service suspect at once
+	RetryAfter       unit.Duration `json:"retry_after"`        // returned to callers when there is no better estimate
 }
 
-// DefaultConfig returns the settings of a host that names none.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		StatusInterval:   unit.Duration(900 * time.Millisecond),
@@ -42,7 +42,7 @@
 	}
 }
 
-// Validate returns every problem of the settings, joined.
+// Validate returns all problems of the settings, joined.
 func (c Config) Validate() error {
 	var problems []error
 	positive := func(name string, d unit.Duration) {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestConfigTellsEveryProblem(t *testing.T) {
+func TestConfigValidateReportsEveryProblem(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	c := DefaultConfig()
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -9,26 +9,26 @@
 	"rhubarbwood.example/rhubarbwood/internal/catalog"
 )
 
-// Protocols of catalog.Rules.
+// Values of catalog.Rules.Protocol.
 const (
 	protocolHTTP1 = "http1"
 	protocolH2C   = "h2c"
 )
 
-// conn counts the writes to a connection, so that the sender of an attempt
-// can prove that none was made.
+// conn counts the writes to a connection, so that the sender of an attempt can
+// prove that nothing was written.
 type conn struct {
 	net.Conn
-	shared bool // carries several attempts at once
-	closed func()
+	shared  bool // carries several attempts concurrently
+	onClose func()
 
-	mu     sync.Mutex
-	writes uint64
-	sealed bool
-	once   sync.Once
+	mu        sync.Mutex
+	writes    uint64
+	sealed    bool
+	closeOnce sync.Once
 }
 
-// Write counts itself before the first byte can leave.
+// Write counts the write before the first byte can leave the host.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	sealed := c.sealed
@@ -42,19 +42,20 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection.
+// Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(c.closed)
+	c.closeOnce.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-func (c *conn) written() uint64 {
+func (c *conn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal ends all writing and returns the writes that began before.
+// seal closes the connection, makes all further writes fail and returns the
+// number of writes that began before.
 func (c *conn) seal() uint64 {
 	c.mu.Lock()
 	c.sealed = true
@@ -67,11 +68,11 @@
 // dialFunc opens a connection to a target.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newTransport returns the HTTP client side of one target.
+// newTransport returns the HTTP transport of one target.
 func (r *Relay) newTransport(rules catalog.Rules, t *target) *http.Transport {
 	tr := &http.Transport{
-		MaxConnsPerHost:     connections(rules),
-		MaxIdleConnsPerHost: connections(rules),
+		MaxConnsPerHost:     maxConnections(rules),
+		MaxIdleConnsPerHost: maxConnections(rules),
 		IdleConnTimeout:     r.cfg.IdleTimeout.Std(),
 		DisableCompression:  true,
 		Protocols:           new(http.Protocols),
@@ -92,7 +93,7 @@
 	if err != nil {
 		return nil, Error.New("connect to target %s: %w", t.conf.ID, err)
 	}
-	t.opened.Add(1)
-	t.open.Add(1)
-	return &conn{Conn: c, shared: shared, closed: func() { t.open.Add(-1) }}, nil
+	t.openedConns.Add(1)
+	t.openConns.Add(1)
+	return &conn{Conn: c, shared: shared, onClose: func() { t.openConns.Add(-1) }}, nil
 }
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// DialWith makes the relay open its connections to targets with dial, before
-// Start. Tests use it for connections in memory.
+// DialWith sets the function that opens connections to targets. It must be
+// called before Start. Tests use it for in-memory connections.
 func (r *Relay) DialWith(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	r.dial = dial
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,24 +8,24 @@
 
 var (
 	evTargetLeaving = event.Define(4001, "target_leaving", plog.InfoLevel,
-		"A target showed the first sign of leaving; it gets no new work until its incarnation grows.",
+		"A target was first observed to be leaving; it gets no new work until its incarnation increases.",
 		"none, if the target was meant to stop", "service", "target", "sign")
 	evTargetStarted = event.Define(4002, "target_started", plog.InfoLevel,
-		"A target started or starts; its share of work rises gradually.",
+		"A target has started or is starting; its share of work rises gradually.",
 		"none", "service", "target", "incarnation")
 	evTargetDrained = event.Define(4003, "target_drained", plog.InfoLevel,
-		"An operator's drain of a target began or was undone.",
+		"An operator drained a target or undid the drain.",
 		"none", "service", "target", "drained")
 	evTargetSuspect = event.Define(4004, "target_suspect", plog.WarnLevel,
-		"A target fails or is many times slower than its peers and gets probing work only.",
-		"look at the target; `show targets` tells the reason", "service", "target", "reason", "failure_ratio")
+		"A target fails or is many times slower than its peers; it gets probe attempts only.",
+		"check the target; `show targets` prints the reason", "service", "target", "reason", "failure_ratio")
 	evBadAnswer = event.Define(4005, "target_bad_answer", plog.WarnLevel,
-		"An answer was truncated, crossed or otherwise not that of the attempt; it was dropped.",
-		"look at the target; its answers can't be trusted", "service", "target", "cause")
-	evSignsUntold = event.Define(4007, "target_signs_untold", plog.WarnLevel,
-		"Another relay could not be told in time that targets are leaving; it sees it by their answers and status alone.",
-		"look at that host and the way to it, if it is still a member", "to", "signs", "cause")
-	evHostList = event.Define(4006, "host_list_unread", plog.WarnLevel,
-		"The platform's list of hosts could not be read; targets that leave are seen by their answers and status alone.",
-		"look at the platform", "cause")
+		"A target returned an answer that is malformed or belongs to another attempt; the answer was discarded.",
+		"check the target; its answers are not reliable", "service", "target", "cause")
+	evSignsUndelivered = event.Define(4007, "target_signs_untold", plog.WarnLevel,
+		"Signs of leaving targets could not be delivered to another relay in time; it detects them by answers and status only.",
+		"check the host and the network path to it, if it is still a member", "to", "signs", "cause")
+	evHostListUnread = event.Define(4006, "host_list_unread", plog.WarnLevel,
+		"The host list of the platform could not be read; leaving targets are detected by answers and status only.",
+		"check the platform", "cause")
 )
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -37,7 +37,8 @@
 	os.Exit(code)
 }
 
-// view is a catalog.View of one service "s" of workload "w" and its snapshots.
+// view is a catalog.View of the service "s" of the workload "w" and its
+// snapshots.
 type view struct {
 	mu        sync.Mutex
 	service   catalog.Service
@@ -67,7 +68,7 @@
 	v.revision++
 }
 
-// members is a member.View that a test may change.
+// members is a member.View that a test can change.
 type members struct {
 	mu         sync.Mutex
 	self       string
@@ -99,27 +100,27 @@
 	m.generation++
 }
 
-// fakeTarget serves the target interface over in-memory connections.
+// fakeTarget implements the target protocol over in-memory connections.
 type fakeTarget struct {
 	id     string
 	server *http.Server
 	conns  chan net.Conn
 	closed chan struct{}
-	serve  func(w http.ResponseWriter, r *http.Request, a targetapi.Answer) // nil: a whole answer after delay
-	refuse error                                                            // of dials
-
-	mu     sync.Mutex
-	delay  time.Duration
-	frozen bool // the status does not answer
-	status targetapi.Status
-	seen   []seen
-	dials  int
-	open   int
-	most   int // connections open at once
+	serve  func(w http.ResponseWriter, r *http.Request, a targetapi.Answer) // if nil, a valid answer after delay
+	refuse error                                                            // returned by dials
+
+	mu       sync.Mutex
+	delay    time.Duration
+	frozen   bool // the status endpoint does not respond
+	status   targetapi.Status
+	requests []receivedRequest
+	dials    int
+	open     int
+	maxOpen  int
 }
 
-// seen is one request that reached the target.
-type seen struct {
+// receivedRequest is a shard request that reached the target.
+type receivedRequest struct {
 	at      time.Time
 	attempt string
 	kind    string
@@ -143,7 +144,7 @@
 	switch s {
 	case http.StateNew:
 		f.open++
-		f.most = max(f.most, f.open)
+		f.maxOpen = max(f.maxOpen, f.open)
 	case http.StateClosed, http.StateHijacked:
 		f.open--
 	}
@@ -168,9 +169,9 @@
 	if refuse != nil {
 		return nil, refuse
 	}
-	here, there := net.Pipe()
-	f.conns <- there
-	return here, nil
+	client, server := net.Pipe()
+	f.conns <- server
+	return client, nil
 }
 
 func (f *fakeTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -188,7 +189,7 @@
 	var q targetapi.Request
 	_ = json.NewDecoder(r.Body).Decode(&q)
 	f.mu.Lock()
-	f.seen = append(f.seen, seen{time.Now(), r.Header.Get(targetapi.HeaderAttempt), q.Kind})
+	f.requests = append(f.requests, receivedRequest{time.Now(), r.Header.Get(targetapi.HeaderAttempt), q.Kind})
 	serve, delay := f.serve, f.delay
 	f.mu.Unlock()
 	if serve != nil {
@@ -208,10 +209,10 @@
 	change(f)
 }
 
-func (f *fakeTarget) count() int {
+func (f *fakeTarget) requestCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.seen)
+	return len(f.requests)
 }
 
 func wholeAnswer(r *http.Request) targetapi.Answer {
@@ -230,13 +231,13 @@
 	_ = json.NewEncoder(w).Encode(targetapi.Rejection{Code: code})
 }
 
-// fixture is a relay of three targets that hold all shards.
+// fixture is a relay with targets that all hold every shard.
 type fixture struct {
 	relay   *Relay
 	view    *view
 	members *members
 	targets []*fakeTarget
-	wait    sync.WaitGroup
+	servers sync.WaitGroup
 }
 
 type option func(*fixture, *Config)
@@ -273,7 +274,7 @@
 	f.relay = New(cfg, f.view, f.members, nil, event.Discard(), nil)
 	f.relay.dial = f.dial
 	for _, t := range f.targets {
-		f.wait.Go(func() { _ = t.server.Serve(t) })
+		f.servers.Go(func() { _ = t.server.Serve(t) })
 	}
 	return f
 }
@@ -287,7 +288,7 @@
 	return nil, net.ErrClosed
 }
 
-// close ends the fixture; every goroutine of it must end.
+// close stops the relay and the targets, and waits for their goroutines.
 func (f *fixture) close() {
 	_ = f.relay.Stop(context.Background())
 	for _, p := range f.relay.table.Load().pools {
@@ -297,7 +298,7 @@
 		close(t.closed)
 		_ = t.server.Close()
 	}
-	f.wait.Wait()
+	f.servers.Wait()
 }
 
 func batch(shards int, budget time.Duration) query.Batch {
@@ -309,20 +310,21 @@
 	return b
 }
 
-// search runs the batch and returns the results by shard, with their times.
-func (f *fixture) search(ctx context.Context, b query.Batch) (map[uint32]timed, error) {
-	out := map[uint32]timed{}
+// search runs the batch and returns the results by shard, with the time from
+// the start of the search to each.
+func (f *fixture) search(ctx context.Context, b query.Batch) (map[uint32]timedResult, error) {
+	out := map[uint32]timedResult{}
 	begin := time.Now()
 	err := f.relay.Search(ctx, b, func(r query.ShardResult) {
 		if _, twice := out[r.Key.Shard]; twice {
 			panic("shard emitted twice")
 		}
-		out[r.Key.Shard] = timed{r, time.Since(begin)}
+		out[r.Key.Shard] = timedResult{r, time.Since(begin)}
 	})
 	return out, err
 }
 
-type timed struct {
+type timedResult struct {
 	query.ShardResult
 	after time.Duration
 }
--- a/internal/relay/faults_test.go
+++ b/internal/relay/faults_test.go
@@ -20,7 +20,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// fault is what a target does in place of a whole answer.
+// fault is a response other than a valid answer, with the outcome and reason
+// that the relay must report.
 type fault struct {
 	name    string
 	serve   func(w http.ResponseWriter, r *http.Request, a targetapi.Answer)
@@ -42,7 +43,7 @@
 	}
 }
 
-// raw answers with bytes of its own and closes the connection.
+// raw responds with the given bytes and closes the connection.
 func raw(text string) func(http.ResponseWriter, *http.Request, targetapi.Answer) {
 	return func(w http.ResponseWriter, _ *http.Request, _ targetapi.Answer) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -54,6 +55,8 @@
 	}
 }
 
+// truncated drops the last bytes of the answer and aborts the connection; with
+// announced above 0 the response has a Content-Length.
 func truncated(announced, sent int) func(http.ResponseWriter, *http.Request, targetapi.Answer) {
 	return func(w http.ResponseWriter, _ *http.Request, a targetapi.Answer) {
 		body, _ := json.Marshal(a)
@@ -107,7 +110,7 @@
 
 func smallAnswers(_ *fixture, c *Config) { c.MaxAnswerBytes = 64 << 10 }
 
-// eachFault runs the test with each fault at t0, in virtual time.
+// eachFault runs the test for each fault at target t0, in virtual time.
 func eachFault(t *testing.T, targets int, test func(is *is.I, f *fixture, x fault)) {
 	for _, x := range faults {
 		t.Run(x.name, func(t *testing.T) {
@@ -121,7 +124,8 @@
 	}
 }
 
-// With one replica the fault is the result; no answer is made of it.
+// With a single replica the fault determines the result at once, and no rows
+// are returned.
 func TestFaultIsToldTruly(t *testing.T) {
 	eachFault(t, 1, func(is *is.I, f *fixture, x fault) {
 		got, err := f.search(context.Background(), batch(1, time.Second))
@@ -134,7 +138,7 @@
 	})
 }
 
-// With a sound replica left, a search gets its answer there.
+// If another replica is healthy, the search gets its answer there.
 func TestFaultOfOneReplicaIsMended(t *testing.T) {
 	eachFault(t, 2, func(is *is.I, f *fixture, _ fault) {
 		got, err := f.search(context.Background(), batch(8, time.Second))
@@ -142,7 +146,7 @@
 		for _, r := range got {
 			is.Equal(r.Outcome, outcome.Done)
 		}
-		is.True(f.targets[0].count() > 0)
+		is.True(f.targets[0].requestCount() > 0)
 	})
 }
 
@@ -150,8 +154,8 @@
 	return query.Reserve{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: budget}
 }
 
-// A reservation reaches the target one time, whatever the fault, and what is
-// told of it is true.
+// Whatever the fault, a reservation reaches one target exactly once and its
+// reported outcome is correct.
 func TestFaultOfAReservation(t *testing.T) {
 	eachFault(t, 2, func(is *is.I, f *fixture, x fault) {
 		q := reserve(time.Second)
@@ -161,8 +165,8 @@
 		got := f.relay.Send(context.Background(), q, target, "a1")
 		is.Equal(got.Outcome, x.outcome)
 		is.Equal(got.Reason, x.reason)
-		is.Equal(f.targets[0].count(), 1)
-		is.Equal(f.targets[1].count(), 0)
+		is.Equal(f.targets[0].requestCount(), 1)
+		is.Equal(f.targets[1].requestCount(), 0)
 	})
 }
 
@@ -174,12 +178,13 @@
 		got := f.relay.Send(t.Context(), reserve(time.Second), "t1", "a1")
 		is.Equal(got, query.Reservation{RequestID: "r1", ReservationID: "v1", Outcome: outcome.Done,
 			Granted: true, Answer: "kept", Target: "t1"})
-		is.Equal(f.targets[1].seen[0].attempt, "a1")
-		is.Equal(f.targets[1].seen[0].kind, targetapi.KindReserve)
+		is.Equal(f.targets[1].requests[0].attempt, "a1")
+		is.Equal(f.targets[1].requests[0].kind, targetapi.KindReserve)
 	})
 }
 
-// brokenConn fails its first write. Whether a byte left can't be known.
+// brokenConn fails its first write, after which it is unknown whether a byte
+// left the host.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
@@ -229,24 +234,24 @@
 	}
 }
 
-// A connection that was sealed never writes again, and tells of each write
-// that began before.
+// A sealed connection fails all writes and counts every write that began
+// before.
 func TestSealedConnectionWritesNoMore(t *testing.T) {
 	is := is.New(t)
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
-	go func() { _, _ = io.Copy(io.Discard, there) }()
-	c := &conn{Conn: here, closed: func() {}}
+	client, server := net.Pipe()
+	defer func() { _ = server.Close() }()
+	go func() { _, _ = io.Copy(io.Discard, server) }()
+	c := &conn{Conn: client, onClose: func() {}}
 	_, err := c.Write([]byte("x"))
 	is.NoErr(err)
 	is.Equal(c.seal(), uint64(1))
 	_, err = c.Write([]byte("y"))
 	is.True(err != nil)
-	is.Equal(c.written(), uint64(1))
+	is.Equal(c.writeCount(), uint64(1))
 }
 
-// The budget is looked at right before the send: what waited in the queue, or
-// for a connection, past its time is not sent.
+// The budget is checked right before the send, so a reservation that waited
+// past its budget in the queue is not sent.
 func TestReservationIsNotSentPastItsBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -264,21 +269,21 @@
 		is.Equal(f.relay.Send(done, reserve(time.Second), "t0", "a3").Outcome, outcome.NotSent)
 		is.Equal(f.relay.Send(t.Context(), reserve(0), "t0", "a4").Outcome, outcome.NotSent)
 		time.Sleep(time.Minute)
-		is.Equal(f.targets[0].count(), 1)
+		is.Equal(f.targets[0].requestCount(), 1)
 	})
 }
 
-// The target is told what remains after the wait for a connection.
-func TestBudgetIsTheRemainingOne(t *testing.T) {
+// The target receives the budget that remains after the wait for a connection.
+func TestTargetReceivesRemainingBudget(t *testing.T) {
 	for _, protocol := range []string{protocolHTTP1, protocolH2C} {
 		t.Run(protocol, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFixture(1, 1, rules(func(r *catalog.Rules) { r.Protocol = protocol }))
 				defer f.close()
-				var told string
+				var budget string
 				f.targets[0].serve = func(w http.ResponseWriter, r *http.Request, a targetapi.Answer) {
-					told = r.Header.Get(targetapi.HeaderBudget)
+					budget = r.Header.Get(targetapi.HeaderBudget)
 					_ = json.NewEncoder(w).Encode(a)
 				}
 				f.relay.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -286,15 +291,15 @@
 					return f.targets[0].dial()
 				}
 				is.Equal(f.relay.Send(t.Context(), reserve(time.Second), "t0", "a1").Outcome, outcome.Done)
-				is.Equal(told, "900.000")
+				is.Equal(budget, "900.000")
 			})
 		})
 	}
 }
 
-// A host that was frozen may wake with its timers not yet run. The time is
-// read again before the attempt goes out, and once more when the connection
-// is had.
+// A host that was frozen may resume before its expired timers run, so the
+// context is not cancelled yet. The deadline is therefore checked before the
+// attempt is sent and again once it has a connection.
 func TestAttemptPastItsDeadlineIsNotSentThoughNothingCancelledIt(t *testing.T) {
 	for name, x := range map[string]struct{ left, connect time.Duration }{
 		"late before":                 {0, 0},
@@ -313,13 +318,13 @@
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				target, _ := f.relay.pool("s").targetOf("t0")
+				target, _ := f.relay.pool("s").usableTarget("t0")
 				got := target.send(ctx, cancel, &attempt{id: "a", requestID: "r", service: "s", snapshot: 7,
 					body: []byte("{}"), deadline: time.Now().Add(x.left)})
 				inTime := x.left > x.connect
 				is.Equal(got.outcome == outcome.Done, inTime)
 				is.Equal(got.outcome == outcome.NotSent, !inTime)
-				is.Equal(f.targets[0].count() == 1, inTime)
+				is.Equal(f.targets[0].requestCount() == 1, inTime)
 			})
 		})
 	}
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -14,8 +14,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// relaysOf returns relays on other hosts of the fixture's targets.
-func (f *fixture) relaysOf(n int) []*fixture {
+// withRelays returns f and n-1 relays on other hosts for the same targets.
+func (f *fixture) withRelays(n int) []*fixture {
 	all := []*fixture{f}
 	for i := 1; i < n; i++ {
 		g := &fixture{view: f.view, targets: f.targets, members: &members{self: "h" + strconv.Itoa(i)}}
@@ -26,21 +26,21 @@
 	return all
 }
 
-// Hosts come and go, each host learns of it at another time, and entries with
-// old views ask hosts that are relays no more. The targets' connections stay
-// below their limit all the while.
+// Hosts join and leave, every host observes it at a different time, and hosts
+// with an old view send requests to hosts that are no longer relays. The
+// connections of each target must stay within its limit throughout.
 func TestConnectionsStayBelowTheLimitWhileMembershipChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const limit, hosts, live = 25, 16, 12
+		const limit, hosts, members = 25, 16, 12
 		f := newFixture(8, 3, func(f *fixture, _ *Config) {
 			for i := range f.view.service.Targets {
-				f.view.service.Targets[i].Slots = 50 // the connections bound the work
+				f.view.service.Targets[i].Slots = 50 // so that the connections limit the attempts
 			}
 		})
-		all := f.relaysOf(hosts)
+		all := f.withRelays(hosts)
 		for i, g := range all {
-			g.members.set(window(0, live)...)
+			g.members.set(hostIDs(0, members)...)
 			is.NoErr(g.relay.Start(t.Context()))
 			if i == 0 {
 				continue
@@ -60,23 +60,23 @@
 				}
 			})
 		}
-		for first := 1; first <= hosts-live; first++ {
+		for first := 1; first <= hosts-members; first++ {
 			time.Sleep(2 * time.Second)
 			for i, g := range all {
-				time.AfterFunc(time.Duration(i)*100*time.Millisecond, func() { g.members.set(window(first, live)...) })
+				time.AfterFunc(time.Duration(i)*100*time.Millisecond, func() { g.members.set(hostIDs(first, members)...) })
 			}
 		}
 		work.Wait()
-		most := 0
+		maxOpen := 0
 		for _, target := range f.targets {
-			most = max(most, target.most)
+			maxOpen = max(maxOpen, target.maxOpen)
 		}
-		is.True(most >= 20) // of two connections of ten relays
-		is.True(most <= limit)
+		is.True(maxOpen >= 20) // two connections from each of ten relays
+		is.True(maxOpen <= limit)
 	})
 }
 
-func window(first, n int) []string {
+func hostIDs(first, n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = "h" + strconv.Itoa(first+i)
@@ -91,15 +91,15 @@
 		defer f.close()
 		f.members.set("h0")
 		is.True(f.relay.Assigned("s"))
-		f.members.self = "h9" // is not among the hosts
+		f.members.self = "h9" // not a member
 		f.members.set("h0")
 		is.True(!f.relay.Assigned("s"))
 		got, err := f.search(t.Context(), batch(4, time.Second))
 		is.NoErr(err)
 		is.Equal(got[3].Outcome, outcome.Done)
-		is.Equal(testutil.ToFloat64(f.relay.metrics.foreign.WithLabelValues("s")), 1.0)
+		is.Equal(testutil.ToFloat64(f.relay.metrics.foreignRequests.WithLabelValues("s")), 1.0)
 		for _, target := range f.targets {
-			is.True(target.most <= 1)
+			is.True(target.maxOpen <= 1)
 		}
 		is.Equal(f.relay.Load("s"), 0.0)
 	})
@@ -110,10 +110,10 @@
 		is := is.New(t)
 		f := newFixture(1, 1)
 		defer f.close()
-		all := f.relaysOf(40)
+		all := f.withRelays(40)
 		lists := make([]*hostList, len(all))
 		for i, g := range all {
-			g.members.set(window(0, 40)...)
+			g.members.set(hostIDs(0, 40)...)
 			lists[i] = &hostList{}
 			g.relay.hosts = lists[i]
 			is.NoErr(g.relay.Start(t.Context()))
@@ -126,6 +126,6 @@
 		for _, l := range lists {
 			calls += l.calls
 		}
-		is.True(calls >= 12*9 && calls <= 12*12) // 12 readers, 15 s, one call in 1.5 s or so
+		is.True(calls >= 12*9 && calls <= 12*12) // 12 readers for 15 s at an interval of 1.5 s with jitter
 	})
 }
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -6,157 +6,163 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// Sign tells what first showed that a target is leaving.
+// Sign is the kind of the first observation that a target is leaving.
 type Sign string
 
 const (
 	signNone     Sign = ""
-	signAnswer   Sign = "answer"    // it refused an attempt as draining
-	signStatus   Sign = "status"    // its status said draining
-	signHostList Sign = "host_list" // the platform lists it as leaving
-	signListed   Sign = "listed"    // no sign of leaving: the platform lists it as live again
+	signAnswer   Sign = "answer"    // the target rejected an attempt as draining
+	signStatus   Sign = "status"    // the status of the target is draining
+	signHostList Sign = "host_list" // the platform lists the target as leaving
+	signRelisted Sign = "listed"    // retracts a host list sign: the platform lists the target as live again
 )
 
-func (s Sign) known() bool {
+func (s Sign) valid() bool {
 	switch s {
-	case signAnswer, signStatus, signHostList, signListed:
+	case signAnswer, signStatus, signHostList, signRelisted:
 		return true
 	}
 	return false
 }
 
-// health is what a relay believes of a target's will to work. It is pure.
+// health is the availability of one target as this relay observed it. It does
+// no I/O and reads no clock.
 //
-// A sign of leaving stands until the target's incarnation grows, whatever its
-// status claims meanwhile: a status may lag or lie, a draining target does
-// not come back without a start.
+// A sign of leaving stays in force until the incarnation of the target
+// increases, whatever its status reports meanwhile: a status may be late or
+// wrong, and a draining target does not resume work without a restart.
 type health struct {
-	incarnation uint64    // greatest seen, 0 before the first status
-	seen        time.Time // when that incarnation was first seen
-	state       string    // of the newest status of that incarnation
-	leaving     Sign
-	leftAt      time.Time
-	told        Sign // what this host told of that incarnation
-	drained     bool // by an operator; stands until undone
-	listed      bool // the host list, read by this host, now says leaving
+	incarnation       uint64    // greatest observed; 0 before the first status
+	incarnationSeenAt time.Time // when that incarnation was first observed
+	state             string    // from the newest status of that incarnation
+	leaving           Sign
+	leavingSince      time.Time // when leaving was set
+	announced         Sign      // sign that this host announced for that incarnation
+	drained           bool      // by an operator, until undone
+	listedLeaving     bool      // the last host list that this host read lists the target as leaving
 }
 
-// usable reports whether the target may be given new work.
+// usable reports whether the target may get new work.
 func (h *health) usable() bool { return h.leaving == signNone && !h.drained }
 
-// leave notes a sign of leaving and reports whether it is the first one.
-func (h *health) leave(now time.Time, s Sign) bool {
+// markLeaving records a sign of leaving and reports whether it is the first
+// one.
+func (h *health) markLeaving(now time.Time, s Sign) bool {
 	if h.leaving != signNone {
 		return false
 	}
-	h.leaving, h.leftAt = s, now
+	h.leaving, h.leavingSince = s, now
 	return true
 }
 
-// change tells what a status changed.
-type change uint8
+// statusChange is the effect of a status on the health.
+type statusChange uint8
 
 const (
-	unchanged change = iota
-	started          // a new incarnation, or one that is still starting
-	left             // first sign of leaving
+	statusUnchanged statusChange = iota
+	statusStarted                // a further incarnation, or the state has become starting
+	statusLeaving                // first sign of leaving
 )
 
-// status takes an answer of the target's status endpoint. One of an older
-// incarnation is a late one and tells nothing.
-func (h *health) status(now time.Time, s targetapi.Status) change {
+// applyStatus applies a response of the status endpoint. A status of an older
+// incarnation arrived late and is ignored.
+func (h *health) applyStatus(now time.Time, s targetapi.Status) statusChange {
 	if s.Incarnation < h.incarnation {
-		return unchanged
+		return statusUnchanged
 	}
 	fresh := s.Incarnation > h.incarnation
 	first := h.incarnation == 0
 	if fresh {
-		h.incarnation, h.seen = s.Incarnation, now
-		h.renew(first)
+		h.incarnation, h.incarnationSeenAt = s.Incarnation, now
+		h.resetSigns(first)
 	}
 	starting := s.State == targetapi.StateStarting && h.state != targetapi.StateStarting
 	h.state = s.State
 	if s.State == targetapi.StateDraining {
-		if h.leave(now, signStatus) {
-			return left
+		if h.markLeaving(now, signStatus) {
+			return statusLeaving
 		}
-		return unchanged
+		return statusUnchanged
 	}
 	if (fresh && !first) || starting {
-		return started
+		return statusStarted
 	}
-	return unchanged
+	return statusUnchanged
 }
 
-// renew forgets the signs of the incarnation before. With none known before,
-// the signs may well be of the one just seen, and stand.
-func (h *health) renew(first bool) {
+// resetSigns clears the signs of the previous incarnation. If no incarnation
+// was known before, the signs may be those of the current one and are kept.
+func (h *health) resetSigns(first bool) {
 	if !first {
-		h.leaving, h.told = signNone, signNone
+		h.leaving, h.announced = signNone, signNone
 	}
 }
 
-// list takes the platform's word on the target and reports whether it turned,
-// and whether that is the first sign of leaving. Only the turn to leaving is a sign: the list lags, so
-// it goes on naming a target that has already started again.
-func (h *health) list(now time.Time, leaving bool, lag time.Duration) (turned, first bool) {
-	if h.listed == leaving {
+// applyListing applies the state of the target in the host list. changed
+// reports whether that differs from the previous listing, first whether it is
+// the first sign of leaving. Only a change to leaving counts as a sign: the
+// list lags and may still list a target as leaving after it has restarted.
+func (h *health) applyListing(now time.Time, leaving bool, lag time.Duration) (changed, first bool) {
+	if h.listedLeaving == leaving {
 		return false, false
 	}
-	h.listed = leaving
+	h.listedLeaving = leaving
 	if leaving {
-		return true, h.leave(now, signHostList)
+		return true, h.markLeaving(now, signHostList)
 	}
-	h.unlist(lag)
+	h.retractListing(lag)
 	return true, false
 }
 
-// unlist takes that the list says live again.
-func (h *health) unlist(lag time.Duration) {
-	if h.mistaken(lag) {
+// retractListing handles that the host list lists the target as live again.
+func (h *health) retractListing(lag time.Duration) {
+	if h.listSignAmbiguous(lag) {
 		h.leaving = signNone
 	}
 }
 
-// heard tells what became of a sign that another host saw.
-type heard string
+// signResult is the effect of a sign received from another host. The values
+// are metric labels.
+type signResult string
 
 const (
-	heardFirst heard = "applied" // the first sign of leaving
-	heardAgain heard = "known"
-	heardLate  heard = "late" // of an older incarnation
+	resultApplied signResult = "applied" // the first sign of leaving
+	resultKnown   signResult = "known"
+	resultLate    signResult = "late" // of an older incarnation
 )
 
-// hear takes a sign that another host saw when the incarnation was the
-// greatest that it had seen of the target. A greater one than here is taken
-// over, so that the sign stands until that one is past.
-func (h *health) hear(now time.Time, s Sign, incarnation uint64, lag time.Duration) heard {
+// applyRemoteSign applies a sign from another host. incarnation is the
+// greatest one that the host had observed of the target, 0 if none. If it is
+// greater than the local one it replaces it, so that the sign stays in force
+// until the target starts again.
+func (h *health) applyRemoteSign(now time.Time, s Sign, incarnation uint64, lag time.Duration) signResult {
 	if incarnation != 0 && incarnation < h.incarnation {
-		return heardLate
+		return resultLate
 	}
-	if s == signListed {
-		h.unlist(lag)
-		return heardAgain
+	if s == signRelisted {
+		h.retractListing(lag)
+		return resultKnown
 	}
 	if incarnation > h.incarnation {
-		h.renew(h.incarnation == 0)
-		h.incarnation, h.seen, h.state = incarnation, now, ""
+		h.resetSigns(h.incarnation == 0)
+		h.incarnation, h.incarnationSeenAt, h.state = incarnation, now, ""
 	}
-	if h.leave(now, s) {
-		return heardFirst
+	if h.markLeaving(now, s) {
+		return resultApplied
 	}
-	return heardAgain
+	return resultKnown
 }
 
-// forget takes back a sign of the list, on a host that reads no status.
-func (h *health) forget() {
+// clearListSign clears a sign of the host list. Hosts that poll no status of
+// the target use it, as they do not see its incarnation increase.
+func (h *health) clearListSign() {
 	if h.leaving == signHostList {
 		h.leaving = signNone
 	}
 }
 
-// mistaken reports whether the list's sign was so near to a start of the
-// target that it may have meant the incarnation before.
-func (h *health) mistaken(lag time.Duration) bool {
-	return h.leaving == signHostList && !h.seen.IsZero() && h.leftAt.Sub(h.seen) < lag
+// listSignAmbiguous reports whether the target was listed as leaving so soon
+// after a start that the listing may refer to the previous incarnation.
+func (h *health) listSignAmbiguous(lag time.Duration) bool {
+	return h.leaving == signHostList && !h.incarnationSeenAt.IsZero() && h.leavingSince.Sub(h.incarnationSeenAt) < lag
 }
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -17,8 +17,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// load searches one shard each interval until the span has passed.
-func (f *fixture) load(t *testing.T, span, interval time.Duration) (done, all int) {
+// searchFor searches one shard per interval until the span has passed and
+// returns the numbers of successful and of all searches.
+func (f *fixture) searchFor(t *testing.T, span, interval time.Duration) (done, all int) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(interval) {
 		got, err := f.search(t.Context(), batch(1, time.Second))
 		if err != nil {
@@ -32,12 +33,13 @@
 	return done, all
 }
 
-// since counts the shard requests that reached the target after the time.
-func (f *fakeTarget) since(at time.Time) int {
+// requestsSince returns the number of shard requests that reached the target
+// after the time.
+func (f *fakeTarget) requestsSince(at time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, s := range f.seen {
+	for _, s := range f.requests {
 		if s.at.After(at) {
 			n++
 		}
@@ -45,7 +47,7 @@
 	return n
 }
 
-const leaveWithin = 3 * time.Second
+const maxLeaveDelay = 3 * time.Second
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	for name, sign := range map[string]func(f *fixture){
@@ -53,13 +55,13 @@
 			f.targets[0].set(func(x *fakeTarget) {
 				x.serve = func(w http.ResponseWriter, _ *http.Request, _ targetapi.Answer) {
 					reject(w, http.StatusServiceUnavailable, targetapi.CodeDraining)
-					x.set(func(x *fakeTarget) { x.serve = nil }) // and then runs what it gets
+					x.set(func(x *fakeTarget) { x.serve = nil }) // later requests are served
 				}
 			})
 		},
 		"status, answers claim nothing": func(f *fixture) {
 			f.targets[0].set(func(x *fakeTarget) { x.status.State = targetapi.StateDraining })
-			time.AfterFunc(leaveWithin, func() {
+			time.AfterFunc(maxLeaveDelay, func() {
 				f.targets[0].set(func(x *fakeTarget) { x.status.State = targetapi.StateReady })
 			})
 		},
@@ -75,26 +77,26 @@
 				list := &hostList{}
 				f.relay.hosts = list
 				is.NoErr(f.relay.Start(t.Context()))
-				f.load(t, 5*time.Second, 5*time.Millisecond)
-				is.True(f.targets[0].count() > 0)
+				f.searchFor(t, 5*time.Second, 5*time.Millisecond)
+				is.True(f.targets[0].requestCount() > 0)
 
 				shown := time.Now()
 				sign(f)
-				done, all := f.load(t, 10*time.Second, 10*time.Millisecond)
-				is.Equal(done, all) // the others answer
-				is.Equal(f.targets[0].since(shown.Add(leaveWithin)), 0)
+				done, all := f.searchFor(t, 10*time.Second, 10*time.Millisecond)
+				is.Equal(done, all) // the other targets answer
+				is.Equal(f.targets[0].requestsSince(shown.Add(maxLeaveDelay)), 0)
 
 				list.set("t0", false)
 				f.targets[0].set(func(x *fakeTarget) { x.status.Incarnation++ })
 				back := time.Now()
-				f.load(t, 10*time.Second, 10*time.Millisecond)
-				is.True(f.targets[0].since(back) > 0) // the next incarnation works again
+				f.searchFor(t, 10*time.Second, 10*time.Millisecond)
+				is.True(f.targets[0].requestsSince(back) > 0) // the new incarnation gets work
 			})
 		})
 	}
 }
 
-// hostList is the platform's list as a test sets it.
+// hostList is a HostLister whose list a test can set.
 type hostList struct {
 	mu      sync.Mutex
 	leaving map[string]bool
@@ -118,7 +120,7 @@
 	return out, nil
 }
 
-// What waits for a leaving target alone is given up at once.
+// Tries whose only candidate leaves are given up at once.
 func TestWaitingWorkOfALeavingTargetIsGivenUpAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,16 +149,16 @@
 		f := newFixture(1, 3, func(_ *fixture, c *Config) { c.ColdRamp = unit.Duration(10 * time.Second) })
 		defer f.close()
 		is.NoErr(f.relay.Start(t.Context()))
-		f.load(t, 15*time.Second, 20*time.Millisecond)
+		f.searchFor(t, 15*time.Second, 20*time.Millisecond)
 		f.targets[0].set(func(x *fakeTarget) { x.status.Incarnation++ })
-		time.Sleep(time.Second) // the poll that shows it
+		time.Sleep(time.Second) // until a poll shows the new incarnation
 		share := func() float64 {
 			begin := time.Now()
-			_, all := f.load(t, 2*time.Second, 4*time.Millisecond)
-			return float64(f.targets[0].since(begin)) / float64(all)
+			_, all := f.searchFor(t, 2*time.Second, 4*time.Millisecond)
+			return float64(f.targets[0].requestsSince(begin)) / float64(all)
 		}
 		first, second := share(), share()
-		f.load(t, 10*time.Second, 20*time.Millisecond)
+		f.searchFor(t, 10*time.Second, 20*time.Millisecond)
 		warm := share()
 		is.True(first < warm/2)
 		is.True(first < second)
@@ -174,37 +176,45 @@
 		do     func(h *health)
 		usable bool
 	}{
-		"ready":              {func(h *health) { h.status(at, ready(1)) }, true},
-		"ready again lies":   {func(h *health) { h.status(at, draining(1)); h.status(at, ready(1)) }, false},
-		"new incarnation":    {func(h *health) { h.status(at, draining(1)); h.status(at, ready(2)) }, true},
-		"late old status":    {func(h *health) { h.status(at, ready(2)); h.status(at, draining(1)) }, true},
-		"late old ready":     {func(h *health) { h.status(at, draining(2)); h.status(at, ready(1)) }, false},
-		"starts draining":    {func(h *health) { h.status(at, ready(1)); h.status(at, draining(2)) }, false},
-		"first status later": {func(h *health) { h.leave(at, signAnswer); h.status(at, ready(5)) }, false},
-		"list, then live":    {func(h *health) { h.list(at, true, 0); h.list(at, false, 0) }, false},
+		"ready":                        {func(h *health) { h.applyStatus(at, ready(1)) }, true},
+		"wrong ready status":           {func(h *health) { h.applyStatus(at, draining(1)); h.applyStatus(at, ready(1)) }, false},
+		"new incarnation":              {func(h *health) { h.applyStatus(at, draining(1)); h.applyStatus(at, ready(2)) }, true},
+		"late old status":              {func(h *health) { h.applyStatus(at, ready(2)); h.applyStatus(at, draining(1)) }, true},
+		"late old ready":               {func(h *health) { h.applyStatus(at, draining(2)); h.applyStatus(at, ready(1)) }, false},
+		"starts draining":              {func(h *health) { h.applyStatus(at, ready(1)); h.applyStatus(at, draining(2)) }, false},
+		"sign before the first status": {func(h *health) { h.markLeaving(at, signAnswer); h.applyStatus(at, ready(5)) }, false},
+		"list, then live":              {func(h *health) { h.applyListing(at, true, 0); h.applyListing(at, false, 0) }, false},
 		"list lags behind": {func(h *health) {
-			h.status(at, ready(1))
-			h.list(at, true, 0)
-			h.status(at, ready(2))
-			h.list(at, true, 0)
+			h.applyStatus(at, ready(1))
+			h.applyListing(at, true, 0)
+			h.applyStatus(at, ready(2))
+			h.applyListing(at, true, 0)
 		}, true},
-		"list meant the last":       {func(h *health) { h.status(at, ready(1)); h.list(at, true, time.Minute); h.list(at, false, time.Minute) }, true},
-		"told late":                 {func(h *health) { h.status(at, ready(2)); h.hear(at, signStatus, 1, 0) }, true},
-		"told, back":                {func(h *health) { h.hear(at, signHostList, 3, 0); h.status(at, ready(4)) }, true},
-		"told of a later one":       {func(h *health) { h.status(at, ready(2)); h.hear(at, signAnswer, 3, 0); h.status(at, ready(3)) }, false},
-		"told before a status":      {func(h *health) { h.hear(at, signAnswer, 3, 0); h.status(at, ready(3)) }, false},
-		"told, incarnation unknown": {func(h *health) { h.status(at, ready(2)); h.hear(at, signHostList, 0, 0) }, false},
-		"told, taken back": {func(h *health) {
-			h.status(at, ready(2))
-			h.hear(at, signHostList, 0, time.Minute)
-			h.hear(at, signListed, 0, time.Minute)
+		"listing of the previous incarnation": {func(h *health) {
+			h.applyStatus(at, ready(1))
+			h.applyListing(at, true, time.Minute)
+			h.applyListing(at, false, time.Minute)
 		}, true},
-		"answer not taken back": {func(h *health) {
-			h.status(at, ready(2))
-			h.hear(at, signAnswer, 2, time.Minute)
-			h.hear(at, signListed, 0, time.Minute)
+		"late remote sign":          {func(h *health) { h.applyStatus(at, ready(2)); h.applyRemoteSign(at, signStatus, 1, 0) }, true},
+		"remote sign, then restart": {func(h *health) { h.applyRemoteSign(at, signHostList, 3, 0); h.applyStatus(at, ready(4)) }, true},
+		"remote sign of a newer incarnation": {func(h *health) {
+			h.applyStatus(at, ready(2))
+			h.applyRemoteSign(at, signAnswer, 3, 0)
+			h.applyStatus(at, ready(3))
 		}, false},
-		"drained": {func(h *health) { h.drained = true; h.status(at, ready(9)) }, false},
+		"remote sign before a status":      {func(h *health) { h.applyRemoteSign(at, signAnswer, 3, 0); h.applyStatus(at, ready(3)) }, false},
+		"remote sign, unknown incarnation": {func(h *health) { h.applyStatus(at, ready(2)); h.applyRemoteSign(at, signHostList, 0, 0) }, false},
+		"remote list sign, retracted": {func(h *health) {
+			h.applyStatus(at, ready(2))
+			h.applyRemoteSign(at, signHostList, 0, time.Minute)
+			h.applyRemoteSign(at, signRelisted, 0, time.Minute)
+		}, true},
+		"remote answer sign, retracted": {func(h *health) {
+			h.applyStatus(at, ready(2))
+			h.applyRemoteSign(at, signAnswer, 2, time.Minute)
+			h.applyRemoteSign(at, signRelisted, 0, time.Minute)
+		}, false},
+		"drained": {func(h *health) { h.drained = true; h.applyStatus(at, ready(9)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var h health
@@ -227,25 +237,26 @@
 				*s = next
 			})
 		}
-		f.load(t, time.Second, 5*time.Millisecond)
-		is.True(f.targets[0].count() > 0)
+		f.searchFor(t, time.Second, 5*time.Millisecond)
+		is.True(f.targets[0].requestCount() > 0)
 		drain(true)
 		begin := time.Now()
-		f.load(t, 3*time.Second, 10*time.Millisecond)
+		f.searchFor(t, 3*time.Second, 10*time.Millisecond)
 		f.targets[0].set(func(x *fakeTarget) { x.status.Incarnation++ })
-		f.load(t, 3*time.Second, 10*time.Millisecond)
-		is.Equal(f.targets[0].since(begin), 0)
+		f.searchFor(t, 3*time.Second, 10*time.Millisecond)
+		is.Equal(f.targets[0].requestsSince(begin), 0)
 		is.Equal(f.relay.Targets()[0].State, TargetDrained)
 		_, refusal := f.relay.Pick(reserve(time.Second), []string{"t1"})
 		is.True(refusal != nil)
 		drain(false)
-		f.load(t, 6*time.Second, 10*time.Millisecond)
-		is.True(f.targets[0].since(begin) > 0)
+		f.searchFor(t, 6*time.Second, 10*time.Millisecond)
+		is.True(f.targets[0].requestsSince(begin) > 0)
 	})
 }
 
-// A status that does not answer holds a connection. An attempt that it leaves
-// no connection for goes to another target and does not wait.
+// A status poll without a response occupies a connection. An attempt that
+// finds no free connection because of it must go to another target instead of
+// waiting.
 func TestFrozenStatusDelaysNoSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -253,7 +264,7 @@
 		defer f.close()
 		f.targets[0].frozen, f.targets[0].delay = true, 200*time.Millisecond
 		is.NoErr(f.relay.Start(t.Context()))
-		time.Sleep(10 * time.Millisecond) // the first poll is at work
+		time.Sleep(10 * time.Millisecond) // until the first poll is in flight
 		got, err := f.search(t.Context(), batch(4, time.Second))
 		is.NoErr(err)
 		for _, r := range got {
--- a/internal/relay/hedge.go
+++ b/internal/relay/hedge.go
@@ -6,52 +6,55 @@
 	"rhubarbwood.example/rhubarbwood/internal/policy"
 )
 
-// tick runs when the timer of the batch fires.
-func (r *run) tick(now time.Time) {
+// onTimer runs when the timer of the batch fires.
+func (r *batchRun) onTimer(now time.Time) {
 	if !now.Before(r.deadline) {
 		r.expire()
 		return
 	}
-	r.hedge(now)
+	r.startDueHedges(now)
 }
 
-// planHedges sets the time of the first look for tries to hedge.
-func (r *run) planHedges(now time.Time) {
-	r.hedgeAt = time.Time{}
+// scheduleHedges sets the time of the first check for tries to hedge.
+func (r *batchRun) scheduleHedges(now time.Time) {
+	r.nextHedgeCheck = time.Time{}
 	for i := range r.tasks {
 		if k := &r.tasks[i]; !k.final {
-			r.lookAt(now, k)
+			r.scheduleHedgeCheck(now, k)
 		}
 	}
 }
 
-func (r *run) lookAt(from time.Time, k *task) {
+// scheduleHedgeCheck moves the next hedge check forward to the hedge delay of
+// the task after from.
+func (r *batchRun) scheduleHedgeCheck(from time.Time, k *task) {
 	delay, on := k.set.hedgeDelay()
 	if !on {
 		return
 	}
-	if at := from.Add(delay); r.hedgeAt.IsZero() || at.Before(r.hedgeAt) {
-		r.hedgeAt = at
+	if at := from.Add(delay); r.nextHedgeCheck.IsZero() || at.Before(r.nextHedgeCheck) {
+		r.nextHedgeCheck = at
 	}
 }
 
-// hedge starts second tries beside those that take long.
-func (r *run) hedge(now time.Time) {
-	r.hedgeAt = time.Time{}
+// startDueHedges starts a hedge for each task whose only try has run for
+// longer than the hedge delay.
+func (r *batchRun) startDueHedges(now time.Time) {
+	r.nextHedgeCheck = time.Time{}
 	for i := range r.tasks {
 		k := &r.tasks[i]
-		if k.final || k.hedged || k.live != 1 {
+		if k.final || k.hedged || k.active != 1 {
 			continue
 		}
 		r.hedgeTask(now, k)
 	}
 }
 
-func (r *run) hedgeTask(now time.Time, k *task) {
+func (r *batchRun) hedgeTask(now time.Time, k *task) {
 	first := k.tries[len(k.tries)-1]
-	started, running := r.startOf(first)
+	started, running := r.startTime(first)
 	if !running {
-		r.lookAt(now, k)
+		r.scheduleHedgeCheck(now, k)
 		return
 	}
 	delay, on := k.set.hedgeDelay()
@@ -59,24 +62,25 @@
 		return
 	}
 	if now.Sub(started) < delay {
-		r.lookAt(started, k)
+		r.scheduleHedgeCheck(started, k)
 		return
 	}
 	t := new(try)
-	r.fill(t, k, policy.Hedge)
-	t.spent, t.avoid = first.spent, first.target.conf.FailureDomain
-	if !k.pool.hedge(now, t) {
-		k.live--
+	r.initTry(t, k, policy.Hedge)
+	t.excluded, t.avoidDomain = first.excluded, first.target.conf.FailureDomain
+	if !k.pool.startHedge(now, t) {
+		k.active--
 		k.tries = k.tries[:len(k.tries)-1]
-		r.lookAt(now, k)
+		r.scheduleHedgeCheck(now, k)
 		return
 	}
 	k.hedged = true
 	r.relay.metrics.hedges.Inc()
 }
 
-// startOf returns when a try was given to its target, and false while it waits.
-func (r *run) startOf(t *try) (time.Time, bool) {
+// startTime returns when the try was assigned to its target; false while it is
+// queued.
+func (r *batchRun) startTime(t *try) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.cancel == nil {
@@ -85,15 +89,17 @@
 	return t.started, true
 }
 
-// hedgeDelay returns after what time a try of the replica set is hedged.
+// hedgeDelay returns how long a try runs before it is hedged; false if hedging
+// is off.
 func (s *replicaSet) hedgeDelay() (time.Duration, bool) {
-	d := time.Duration(s.delay.Load())
+	d := time.Duration(s.hedgeDelayNanos.Load())
 	return d, d > 0 && len(s.targets) > 1
 }
 
-// observe takes the latency of a valid answer; the pool's lock is held.
-func (s *replicaSet) observe(now time.Time, latency time.Duration) {
+// observeLatency records the latency of a valid answer. The caller holds the
+// lock of the pool.
+func (s *replicaSet) observeLatency(now time.Time, latency time.Duration) {
 	s.hedger.Observe(now, latency)
 	d, _ := s.hedger.Delay()
-	s.delay.Store(int64(d))
+	s.hedgeDelayNanos.Store(int64(d))
 }
--- a/internal/relay/hostlist.go
+++ b/internal/relay/hostlist.go
@@ -9,10 +9,12 @@
 	"rhubarbwood.example/rhubarbwood/internal/plan"
 )
 
-// hostListKey is hashed with the host ids to choose who reads the list.
+// hostListKey is hashed with the host ids to choose the hosts that read the
+// list.
 const hostListKey = "host-list"
 
-// ApplyHostList takes the platform's list of hosts, by whatever way it came.
+// ApplyHostList applies a host list of the platform, from polling or another
+// source.
 func (r *Relay) ApplyHostList(hosts []objstore.LiveHost) {
 	leaving := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -27,66 +29,68 @@
 	now := time.Now()
 	p.mu.Lock()
 	for _, t := range p.targets {
-		l, listed := leaving[t.conf.ID]
+		isLeaving, listed := leaving[t.conf.ID]
 		if listed {
-			p.list(now, t, l)
+			p.applyListing(now, t, isLeaving)
 		}
 	}
-	refused := p.drain(now)
+	refused := p.dispatch(now)
 	p.mu.Unlock()
-	refused.tell()
+	refused.notify()
 }
 
-// list takes the platform's word on a target. A turn is told to the relays
-// even if this host is none of them, or had a sign before, as a reader of the
-// list may know what no relay does.
-func (p *pool) list(now time.Time, t *target, leaving bool) {
-	turned, first := t.health.list(now, leaving, p.relay.cfg.HostListLag.Std())
+// applyListing applies the listing of a target. Every change is announced to
+// the relays of the service, even if this host is not one of them or already
+// had a sign, because the relays may not read the list themselves.
+func (p *pool) applyListing(now time.Time, t *target, leaving bool) {
+	changed, first := t.health.applyListing(now, leaving, p.relay.cfg.HostListLag.Std())
 	if first {
-		p.left(t)
+		p.recordLeaving(t)
 	}
 	switch {
-	case !turned:
-	case leaving && t.health.told == signNone:
-		p.tell(now, t, signHostList)
-	case !leaving && t.health.told == signHostList:
-		p.tell(now, t, signListed)
-		t.health.told = signNone
+	case !changed:
+	case leaving && t.health.announced == signNone:
+		p.announce(now, t, signHostList)
+	case !leaving && t.health.announced == signHostList:
+		p.announce(now, t, signRelisted)
+		t.health.announced = signNone
 	}
-	if turned && !leaving && !p.own {
-		t.health.forget() // nothing else tells this host that the target came back
+	if changed && !leaving && !p.assigned {
+		t.health.clearListSign() // this host polls no status of the target, so nothing else shows its return
 	}
 }
 
-// pollHostList reads the list as long as this host is one of its readers.
+// pollHostList reads the host list periodically while this host is one of its
+// readers.
 func (r *Relay) pollHostList(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.readsHostList() {
-			r.readHostList(ctx)
+			r.fetchHostList(ctx)
 		}
 		await.Sleep(ctx, jitter(r.cfg.HostListInterval.Std()))
 	}
 }
 
-// readsHostList reports whether this host is one of the few that read the
-// list; the platform counts every call.
+// readsHostList reports whether this host is one of the HostListPollers hosts
+// that read the list. Their number is limited because the platform counts
+// every call.
 func (r *Relay) readsHostList() bool {
-	return contains(plan.Relays(hostListKey, r.members.Hosts(), r.cfg.HostListPollers), r.members.Self().ID)
+	return containsHost(plan.Relays(hostListKey, r.members.Hosts(), r.cfg.HostListPollers), r.members.Self().ID)
 }
 
-func (r *Relay) readHostList(ctx context.Context) {
+func (r *Relay) fetchHostList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.HostListInterval.Std())
 	defer cancel()
 	hosts, err := r.hosts.Hosts(ctx)
 	if err != nil {
 		r.metrics.polls.WithLabelValues("host_list", "failed").Inc()
-		if !r.listUnread {
-			r.log.Event(evHostList).Str("cause", err.Error()).Msg("")
+		if !r.hostListFailing {
+			r.log.Event(evHostListUnread).Str("cause", err.Error()).Msg("")
 		}
-		r.listUnread = true
+		r.hostListFailing = true
 		return
 	}
-	r.listUnread = false
+	r.hostListFailing = false
 	r.metrics.polls.WithLabelValues("host_list", "answered").Inc()
 	r.ApplyHostList(hosts)
 }
--- a/internal/relay/lane.go
+++ b/internal/relay/lane.go
@@ -9,120 +9,123 @@
 )
 
 const (
-	laneWaiting     = 2   // tries of one batch in the queue beyond the places of the service
-	serviceSmooth   = 0.1 // weight of the newest answer in the mean time of service
-	serviceDoubt    = 0.99
-	leastAdmissible = 1 // tries of a batch that are never refused by the estimate
+	maxWindowQueued      = 2    // tries of one batch in the queue of the service beyond its capacity
+	serviceTimeSmoothing = 0.1  // weight of the newest sample in the mean service time
+	serviceTimeDecay     = 0.99 // factor on the mean service time when a batch has refusals, so that too high an estimate recovers
+	minAdmitted          = 1    // tries of a batch that the estimate never refuses
 )
 
-// lane is the first tries of a batch at one service. Only some of them are in
-// the service's queue at a time: a wide batch would fill the queue by itself
-// and have its own shards refused, though nobody else waits, and a narrow one
-// that comes later would wait behind all of it.
-type lane struct {
-	pool  *pool
-	held  []*try // not yet submitted
-	out   int    // tasks submitted and not final
-	width int
+// submitWindow limits how many tasks of a batch are submitted to one service
+// at a time. Otherwise a wide batch would fill the queue alone and have its
+// own shards refused although no other batch waits, and a narrow batch that
+// arrives later would wait behind all of it.
+type submitWindow struct {
+	pool        *pool
+	unsubmitted []*try // first tries that are not submitted yet
+	outstanding int    // tasks submitted and not final
+	size        int    // maximum of outstanding
 }
 
-// places returns how many attempts the service's targets take at once from
-// this host; the pool's lock is held.
-func (p *pool) places() float64 {
-	places := 0.0
+// capacity returns how many attempts from this host the targets of the service
+// accept concurrently. The caller holds the lock of the pool.
+func (p *pool) capacity() float64 {
+	capacity := 0.0
 	for _, t := range p.targets {
 		if t.usable() {
-			places += t.rep.Limiter.Limit()
+			capacity += t.replica.Limiter.Limit()
 		}
 	}
-	return places
+	return capacity
 }
 
-// open sets the width and returns how many of the held tries can be served
-// before the deadline, behind what waits already, and when to come back with
-// the rest.
-func (l *lane) open(now, deadline time.Time) (n int, after time.Duration) {
-	p := l.pool
+// admit sets the size of the window. It returns how many of the unsubmitted
+// tries can be served before the deadline, given the work that is already
+// queued, and the retry delay for the others.
+func (w *submitWindow) admit(now, deadline time.Time) (n int, retryAfter time.Duration) {
+	p := w.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	places := max(p.places(), 1)
-	l.width = int(places) + laneWaiting
-	n = len(l.held)
-	interval := time.Duration(float64(p.service) / places)
+	capacity := max(p.capacity(), 1)
+	w.size = int(capacity) + maxWindowQueued
+	n = len(w.unsubmitted)
+	interval := time.Duration(float64(p.meanServiceTime) / capacity)
 	if interval > 0 {
-		ahead := p.queue.Len() + p.held
-		fits := int((deadline.Sub(now)-p.service)/interval) + int(places) - ahead
-		n = min(n, max(fits, leastAdmissible))
-		after = time.Duration(ahead+len(l.held)) * interval
+		queued := p.queue.Len() + p.unsubmitted
+		servable := int((deadline.Sub(now)-p.meanServiceTime)/interval) + int(capacity) - queued
+		n = min(n, max(servable, minAdmitted))
+		retryAfter = time.Duration(queued+len(w.unsubmitted)) * interval
 	}
-	if n < len(l.held) {
-		p.service = time.Duration(serviceDoubt * float64(p.service))
+	if n < len(w.unsubmitted) {
+		p.meanServiceTime = time.Duration(serviceTimeDecay * float64(p.meanServiceTime))
 	}
-	p.held += n
-	return n, policy.RetryAfter(after, p.rng.Float64())
+	p.unsubmitted += n
+	return n, policy.RetryAfter(retryAfter, p.rng.Float64())
 }
 
-// learnService takes the time from place to answer; the pool's lock is held.
-func (p *pool) learnService(took time.Duration) {
-	if p.service == 0 {
-		p.service = took
+// observeServiceTime updates the mean service time with the time from the
+// assignment of a try to its answer. The caller holds the lock of the pool.
+func (p *pool) observeServiceTime(latency time.Duration) {
+	if p.meanServiceTime == 0 {
+		p.meanServiceTime = latency
 		return
 	}
-	p.service += time.Duration(serviceSmooth * float64(took-p.service))
+	p.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(latency-p.meanServiceTime))
 }
 
-// start submits the first tries and refuses at once those that can't be
-// served in the budget.
-func (r *run) start(l *lane) {
+// startWindow submits the first tries and refuses those that cannot be served
+// within the budget.
+func (r *batchRun) startWindow(w *submitWindow) {
 	now := time.Now()
-	n, after := l.open(now, r.deadline)
-	late := l.held[n:]
-	l.held = l.held[:n]
-	r.refuseTries(l, late, after)
-	l.feed(now)
+	n, retryAfter := w.admit(now, r.deadline)
+	refused := w.unsubmitted[n:]
+	w.unsubmitted = w.unsubmitted[:n]
+	r.refuseTries(w, refused, retryAfter)
+	w.refill(now)
 }
 
-// feed submits what there is room for.
-func (l *lane) feed(now time.Time) {
-	n := min(l.width-l.out, len(l.held))
+// refill submits as many tries as the window has room for.
+func (w *submitWindow) refill(now time.Time) {
+	n := min(w.size-w.outstanding, len(w.unsubmitted))
 	if n <= 0 {
 		return
 	}
-	next := l.held[:n]
-	l.held = l.held[n:]
-	l.out += n
-	l.pool.unhold(n)
-	l.pool.submit(now, next...)
+	next := w.unsubmitted[:n]
+	w.unsubmitted = w.unsubmitted[n:]
+	w.outstanding += n
+	w.pool.removeUnsubmitted(n)
+	w.pool.submit(now, next...)
 }
 
-func (p *pool) unhold(n int) {
+func (p *pool) removeUnsubmitted(n int) {
 	p.mu.Lock()
-	p.held -= n
+	p.unsubmitted -= n
 	p.mu.Unlock()
 }
 
-// drop empties the lane and returns what was held.
-func (l *lane) drop() []*try {
-	held := l.held
-	l.held = nil
-	if len(held) > 0 {
-		l.pool.unhold(len(held))
+// clear removes and returns the unsubmitted tries.
+func (w *submitWindow) clear() []*try {
+	tries := w.unsubmitted
+	w.unsubmitted = nil
+	if len(tries) > 0 {
+		w.pool.removeUnsubmitted(len(tries))
 	}
-	return held
+	return tries
 }
 
-// giveUp refuses at once what is still held back, since what is before it was
-// refused for load.
-func (r *run) giveUp(l *lane, after time.Duration) { r.refuseTries(l, l.drop(), after) }
+// refuseUnsubmitted refuses the unsubmitted tries of the window, after a try
+// ahead of them was refused for overload.
+func (r *batchRun) refuseUnsubmitted(w *submitWindow, retryAfter time.Duration) {
+	r.refuseTries(w, w.clear(), retryAfter)
+}
 
-func (r *run) refuseTries(l *lane, tries []*try, after time.Duration) {
-	l.out += len(tries)
+func (r *batchRun) refuseTries(w *submitWindow, tries []*try, retryAfter time.Duration) {
+	w.outstanding += len(tries)
 	for _, t := range tries {
 		k := t.task
-		k.live = 0
-		k.note(&report{try: t, refused: true, answer: answer{
-			outcome: outcome.NotSent, reason: query.ReasonOverload, retryAfter: after,
+		k.active = 0
+		k.recordFailure(&tryReport{try: t, refused: true, attemptResult: attemptResult{
+			outcome: outcome.NotSent, reason: query.ReasonOverload, retryAfter: retryAfter,
 		}})
-		r.finish(k)
+		r.giveUp(k)
 	}
 }
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -8,96 +8,102 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// done ends a granted try: its place goes back, the policies learn from it,
-// and the place goes to the next in the queue. A try that it returns is the
-// caller's to run.
-func (p *pool) done(t *try, a answer) *try {
+// complete ends a try that was assigned to a target: it releases the slot,
+// updates the policies and dispatches the queue. If it returns a try, the
+// caller must run it.
+func (p *pool) complete(t *try, a attemptResult) *try {
 	now := time.Now()
-	took := now.Sub(t.started)
-	sig := t.signal(a)
+	latency := now.Sub(t.started)
+	signal := t.signal(a)
 	p.mu.Lock()
 	p.running--
-	p.release(now, t, sig)
-	p.learn(now, t, a, took)
-	p.handOn = true
-	refused := p.drain(now)
+	p.releaseSlot(now, t, signal)
+	p.recordOutcome(now, t, a, latency)
+	p.canRunNext = true
+	refused := p.dispatch(now)
 	next := p.next
-	p.handOn, p.next = false, nil
+	p.canRunNext, p.next = false, nil
 	p.mu.Unlock()
-	refused.tell()
+	refused.notify()
 	return next
 }
 
-func (p *pool) learn(now time.Time, t *try, a answer, took time.Duration) {
-	p.noteSuspect(now, t.target)
+// recordOutcome updates the statistics and the health of the target with the
+// result of a try.
+func (p *pool) recordOutcome(now time.Time, t *try, a attemptResult, latency time.Duration) {
+	p.updateSuspect(now, t.target)
 	if a.outcome == outcome.Done {
-		p.queue.Served(took)
-		p.learnService(took)
-		t.target.stats.latency.record(now, took)
+		p.queue.Served(latency)
+		p.observeServiceTime(latency)
+		t.target.stats.latency.record(now, latency)
 		if t.set != nil {
-			t.set.observe(now, took)
+			t.set.observeLatency(now, latency)
 		}
 		return
 	}
-	t.target.stats.last = a.reason
+	t.target.stats.lastFailure = a.reason
 	switch a.reason {
 	case query.ReasonOverload:
 		t.target.stats.sheds++
 	case query.ReasonDraining:
-		p.leave(now, t.target, signAnswer)
+		p.markLeaving(now, t.target, signAnswer)
 	case query.ReasonBudget, query.ReasonSnapshotNotHeld:
 	default:
 		t.target.stats.errors++
 	}
 	if a.reason == query.ReasonBadAnswer {
-		p.noteBadAnswer(now, t.target, a.cause)
+		p.recordBadAnswer(now, t.target, a.cause)
 	}
 }
 
-// logEvery bounds the log lines of a target that answers badly all the time.
-const logEvery = 10 * time.Second
+// badAnswerLogInterval limits the log lines of a target whose answers are
+// persistently invalid.
+const badAnswerLogInterval = 10 * time.Second
 
-func (p *pool) noteBadAnswer(now time.Time, t *target, cause error) {
-	p.relay.metrics.bad.WithLabelValues(p.name).Inc()
-	if now.Sub(t.badLogged) < logEvery {
+func (p *pool) recordBadAnswer(now time.Time, t *target, cause error) {
+	p.relay.metrics.badAnswers.WithLabelValues(p.name).Inc()
+	if now.Sub(t.badAnswerLoggedAt) < badAnswerLogInterval {
 		return
 	}
-	t.badLogged = now
+	t.badAnswerLoggedAt = now
 	p.relay.log.Event(evBadAnswer).Str("service", p.name).Str("target", t.conf.ID).
 		Str("cause", cause.Error()).Msg("")
 }
 
-// noteSuspect logs that a target has just been set aside.
-func (p *pool) noteSuspect(now time.Time, t *target) {
-	is := t.rep.Outlier.Ejected(now)
-	if is && !t.suspect {
+// updateSuspect logs when a target becomes ejected.
+func (p *pool) updateSuspect(now time.Time, t *target) {
+	ejected := t.replica.Outlier.Ejected(now)
+	if ejected && !t.suspect {
 		p.relay.log.Event(evTargetSuspect).Str("service", p.name).Str("target", t.conf.ID).
-			Str("reason", string(t.stats.last)).Float64("failure_ratio", t.rep.Outlier.FailureRatio()).Msg("")
+			Str("reason", string(t.stats.lastFailure)).Float64("failure_ratio", t.replica.Outlier.FailureRatio()).Msg("")
 	}
-	t.suspect = is
+	t.suspect = ejected
 }
 
-// release gives the try's place back, and the target's policies learn from
-// its end.
-func (p *pool) release(now time.Time, t *try, sig policy.Signal) {
+// releaseSlot releases the slot of the try and reports its result to the
+// policies of the target.
+func (p *pool) releaseSlot(now time.Time, t *try, sig policy.Signal) {
 	peers := t.peers
 	if t.set != nil {
 		peers = t.set.replicas
 	}
-	t.target.rep.Done(now, now.Sub(t.started), sig, peers)
+	t.target.replica.Done(now, now.Sub(t.started), sig, peers)
 }
 
-// leave notes a sign of leaving.
-func (p *pool) leave(now time.Time, t *target, s Sign) {
-	if t.health.leave(now, s) {
-		p.left(t)
-		p.tell(now, t, s)
+// markLeaving records a sign of leaving that this host observed and announces
+// it if it is the first.
+func (p *pool) markLeaving(now time.Time, t *target, s Sign) {
+	if t.health.markLeaving(now, s) {
+		p.recordLeaving(t)
+		p.announce(now, t, s)
 	}
 }
 
-func (p *pool) left(t *target) {
-	p.stranding = true
+// recordLeaving logs and counts that a target was first observed to be
+// leaving.
+func (p *pool) recordLeaving(t *target) {
+	p.targetLeft = true
 	p.relay.log.Event(evTargetLeaving).Str("service", p.name).Str("target", t.conf.ID).
 		Str("sign", string(t.health.leaving)).Msg("")
-	p.relay.metrics.leaving.WithLabelValues(p.name, string(t.health.leaving)).Inc()
+	p.relay.metrics.leavingTargets.WithLabelValues(p.name, string(t.health.leaving)).Inc()
 }
--- a/internal/relay/load_test.go
+++ b/internal/relay/load_test.go
@@ -24,38 +24,38 @@
 	return func(w http.ResponseWriter, _ *http.Request, _ targetapi.Answer) { reject(w, status, code) }
 }
 
-// A search that every replica refuses is given up at the moment of the last
-// refusal, with the time to come back, and costs no more than its budget.
+// A search that every replica rejects fails at the time of the last rejection,
+// with a retry delay, and uses no more attempts than the retry budget permits.
 func TestGivenUpIsEmittedAtOnce(t *testing.T) {
-	for name, x := range map[string]struct {
-		serve    func(http.ResponseWriter, *http.Request, targetapi.Answer)
-		retries  float64
-		reason   query.Reason
-		attempts int
-		after    bool
+	for name, test := range map[string]struct {
+		serve      func(http.ResponseWriter, *http.Request, targetapi.Answer)
+		retries    float64
+		reason     query.Reason
+		attempts   int
+		retryAfter bool
 	}{
-		"shed everywhere":             {rejectAll(targetapi.CodeShed, 503), 10, query.ReasonOverload, 3, true},
-		"shed, no retry budget":       {rejectAll(targetapi.CodeShed, 503), -1, query.ReasonOverload, 1, true},
-		"not held, no retry budget":   {rejectAll(targetapi.CodeSnapshotNotHeld, 409), -1, query.ReasonSnapshotNotHeld, 3, false},
-		"draining, no retry budget":   {rejectAll(targetapi.CodeDraining, 503), -1, query.ReasonDraining, 3, true},
-		"connections cut, no budget":  {raw(""), -1, query.ReasonConnection, 1, true},
-		"connections cut, everywhere": {raw(""), 10, query.ReasonConnection, 3, true},
+		"shed everywhere":                    {rejectAll(targetapi.CodeShed, 503), 10, query.ReasonOverload, 3, true},
+		"shed, no retry budget":              {rejectAll(targetapi.CodeShed, 503), -1, query.ReasonOverload, 1, true},
+		"snapshot not held, no retry budget": {rejectAll(targetapi.CodeSnapshotNotHeld, 409), -1, query.ReasonSnapshotNotHeld, 3, false},
+		"draining, no retry budget":          {rejectAll(targetapi.CodeDraining, 503), -1, query.ReasonDraining, 3, true},
+		"connections cut, no budget":         {raw(""), -1, query.ReasonConnection, 1, true},
+		"connections cut, everywhere":        {raw(""), 10, query.ReasonConnection, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFixture(1, 3, rules(func(r *catalog.Rules) { r.RetryBudget = x.retries }))
+				f := newFixture(1, 3, rules(func(r *catalog.Rules) { r.RetryBudget = test.retries }))
 				defer f.close()
 				for _, target := range f.targets {
-					target.serve = x.serve
+					target.serve = test.serve
 				}
 				got, err := f.search(t.Context(), batch(1, time.Hour))
 				is.NoErr(err)
 				is.Equal(got[0].after, time.Duration(0))
-				is.Equal(got[0].Reason, x.reason)
-				is.Equal(got[0].Outcome.NotRun(), x.reason != query.ReasonConnection)
-				is.Equal(got[0].Attempts, x.attempts)
-				is.Equal(got[0].RetryAfter > 0, x.after)
+				is.Equal(got[0].Reason, test.reason)
+				is.Equal(got[0].Outcome.NotRun(), test.reason != query.ReasonConnection)
+				is.Equal(got[0].Attempts, test.attempts)
+				is.Equal(got[0].RetryAfter > 0, test.retryAfter)
 			})
 		})
 	}
@@ -76,15 +76,15 @@
 			is.True(r.RetryAfter > 0)
 			counts[r.Outcome]++
 		}
-		is.Equal(counts, map[outcome.Outcome]int{outcome.Unknown: 2, outcome.NotSent: 2}) // two places
+		is.Equal(counts, map[outcome.Outcome]int{outcome.Unknown: 2, outcome.NotSent: 2}) // two slots
 		none, err := f.search(t.Context(), batch(4, 0))
 		is.NoErr(err)
 		is.Equal(none[3].Outcome, outcome.NotSent)
 	})
 }
 
-// Under overload what can't be served in its budget is refused when it comes,
-// not when its budget ends.
+// Under overload, shards that cannot be served within their budget are refused
+// on arrival, not when the budget ends.
 func TestOverloadIsRefusedOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -97,7 +97,7 @@
 			alone, err := f.search(t.Context(), batch(200, 10*time.Second))
 			is.NoErr(err)
 			for _, r := range alone {
-				is.Equal(r.Outcome, outcome.Done) // a wide search is no overload by itself
+				is.Equal(r.Outcome, outcome.Done) // a wide search alone is not overload
 			}
 		}
 		short, err := f.search(t.Context(), batch(200, 60*time.Millisecond))
@@ -108,15 +108,15 @@
 				counts[r.Outcome == outcome.Done]++
 			}
 		}
-		is.True(counts[true] > 15)                // what fits is served
-		is.True(counts[false] > 150)              // the rest is refused on arrival
-		is.True(counts[true]+counts[false] > 190) // and next to nothing runs out of time
-		var wait sync.WaitGroup
-		wait.Go(func() { _, _ = f.search(t.Context(), batch(200, 10*time.Second)) })
+		is.True(counts[true] > 15)                // the shards that fit the budget are served
+		is.True(counts[false] > 150)              // the others are refused on arrival
+		is.True(counts[true]+counts[false] > 190) // hardly any runs out of budget
+		var searches sync.WaitGroup
+		searches.Go(func() { _, _ = f.search(t.Context(), batch(200, 10*time.Second)) })
 		time.Sleep(50 * time.Millisecond)
 		late := batch(100, 20*time.Millisecond)
 		for i := 0; policy.Rank(late.RequestID) <= policy.Rank("r1"); i++ {
-			late.RequestID = "late" + strconv.Itoa(i) // of no higher standing than those that wait
+			late.RequestID = "late" + strconv.Itoa(i) // not ranked above the queued batch
 		}
 		got, err := f.search(t.Context(), late)
 		is.NoErr(err)
@@ -127,17 +127,17 @@
 			}
 		}
 		is.True(refused >= 80)
-		wait.Wait()
+		searches.Wait()
 	})
 }
 
-func TestHedgeOvertakesAFrozenReplica(t *testing.T) {
+func TestHedgeAnswersForAFrozenReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(1, 3, rules(func(r *catalog.Rules) { r.HedgeBudget = 0.5 }))
 		defer f.close()
-		f.load(t, 2*time.Second, 5*time.Millisecond)
-		before := f.targets[0].count()
+		f.searchFor(t, 2*time.Second, 5*time.Millisecond)
+		before := f.targets[0].requestCount()
 		f.targets[0].set(func(x *fakeTarget) { x.delay = time.Hour })
 		hedged := 0
 		for range 20 {
@@ -149,10 +149,10 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.True(hedged > 0)
-		is.Equal(f.targets[0].count(), before+hedged)
+		is.Equal(f.targets[0].requestCount(), before+hedged)
 		synctest.Wait()
 		for _, s := range f.relay.Targets() {
-			is.Equal(s.InFlight, 0) // the loser was cancelled
+			is.Equal(s.InFlight, 0) // the slower attempts were cancelled
 		}
 	})
 }
@@ -162,58 +162,59 @@
 		is := is.New(t)
 		f := newFixture(12, 3, rules(func(r *catalog.Rules) { r.HedgeBudget = 0.5 }))
 		defer f.close()
-		f.load(t, 2*time.Second, 5*time.Millisecond)
+		f.searchFor(t, 2*time.Second, 5*time.Millisecond)
 		for _, target := range f.targets {
 			target.set(func(x *fakeTarget) { x.delay = 100 * time.Millisecond })
 		}
 		begin := time.Now()
-		got, err := f.search(t.Context(), batch(6, time.Second)) // one for each place
+		got, err := f.search(t.Context(), batch(6, time.Second)) // one shard per slot
 		is.NoErr(err)
 		is.Equal(len(got), 6)
 		sent := 0
 		for _, target := range f.targets {
-			sent += target.since(begin.Add(-1))
+			sent += target.requestsSince(begin.Add(-1))
 		}
 		is.Equal(sent, 6)
 	})
 }
 
-// A target that fails gets probing work only, and one replica is always asked.
-func TestFailingTargetIsSetAside(t *testing.T) {
+// A failing target gets probe attempts only. With all targets ejected, all
+// still get work.
+func TestFailingTargetIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(1, 3)
 		defer f.close()
-		f.load(t, time.Second, 5*time.Millisecond)
+		f.searchFor(t, time.Second, 5*time.Millisecond)
 		f.targets[0].set(func(x *fakeTarget) { x.serve = raw("") })
-		f.load(t, time.Second, 5*time.Millisecond)
+		f.searchFor(t, time.Second, 5*time.Millisecond)
 		begin := time.Now()
-		done, all := f.load(t, 6*time.Second, 10*time.Millisecond)
+		done, all := f.searchFor(t, 6*time.Second, 10*time.Millisecond)
 		is.Equal(done, all)
-		is.True(f.targets[0].since(begin) < 20) // of about 500
+		is.True(f.targets[0].requestsSince(begin) < 20) // of about 500
 		is.Equal(f.relay.Targets()[0].State, TargetSuspect)
 		for _, target := range f.targets[1:] {
 			target.set(func(x *fakeTarget) { x.serve = raw("") })
 		}
-		f.load(t, 5*time.Second, 10*time.Millisecond)
+		f.searchFor(t, 5*time.Second, 10*time.Millisecond)
 		begin = time.Now()
-		f.load(t, time.Second, 5*time.Millisecond)
-		asked := 0
+		f.searchFor(t, time.Second, 5*time.Millisecond)
+		requests := 0
 		for _, target := range f.targets {
-			asked += target.since(begin)
+			requests += target.requestsSince(begin)
 		}
-		is.True(asked > 100) // with all set aside all are asked
+		is.True(requests > 100) // all targets are ejected, so all get work
 	})
 }
 
-// When most targets are set aside, those beyond the bound still take what
-// finds no other place.
-func TestSetAsideIsBounded(t *testing.T) {
+// If most targets are ejected, those beyond MaxSuspect still get the work that
+// no other target has a slot for.
+func TestEjectionIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(6, 3)
 		defer f.close()
-		f.load(t, time.Second, 5*time.Millisecond)
+		f.searchFor(t, time.Second, 5*time.Millisecond)
 		for _, target := range f.targets[1:] {
 			target.set(func(x *fakeTarget) { x.serve = raw("") })
 		}
@@ -231,12 +232,13 @@
 		got, err := f.search(t.Context(), batch(4, time.Minute))
 		is.NoErr(err)
 		for _, r := range got {
-			is.True(r.after <= time.Second) // not in two rounds on the one that is left
+			is.True(r.after <= time.Second) // otherwise the one target that is not ejected would need two rounds
 		}
 	})
 }
 
-// What waits has no goroutine: a wide search needs no more than the places.
+// Queued tries have no goroutine: the goroutines of a wide search are bounded
+// by the slots.
 func TestWideSearchHasFewGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -245,23 +247,23 @@
 		_, _ = f.search(t.Context(), batch(500, time.Minute)) // opens the connections
 		time.Sleep(time.Second)
 		before := runtime.NumGoroutine()
-		most := 0
-		time.AfterFunc(20*time.Millisecond, func() { most = runtime.NumGoroutine() })
+		maxGoroutines := 0
+		time.AfterFunc(20*time.Millisecond, func() { maxGoroutines = runtime.NumGoroutine() })
 		got, err := f.search(t.Context(), batch(500, time.Minute))
 		is.NoErr(err)
 		is.Equal(len(got), 500)
-		is.True(most-before < 40)
+		is.True(maxGoroutines-before < 40)
 	})
 }
 
-// The attempt that lost to a hedge is cancelled when the hedge has won, not
-// when the whole batch has ended.
-func TestLoserIsCancelledAtOnce(t *testing.T) {
+// The attempt that a hedge outran is cancelled when the hedge is answered, not
+// at the end of the batch.
+func TestSlowerAttemptIsCancelledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(2, 3, rules(func(r *catalog.Rules) { r.HedgeBudget = 0.5 }))
 		defer f.close()
-		f.load(t, 2*time.Second, 5*time.Millisecond)
+		f.searchFor(t, 2*time.Second, 5*time.Millisecond)
 		var frozen atomic.Bool
 		var cancelled atomic.Int64
 		for _, target := range f.targets {
@@ -285,7 +287,7 @@
 		is.Equal(got[0].Outcome, outcome.Done)
 		is.True(got[1].after >= 500*time.Millisecond)
 		is.True(cancelled.Load() > 0 && cancelled.Load() < int64(100*time.Millisecond))
-		time.Sleep(time.Second) // the other loser's handler ends
+		time.Sleep(time.Second) // until the handler of the other cancelled attempt has returned
 	})
 }
 
@@ -293,29 +295,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(1, 3, rules(func(r *catalog.Rules) { r.HedgeBudget = 0.5 }), func(f *fixture, _ *Config) {
-			f.view.service.Targets[1].FailureDomain = "fd0" // that of t0 and of the relay
+			f.view.service.Targets[1].FailureDomain = "fd0" // the failure domain of t0 and of the relay
 		})
 		defer f.close()
-		f.load(t, 3*time.Second, 5*time.Millisecond)
+		f.searchFor(t, 3*time.Second, 5*time.Millisecond)
 		for _, target := range f.targets[:2] {
 			target.set(func(x *fakeTarget) { x.delay = time.Hour })
 		}
 		got, err := f.search(t.Context(), batch(1, time.Second))
 		is.NoErr(err)
-		is.Equal(got[0].Outcome, outcome.Done) // t2, whichever of the others was asked first
+		is.Equal(got[0].Outcome, outcome.Done) // by t2, whichever of the other targets was used first
 		is.True(got[0].Attempts <= 2)
 	})
 }
 
-// With every target frozen nothing is released, and what waits is still given
-// up when it can no longer be served, not at the end of its budget.
-func TestFrozenTargetsDoNotHoldWhatWaits(t *testing.T) {
+// With every target frozen no slot is released. Queued tries must still be
+// given up once they can no longer be served, not at the end of their budget.
+func TestQueuedTriesExpireWhileTargetsAreFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(4, 1)
 		defer f.close()
 		f.targets[0].delay = 40 * time.Millisecond
-		_, _ = f.search(t.Context(), batch(4, time.Second)) // shows the time of service
+		_, _ = f.search(t.Context(), batch(4, time.Second)) // sets the mean service time
 		f.targets[0].set(func(x *fakeTarget) { x.delay = time.Hour })
 		got, err := f.search(t.Context(), batch(4, time.Second))
 		is.NoErr(err)
--- a/internal/relay/poll.go
+++ b/internal/relay/poll.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	pollJitter     = 0.1     // of the interval, either way
-	maxStatusBytes = 1 << 20 // of a status answer
-	leastPollPause = 10 * time.Millisecond
+	pollJitter     = 0.1     // maximum deviation as a fraction of the interval
+	maxStatusBytes = 1 << 20 // of a status response
+	minPollPause   = 10 * time.Millisecond
 )
 
-// pollTargets reads the status of every target that this host relays, each
-// one about once in a StatusInterval, spread evenly over it. One goroutine
-// keeps the time; each poll in flight has its own, bounded by the timeout.
+// pollTargets polls the status of every target of the services that this host
+// relays, each about once per StatusInterval, spread evenly over the interval.
+// One goroutine schedules the polls; each poll runs on its own, bounded by
+// StatusTimeout, so that a target that does not respond delays no other.
 func (r *Relay) pollTargets(ctx context.Context) {
 	next := map[*target]time.Time{}
 	for ctx.Err() == nil {
 		now := time.Now()
 		wait := r.cfg.StatusInterval.Std()
-		alive := make(map[*target]time.Time, len(next))
+		polled := make(map[*target]time.Time, len(next))
 		for _, p := range r.current().pools {
-			p.closeForeign()
-			for _, t := range p.polled() {
+			p.closeIfUnassigned()
+			for _, t := range p.targetsToPoll() {
 				at, known := next[t]
 				if !known || !at.After(now) {
 					r.work.Go(func() { p.poll(ctx, t) })
 					at = now.Add(jitter(r.cfg.StatusInterval.Std()))
 				}
-				alive[t] = at
+				polled[t] = at
 				wait = min(wait, at.Sub(now))
 			}
 		}
-		next = alive
-		await.Sleep(ctx, max(wait, leastPollPause))
+		next = polled
+		await.Sleep(ctx, max(wait, minPollPause))
 	}
 }
 
@@ -50,24 +51,25 @@
 	return time.Duration(float64(d) * (1 - pollJitter + 2*pollJitter*rand.Float64()))
 }
 
-// polled returns the targets that this host polls: none of a service that it
-// does not relay.
-func (p *pool) polled() []*target {
+// targetsToPoll returns the targets that this host polls: none if it does not
+// relay the service.
+func (p *pool) targetsToPoll() []*target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.own {
+	if !p.assigned {
 		return nil
 	}
 	return append([]*target(nil), p.targets...)
 }
 
-// closeForeign closes the idle connections to targets that this host no longer
-// relays; they count against the targets' limits.
-func (p *pool) closeForeign() {
+// closeIfUnassigned closes the idle connections to the targets if this host
+// does not relay the service. They count against the connection limits of the
+// targets.
+func (p *pool) closeIfUnassigned() {
 	p.mu.Lock()
-	own := p.own
+	assigned := p.assigned
 	p.mu.Unlock()
-	if !own {
+	if !assigned {
 		p.close()
 	}
 }
@@ -76,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.relay.cfg.StatusTimeout.Std())
 	defer cancel()
 	p.setPolling(t, true)
-	s, err := t.status(ctx)
+	s, err := t.fetchStatus(ctx)
 	p.setPolling(t, false)
 	if err != nil {
 		p.relay.metrics.polls.WithLabelValues("status", "failed").Inc()
@@ -91,40 +93,42 @@
 	t.polling = on
 	var refused refusals
 	if !on {
-		refused = p.drain(time.Now())
+		refused = p.dispatch(time.Now())
 	}
 	p.mu.Unlock()
-	refused.tell()
+	refused.notify()
 }
 
-// applyStatus takes a status. Of its claims only a start and a draining state
-// count; that it is ready proves nothing, its answers show that.
+// applyStatus applies the status of a target. Only a start and the draining
+// state have an effect; a ready state is not trusted, attempts have to show
+// it.
 func (p *pool) applyStatus(t *target, s targetapi.Status) {
 	now := time.Now()
 	p.mu.Lock()
-	switch t.health.status(now, s) {
-	case started:
-		p.started(now, t)
-	case left:
-		p.left(t)
-		p.tell(now, t, signStatus)
-	case unchanged:
+	switch t.health.applyStatus(now, s) {
+	case statusStarted:
+		p.resetRestarted(now, t)
+	case statusLeaving:
+		p.recordLeaving(t)
+		p.announce(now, t, signStatus)
+	case statusUnchanged:
 	}
-	refused := p.drain(now)
+	refused := p.dispatch(now)
 	p.mu.Unlock()
-	refused.tell()
+	refused.notify()
 }
 
-// started forgets what the target's last incarnation showed.
-func (p *pool) started(now time.Time, t *target) {
-	t.rep.Restart(now, 0)
-	t.rep.Ramp = policy.Ramp{}
-	t.warmUp(now, p.relay.cfg.ColdRamp.Std())
+// resetRestarted discards the policy state of the previous incarnation of the
+// target.
+func (p *pool) resetRestarted(now time.Time, t *target) {
+	t.replica.Restart(now, 0)
+	t.replica.Ramp = policy.Ramp{}
+	t.startRamp(now, p.relay.cfg.ColdRamp.Std())
 	p.relay.log.Event(evTargetStarted).Str("service", p.name).Str("target", t.conf.ID).
 		Uint64("incarnation", t.health.incarnation).Msg("")
 }
 
-func (t *target) status(ctx context.Context) (targetapi.Status, error) {
+func (t *target) fetchStatus(ctx context.Context) (targetapi.Status, error) {
 	req := &http.Request{
 		Method: http.MethodGet, Host: t.conf.Address, Header: http.Header{},
 		URL:   &url.URL{Scheme: "http", Host: t.conf.Address, Path: targetapi.PathStatus},
@@ -137,14 +141,14 @@
 	defer func() { _ = res.Body.Close() }()
 	var s targetapi.Status
 	if res.StatusCode != http.StatusOK {
-		return s, Error.New("read status: answer %d", res.StatusCode)
+		return s, Error.New("read status: unexpected HTTP status %d", res.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return s, Error.New("parse status: %w", err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxStatusBytes)) // lets the connection be kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxStatusBytes)) // so that the connection can be reused
 	if s.ID != t.conf.ID {
-		return s, Error.New("status of target %q", s.ID)
+		return s, Error.New("read status: response is from target %q", s.ID)
 	}
 	return s, nil
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -12,89 +12,91 @@
 )
 
 // pool is the state of one service: its targets, the queue of the tries that
-// wait for them, and the budgets of extra attempts.
+// wait for them, and the budgets of retries and hedges.
 type pool struct {
 	relay *Relay
 	name  string
 
-	mu      sync.Mutex
-	conf    catalog.Service
-	targets []*target
-	byID    map[string]*target
-	queue   *policy.Queue[*try]
-	retries *policy.Budget
-	sets    map[string]*replicaSet
-	maps    map[uint64]*placement // by snapshot
-	rng     *rand.Rand
-	pacing  *time.Timer // wakes the queue when pacing is all that holds it
-	expired time.Time   // when the queue was last looked through
-	running int
-	handOn  bool          // the granting goroutine can run a try itself
-	next    *try          // that it is to run
-	held    int           // tries that batches hold back from the queue
-	service time.Duration // mean time from place to valid answer
-	// stranding tells that a target left since the queue was last granted
-	// from, so that some of those who wait may have no holder any more.
-	stranding bool
-	hosts     []member.Host // that share the service's targets
-	relays    int           // their number, 1 at least
-	own       bool          // this host is one of them
+	mu              sync.Mutex
+	conf            catalog.Service
+	targets         []*target
+	byID            map[string]*target
+	queue           *policy.Queue[*try]
+	retries         *policy.Budget
+	replicaSets     map[string]*replicaSet // by sorted target ids
+	placements      map[uint64]*placement  // by snapshot id
+	rng             *rand.Rand
+	wakeTimer       *time.Timer   // dispatches the queue when no slot release will
+	lastExpiry      time.Time     // last check of the queue for expired tries
+	running         int           // tries assigned to targets
+	canRunNext      bool          // the dispatching goroutine can run one try itself
+	next            *try          // the try that it is to run
+	unsubmitted     int           // tries that the windows of batches hold back from the queue
+	meanServiceTime time.Duration // from assignment to valid answer
+	// targetLeft is set if the set of usable targets changed since the last
+	// dispatch, so that queued tries may have no usable candidate left.
+	targetLeft bool
+	relayHosts []member.Host // relays of the service
+	relayCount int           // their number, at least 1
+	assigned   bool          // this host is one of them
 }
 
-// refusal is the word on a try that gets no place.
+// refusal is the result of a try that is not sent.
 type refusal struct {
-	try    *try
-	reason query.Reason
-	after  time.Duration
+	try        *try
+	reason     query.Reason
+	retryAfter time.Duration
 }
 
 type refusals []refusal
 
-// tell hands the refusals to their owners, who may take locks of their own.
-func (r refusals) tell() {
+// notify passes the refusals to the owners of the tries. It must be called
+// without the lock of the pool, because owners take their own locks.
+func (r refusals) notify() {
 	for _, x := range r {
-		x.try.owner.refused(x.try, x.reason, x.after)
+		x.try.owner.refused(x.try, x.reason, x.retryAfter)
 	}
 }
 
-// submit gives each try to a free holder or lets it wait. The owners of those
-// refused at once are told before it returns.
+// submit queues the tries and dispatches the queue. The owners of tries that
+// are refused immediately are notified before it returns.
 func (p *pool) submit(now time.Time, tries ...*try) {
-	var out refusals
+	var refused refusals
 	p.mu.Lock()
 	for _, t := range tries {
-		if x, ok := p.admit(now, t); !ok {
-			out = append(out, x)
+		if x, ok := p.enqueue(now, t); !ok {
+			refused = append(refused, x)
 		}
 	}
-	out = append(out, p.drain(now)...)
+	refused = append(refused, p.dispatch(now)...)
 	p.mu.Unlock()
-	out.tell()
+	refused.notify()
 }
 
-// resubmit is submit for a further try of a task. It reports false, and tells
-// nobody, if the retry budget is used up; free tries do not count against it.
+// resubmit queues a further try of a task. It reports false, without notifying
+// the owner, if no candidate is left or the retry budget is exhausted. Free
+// tries are not charged to the retry budget.
 func (p *pool) resubmit(now time.Time, t *try, free bool) bool {
 	p.mu.Lock()
-	if !t.anyUsable() || (!free && !p.retries.Take(now)) {
+	if !t.anyEligible() || (!free && !p.retries.Take(now)) {
 		p.mu.Unlock()
 		return false
 	}
-	var out refusals
-	if x, ok := p.admit(now, t); !ok {
-		out = append(out, x)
+	var refused refusals
+	if x, ok := p.enqueue(now, t); !ok {
+		refused = append(refused, x)
 	}
-	out = append(out, p.drain(now)...)
+	refused = append(refused, p.dispatch(now)...)
 	p.mu.Unlock()
-	out.tell()
+	refused.notify()
 	return true
 }
 
-// admit puts the try in the queue, from which grant takes it. A refusal is
-// made at once, with the time to come back.
-func (p *pool) admit(now time.Time, t *try) (refusal, bool) {
-	if !t.anyUsable() {
-		return refusal{t, p.whyNone(t), p.relay.cfg.RetryAfter.Std()}, false
+// enqueue adds the try to the queue. If it cannot, it reports false and
+// returns the refusal.
+func (p *pool) enqueue(now time.Time, t *try) (refusal, bool) {
+	if !t.anyEligible() {
+		return refusal{t, p.unavailableReason(t), p.relay.cfg.RetryAfter.Std()}, false
 	}
 	t.waiter.Item = t
 	a := p.queue.Push(now, &t.waiter)
@@ -105,162 +107,165 @@
 	return refusal{}, true
 }
 
-// hedge starts a second try beside the first one, if the budget allows it and
-// another holder has a free place. A hedge never waits.
-func (p *pool) hedge(now time.Time, t *try) bool {
+// startHedge starts a hedge if the hedge budget permits and a candidate has a
+// free slot. Hedges are never queued.
+func (p *pool) startHedge(now time.Time, t *try) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	saturated := p.queue.Saturated(now) || !p.healthyFree(now, t)
-	if !t.set.hedger.Take(now, saturated) || !p.take(now, t) {
+	saturated := p.queue.Saturated(now) || !p.hasHealthyCapacity(now, t)
+	if !t.set.hedger.Take(now, saturated) || !p.assignTarget(now, t) {
 		return false
 	}
-	go p.work(t)
+	go p.runTries(t)
 	return true
 }
 
-func (t *try) anyUsable() bool {
-	for i := range t.holders {
-		if t.holds(i) {
+func (t *try) anyEligible() bool {
+	for i := range t.candidates {
+		if t.eligible(i) {
 			return true
 		}
 	}
 	return false
 }
 
-// whyNone tells why a try has no holder to ask.
-func (p *pool) whyNone(t *try) query.Reason {
-	for i, h := range t.holders {
-		if t.spent&(1<<i) == 0 && !h.usable() {
+// unavailableReason returns why a try has no eligible candidate.
+func (p *pool) unavailableReason(t *try) query.Reason {
+	for i, c := range t.candidates {
+		if t.excluded&(1<<i) == 0 && !c.usable() {
 			return query.ReasonDraining
 		}
 	}
 	return query.ReasonNoTarget
 }
 
-// drain grants what places there are, and returns the tries that can no
-// longer be served, to be told without the lock.
-func (p *pool) drain(now time.Time) refusals {
-	out := p.expire(now, nil)
-	stranded := false
+// dispatch assigns queued tries to free slots. It returns the tries that can
+// no longer be served, for the caller to notify after releasing the lock.
+func (p *pool) dispatch(now time.Time) refusals {
+	refused := p.removeExpired(now, nil)
+	unservable := false
 	fits := func(t *try) bool {
-		if !t.anyUsable() {
-			stranded = true
+		if !t.anyEligible() {
+			unservable = true
 			return true
 		}
-		return p.take(now, t)
+		return p.assignTarget(now, t)
 	}
-	for p.queue.Len() > 0 && p.mayGrant(now) {
-		stranded = false
+	for p.queue.Len() > 0 && p.canDispatch(now) {
+		unservable = false
 		w := p.queue.Pop(now, fits)
 		if w == nil {
 			break
 		}
-		if stranded {
-			out = append(out, refusal{w.Item, p.whyNone(w.Item), p.relay.cfg.RetryAfter.Std()})
+		if unservable {
+			refused = append(refused, refusal{w.Item, p.unavailableReason(w.Item), p.relay.cfg.RetryAfter.Std()})
 			continue
 		}
-		p.granted(now, w.Item)
+		p.launch(now, w.Item)
 	}
-	p.stranding = false
-	p.pace(now)
-	return out
+	p.targetLeft = false
+	p.setWakeTimer(now)
+	return refused
 }
 
-// granted hands the try to the goroutine that has just ended another one, if
-// that is who grants, or to a new one.
-func (p *pool) granted(now time.Time, t *try) {
+// launch runs an assigned try: on the goroutine that has just completed
+// another one, if that is dispatching, or else on a new one.
+func (p *pool) launch(now time.Time, t *try) {
 	if t.set != nil && t.kind == policy.FirstTry {
 		p.retries.First(now)
 		t.set.hedger.First(now)
 	}
-	if p.handOn && p.next == nil {
+	if p.canRunNext && p.next == nil {
 		p.next = t
 		return
 	}
-	go p.work(t)
+	go p.runTries(t)
 }
 
-// work runs a granted try, and then whatever its end leaves a place for.
-func (p *pool) work(t *try) {
+// runTries runs a try, and then each try that takes over the released slot.
+func (p *pool) runTries(t *try) {
 	for t != nil {
 		a := t.owner.send(t)
-		next := p.done(t, a)
+		next := p.complete(t, a)
 		t.owner.ended(t, a)
 		t = next
 	}
 }
 
-// mayGrant spares the queue a search that can't find anything.
-func (p *pool) mayGrant(now time.Time) bool {
-	if p.stranding {
+// canDispatch reports whether a search of the queue can find anything.
+func (p *pool) canDispatch(now time.Time) bool {
+	if p.targetLeft {
 		return true
 	}
 	for _, t := range p.targets {
-		if t.free(now) {
+		if t.hasCapacity(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// expireEvery bounds how often the whole queue is looked through.
-const expireEvery = 2 * time.Millisecond
+// expiryInterval is the minimum time between two checks of the whole queue for
+// expired tries.
+const expiryInterval = 2 * time.Millisecond
 
-// expire takes out who had to make room, and now and then who can no longer
-// be served.
-func (p *pool) expire(now time.Time, out refusals) refusals {
+// removeExpired removes the evicted tries and, at most once per
+// expiryInterval, the tries that can no longer be served.
+func (p *pool) removeExpired(now time.Time, refused refusals) refusals {
 	for _, w := range p.queue.Evictions() {
-		out = append(out, p.refuse(now, w))
+		refused = append(refused, p.shed(now, w))
 	}
-	if now.Sub(p.expired) < expireEvery {
-		return out
+	if now.Sub(p.lastExpiry) < expiryInterval {
+		return refused
 	}
-	p.expired = now
+	p.lastExpiry = now
 	for _, w := range p.queue.Expire(now) {
-		out = append(out, p.refuse(now, w))
+		refused = append(refused, p.shed(now, w))
 	}
-	return out
+	return refused
 }
 
-// refuse gives up a try before its budget has ended, for load.
-func (p *pool) refuse(now time.Time, w *policy.Waiter[*try]) refusal {
+// shed refuses a queued try for overload before its budget has ended.
+func (p *pool) shed(now time.Time, w *policy.Waiter[*try]) refusal {
 	p.relay.metrics.shed.WithLabelValues(p.name).Inc()
-	after := policy.RetryAfter(p.queue.ExpectedWait(now, w.Urgency), p.rng.Float64())
-	return refusal{w.Item, query.ReasonOverload, after}
+	retryAfter := policy.RetryAfter(p.queue.ExpectedWait(now, w.Urgency), p.rng.Float64())
+	return refusal{w.Item, query.ReasonOverload, retryAfter}
 }
 
-// queueLook is the longest time for which nobody looks at a queue in which
-// tries wait: the targets may all be frozen, and then no release does.
-const queueLook = 20 * time.Millisecond
+// maxWakeInterval is the maximum time between two dispatches of a queue that
+// is not empty. If all targets are frozen, no slot release triggers one.
+const maxWakeInterval = 20 * time.Millisecond
 
-// pace sets the timer that wakes the queue when no release will.
-func (p *pool) pace(now time.Time) {
+// setWakeTimer sets the timer that dispatches the queue when no slot release
+// does.
+func (p *pool) setWakeTimer(now time.Time) {
 	if p.queue.Len() == 0 {
 		return
 	}
-	wait := queueLook
+	wait := maxWakeInterval
 	for _, t := range p.targets {
-		if w := t.rep.Limiter.Wait(now); w > 0 {
+		if w := t.replica.Limiter.Wait(now); w > 0 {
 			wait = min(wait, w)
 		}
 	}
-	if p.pacing == nil {
-		p.pacing = time.AfterFunc(wait, p.wake)
+	if p.wakeTimer == nil {
+		p.wakeTimer = time.AfterFunc(wait, p.wake)
 		return
 	}
-	p.pacing.Reset(wait)
+	p.wakeTimer.Reset(wait)
 }
 
-// wake grants what has become possible without a release.
+// wake dispatches the queue when the timer fires.
 func (p *pool) wake() {
 	p.mu.Lock()
-	refused := p.drain(time.Now())
+	refused := p.dispatch(time.Now())
 	p.mu.Unlock()
-	refused.tell()
+	refused.notify()
 }
 
-// forget takes a try out of the queue and reports whether it still waited.
-func (p *pool) forget(t *try) bool {
+// dequeue removes a try from the queue and reports whether it was still
+// queued.
+func (p *pool) dequeue(t *try) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Remove(&t.waiter)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,3 +1,13 @@
+// Package relay sends shard searches and reservations to the targets of the
+// services that are assigned to this host. It owns the connections to the
+// targets, the queue of each service, replica choice, hedging, retries, target
+// health and cancellation. For requests to a service these decisions are made
+// here and nowhere else. The package does not merge the results of shards, and
+// it does not decide whether a reservation may run: package claim does that.
+//
+// Begin with Relay.Search, batchRun (one batch in flight), pool (the state of
+// one service) and target.send (one HTTP attempt). Transport between hosts is
+// in package relayrpc, the algorithms are in package policy.
 package relay
 
 import (
@@ -28,12 +38,13 @@
 	_ kernel.Module = (*Relay)(nil)
 )
 
-// HostLister reads the platform's list of hosts; objstore.Store is one.
+// HostLister reads the list of hosts from the platform. objstore.Store
+// implements it.
 type HostLister interface {
 	Hosts(ctx context.Context) ([]objstore.LiveHost, error)
 }
 
-// Relay runs shard requests and reservations against targets. Its methods are
+// Relay runs shard searches and reservations against targets. Its methods are
 // safe for concurrent use.
 type Relay struct {
 	cfg     Config
@@ -44,40 +55,40 @@
 	metrics *metrics
 	dial    dialFunc
 
-	// Teller, set before Start, carries signs of leaving to other relays; with
-	// none, nobody is told.
-	Teller Teller
+	// Teller sends signs of leaving targets to other relays. It must be set
+	// before Start; nil disables sending.
+	Teller SignSender
 
-	courier  courier
-	table    atomic.Pointer[table]
-	mu       sync.Mutex // of building tables
-	planning atomic.Bool
+	announcer  announcer
+	table      atomic.Pointer[table]
+	mu         sync.Mutex  // serializes rebuilds of the table
+	rebuilding atomic.Bool // a rebuild after a membership change is running
 
-	listUnread bool // the last read of the host list failed; of its goroutine
+	hostListFailing bool // the last read of the host list failed; used by pollHostList only
 
 	stop context.CancelFunc
 	work sync.WaitGroup
 }
 
-// New returns a relay of the services in view. hosts may be nil; then the
-// list comes through ApplyHostList alone.
+// New returns a relay of the services in view. If hosts is nil, the host list
+// is not polled and comes from ApplyHostList only.
 func New(cfg Config, view catalog.View, members member.View, hosts HostLister,
 	log *event.Log, reg prometheus.Registerer) *Relay {
-	dialer := netdial.New(0) // the pool bounds the opening
+	dialer := netdial.New(0) // dialTarget bounds each dial by ConnectTimeout
 	r := &Relay{
 		cfg: cfg, view: view, members: members, hosts: hosts, log: log,
 		metrics: newMetrics(reg), dial: dialer.DialContext,
 	}
-	r.courier.relay = r
+	r.announcer.relay = r
 	r.table.Store(&table{pools: map[string]*pool{}})
 	return r
 }
 
-// Start begins to poll the targets of this host and the host list.
+// Start starts polling the status of the targets and the host list.
 func (r *Relay) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	r.courier.start(ctx)
+	r.announcer.start(ctx)
 	r.current()
 	r.work.Go(func() { r.pollTargets(ctx) })
 	if r.hosts != nil {
@@ -86,13 +97,13 @@
 	return nil
 }
 
-// Stop ends the polling and closes the idle connections. Batches in flight
-// are their callers' to end first.
+// Stop ends the polling and closes the idle connections. The callers must have
+// ended all batches in flight before.
 func (r *Relay) Stop(ctx context.Context) error {
 	if r.stop == nil {
 		return nil
 	}
-	r.courier.stop()
+	r.announcer.stop()
 	r.stop()
 	if err := await.Group(ctx, &r.work); err != nil {
 		return Error.New("stop polling: %w", err)
@@ -113,15 +124,15 @@
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	run := &run{
+	run := &batchRun{
 		relay: r, batch: &b, ctx: ctx, body: body, deadline: deadline, emit: emit,
-		rank: policy.Rank(b.RequestID), bell: make(chan struct{}, 1),
+		rank: policy.Rank(b.RequestID), wakeup: make(chan struct{}, 1),
 	}
 	return run.search()
 }
 
-// Assigned reports whether this host is one of the relays of the service, as
-// of the newest membership.
+// Assigned reports whether this host is a relay of the service according to
+// the newest membership.
 func (r *Relay) Assigned(service string) bool {
 	p := r.rebuild().pools[service]
 	if p == nil {
@@ -129,22 +140,23 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.own
+	return p.assigned
 }
 
-// noteOwnership counts work for a service of which this host is no relay. It
-// is served all the same: the asking host sees another membership.
-func (r *Relay) noteOwnership(p *pool) {
+// countForeignRequest counts requests for a service that this host does not
+// relay. They are served all the same, because the requesting host may have a
+// different view of the membership.
+func (r *Relay) countForeignRequest(p *pool) {
 	p.mu.Lock()
-	own := p.own
+	assigned := p.assigned
 	p.mu.Unlock()
-	if !own {
-		r.metrics.foreign.WithLabelValues(p.name).Inc()
+	if !assigned {
+		r.metrics.foreignRequests.WithLabelValues(p.name).Inc()
 	}
 }
 
-// newAttemptID returns a fresh ULID. Its randomness is the system's, so that
-// no two hosts make the same one.
+// newAttemptID returns a new ULID. Its entropy comes from crypto/rand, so that
+// ids are unique across hosts.
 func newAttemptID() string {
 	return ulid.MustNew(ulid.Now(), rand.Reader).String()
 }
--- a/internal/relay/replay_test.go
+++ b/internal/relay/replay_test.go
@@ -16,14 +16,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// closingTarget answers the first request on each connection and runs the
-// second one, but closes the connection without a word, as a target does
-// whose idle timeout meets the request. To net/http that looks like an idle
-// connection gone stale, on which it may send a request once more.
+// closingTarget answers the first request on each connection. It executes the
+// second one but closes the connection without a response, like a target whose
+// idle timeout fires as a request arrives. net/http takes that for a stale
+// idle connection, on which it may retry the request.
 type closingTarget struct {
-	ln   net.Listener
-	runs atomic.Int64
-	work sync.WaitGroup
+	ln         net.Listener
+	executions atomic.Int64
+	work       sync.WaitGroup
 }
 
 func newClosingTarget(t *testing.T) *closingTarget {
@@ -56,7 +56,7 @@
 			return
 		}
 		_, _ = bufio.NewReader(r.Body).WriteTo(discard{})
-		c.runs.Add(1)
+		c.executions.Add(1)
 		if n == 1 {
 			return
 		}
@@ -70,8 +70,8 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// Each reservation is sent one time, though connections kept open are lost
-// under them.
+// Each reservation is sent once, even if a reused connection is lost during
+// it.
 func TestReservationIsNeverReplayed(t *testing.T) {
 	is := is.New(t)
 	c := newClosingTarget(t)
@@ -82,11 +82,12 @@
 	for i := range 10 {
 		got := f.relay.Send(t.Context(), reserve(time.Minute), "t0", "a1")
 		is.Equal(got.Outcome, outcome.Unknown)
-		is.Equal(c.runs.Load(), int64(i+1))
+		is.Equal(c.executions.Load(), int64(i+1))
 	}
 }
 
-// The same over h2c, where a target may reset a stream after it ran.
+// The same over h2c, where the target resets the stream after it executed the
+// request.
 func TestReservationIsNeverReplayedOverH2C(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 1, rules(func(r *catalog.Rules) { r.Protocol = protocolH2C }))
@@ -94,6 +95,6 @@
 	f.targets[0].serve = func(http.ResponseWriter, *http.Request, targetapi.Answer) { panic(http.ErrAbortHandler) }
 	for i := range 10 {
 		is.Equal(f.relay.Send(t.Context(), reserve(time.Minute), "t0", "a1").Outcome, outcome.Unknown)
-		is.Equal(f.targets[0].count(), i+1)
+		is.Equal(f.targets[0].requestCount(), i+1)
 	}
 }
--- a/internal/relay/reserve.go
+++ b/internal/relay/reserve.go
@@ -17,18 +17,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// mustRun is the rank of a reservation: its claim is made, so that only its
-// budget may still refuse it.
-const mustRun = 0
+// reservationRank is the queue rank of reservations. Their claim has been
+// made, so they must not be evicted for batches of any rank; only the budget
+// may refuse them.
+const reservationRank = 0
 
-// Pick implements claim.Sender. It refuses what would wait too long, so that
-// no claim is made for a reservation that has no chance.
+// Pick implements claim.Sender. It refuses a reservation whose expected wait
+// exceeds the budget, so that no claim is made for one that cannot succeed.
 func (r *Relay) Pick(q query.Reserve, exclude []string) (string, *query.Refusal) {
 	p := r.pool(q.Service)
 	if p == nil {
 		return "", refuse(q, query.ReasonUnknownService, 0)
 	}
-	set, _, _, ok := p.locate(q.Item)
+	set, _, _, ok := p.locateItem(q.Item)
 	if !ok {
 		return "", refuse(q, query.ReasonNoSnapshot, r.cfg.RetryAfter.Std())
 	}
@@ -39,15 +40,15 @@
 	return &query.Refusal{RequestID: q.RequestID, Reason: reason, Outcome: outcome.NotSent, RetryAfter: after}
 }
 
-// locate returns the replica set, shard and snapshot of an item: those of the
-// newest snapshot of which every shard has a usable holder.
-func (p *pool) locate(item string) (*replicaSet, uint32, uint64, bool) {
+// locateItem returns the replica set, shard and snapshot of an item. It uses
+// the newest snapshot of which every shard has a usable target.
+func (p *pool) locateItem(item string) (*replicaSet, uint32, uint64, bool) {
 	p.mu.Lock()
 	workload := p.conf.Workload
 	p.mu.Unlock()
 	for _, s := range p.relay.view.Snapshots(workload) {
 		pl := p.placement(s.ID)
-		if pl == nil || len(pl.shards) == 0 || !p.allHeld(pl) {
+		if pl == nil || len(pl.shards) == 0 || !p.allShardsUsable(pl) {
 			continue
 		}
 		shard := xxhash.Sum64String(item) % uint64(len(pl.shards))
@@ -56,12 +57,13 @@
 	return nil, 0, 0, false
 }
 
-func (p *pool) allHeld(pl *placement) bool {
+// allShardsUsable reports whether every shard has a usable target.
+func (p *pool) allShardsUsable(pl *placement) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range pl.shards {
-		t := try{holders: s.targets}
-		if !t.anyUsable() {
+		t := try{candidates: s.targets}
+		if !t.anyEligible() {
 			return false
 		}
 	}
@@ -76,20 +78,20 @@
 	if wait > q.Budget {
 		return "", refuse(q, query.ReasonOverload, policy.RetryAfter(wait, p.rng.Float64()))
 	}
-	t := &try{holders: set.targets}
+	t := &try{candidates: set.targets}
 	for i, h := range set.targets {
-		if excluded(exclude, h.conf.ID) {
-			t.spent |= 1 << i
+		if containsID(exclude, h.conf.ID) {
+			t.excluded |= 1 << i
 		}
 	}
-	i := p.best(now, t)
+	i := p.chooseAnyCapacity(now, t)
 	if i < 0 {
-		return "", refuse(q, p.whyNone(t), p.relay.cfg.RetryAfter.Std())
+		return "", refuse(q, p.unavailableReason(t), p.relay.cfg.RetryAfter.Std())
 	}
 	return set.targets[i].conf.ID, nil
 }
 
-func excluded(ids []string, id string) bool {
+func containsID(ids []string, id string) bool {
 	for _, x := range ids {
 		if x == id {
 			return true
@@ -98,26 +100,27 @@
 	return false
 }
 
-// best chooses a holder whether or not it has a free place, -1 if there is none.
-func (p *pool) best(now time.Time, t *try) int {
-	options := make([]policy.Option, 0, len(t.holders))
-	open := make([]int, 0, len(t.holders))
-	for i, h := range t.holders {
-		if !t.holds(i) {
+// chooseAnyCapacity chooses an eligible candidate whether or not it has a free
+// slot. It returns -1 if there is none.
+func (p *pool) chooseAnyCapacity(now time.Time, t *try) int {
+	options := make([]policy.Option, 0, len(t.candidates))
+	indices := make([]int, 0, len(t.candidates))
+	for i, c := range t.candidates {
+		if !t.eligible(i) {
 			continue
 		}
-		open = append(open, i)
+		indices = append(indices, i)
 		options = append(options, policy.Option{
-			Cost:   h.rep.Outlier.Cost(now, h.rep.Limiter.InFlight(), h.rep.Limiter.Limit()),
-			Local:  h.local,
-			Barred: h.rep.Outlier.Ejected(now) || !h.rep.Ramp.Takes(now, p.rng.Float64()),
+			Cost:   c.replica.Outlier.Cost(now, c.replica.Limiter.InFlight(), c.replica.Limiter.Limit()),
+			Local:  c.sameDomain,
+			Barred: c.replica.Outlier.Ejected(now) || !c.replica.Ramp.Takes(now, p.rng.Float64()),
 		})
 	}
 	chosen := policy.Choose(p.rng, options)
 	if chosen < 0 {
 		return -1
 	}
-	return open[chosen]
+	return indices[chosen]
 }
 
 // Send implements claim.Sender.
@@ -127,19 +130,19 @@
 		deadline = d
 	}
 	notSent := func(reason query.Reason) query.Reservation {
-		return reservation(q, targetID, answer{
+		return reservation(q, targetID, attemptResult{
 			outcome: outcome.NotSent, reason: reason, retryAfter: r.cfg.RetryAfter.Std()})
 	}
 	p := r.pool(q.Service)
 	if p == nil {
 		return notSent(query.ReasonUnknownService)
 	}
-	r.noteOwnership(p)
-	t, usable := p.targetOf(targetID)
+	r.countForeignRequest(p)
+	t, usable := p.usableTarget(targetID)
 	if !usable {
 		return notSent(query.ReasonDraining)
 	}
-	set, shard, snapshot, ok := p.locate(q.Item)
+	set, shard, snapshot, ok := p.locateItem(q.Item)
 	if !ok {
 		return notSent(query.ReasonNoSnapshot)
 	}
@@ -149,20 +152,20 @@
 	if err != nil {
 		return notSent(query.ReasonBadRequest)
 	}
-	s := &single{pool: p, peers: set.replicas, fate: make(chan answer, 1), ctx: ctx, attempt: &attempt{
+	s := &reserveAttempt{pool: p, peers: set.replicas, result: make(chan attemptResult, 1), ctx: ctx, attempt: &attempt{
 		id: attemptID, requestID: q.RequestID, service: q.Service, shard: shard,
 		snapshot: snapshot, body: body, deadline: deadline,
 	}}
 	return reservation(q, targetID, s.run(t))
 }
 
-func reservation(q query.Reserve, targetID string, a answer) query.Reservation {
+func reservation(q query.Reserve, targetID string, a attemptResult) query.Reservation {
 	out := query.Reservation{
 		RequestID: q.RequestID, ReservationID: q.ReservationID, Target: targetID,
 		Outcome: a.outcome, Reason: a.reason, RetryAfter: a.retryAfter,
 	}
 	if a.outcome == outcome.Done {
-		out.Granted, out.Answer = a.body.Granted, a.body.Text
+		out.Granted, out.Answer = a.answer.Granted, a.answer.Text
 	}
 	return out
 }
@@ -173,51 +176,54 @@
 	return p.conf.Urgency
 }
 
-func (p *pool) targetOf(id string) (*target, bool) {
+// usableTarget returns the target with the id and whether it exists and is
+// usable.
+func (p *pool) usableTarget(id string) (*target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, ok := p.byID[id]
 	return t, ok && t.usable()
 }
 
-// single is one attempt to one given target, sent one time at most.
-type single struct {
+// reserveAttempt is the attempt of a reservation to a given target. It is sent
+// at most once.
+type reserveAttempt struct {
 	pool    *pool
 	peers   []*policy.Replica
 	ctx     context.Context
 	attempt *attempt
-	fate    chan answer
+	result  chan attemptResult
 }
 
-func (s *single) run(t *target) answer {
-	tr := &try{owner: s, kind: policy.FirstTry, holders: []*target{t}, peers: s.peers}
-	tr.waiter.Urgency, tr.waiter.Deadline, tr.waiter.Rank = s.pool.urgency(), s.attempt.deadline, mustRun
+func (s *reserveAttempt) run(t *target) attemptResult {
+	tr := &try{owner: s, kind: policy.FirstTry, candidates: []*target{t}, peers: s.peers}
+	tr.waiter.Urgency, tr.waiter.Deadline, tr.waiter.Rank = s.pool.urgency(), s.attempt.deadline, reservationRank
 	s.pool.submit(time.Now(), tr)
 	timer := time.NewTimer(time.Until(s.attempt.deadline))
 	defer timer.Stop()
 	select {
-	case a := <-s.fate:
+	case a := <-s.result:
 		return a
 	case <-s.ctx.Done():
 	case <-timer.C:
 	}
-	if s.pool.forget(tr) {
-		return answer{outcome: outcome.NotSent, reason: query.ReasonBudget}
+	if s.pool.dequeue(tr) {
+		return attemptResult{outcome: outcome.NotSent, reason: query.ReasonBudget}
 	}
-	return <-s.fate
+	return <-s.result
 }
 
-// send implements owner. The attempt's own deadline ends it.
-func (s *single) send(t *try) answer {
+// send implements tryOwner. The deadline of the attempt bounds it.
+func (s *reserveAttempt) send(t *try) attemptResult {
 	ctx, cancel := context.WithDeadline(s.ctx, s.attempt.deadline)
 	defer cancel()
 	return t.target.send(ctx, cancel, s.attempt)
 }
 
-func (s *single) ended(_ *try, a answer) { s.fate <- a }
+func (s *reserveAttempt) ended(_ *try, a attemptResult) { s.result <- a }
 
-func (s *single) refused(_ *try, reason query.Reason, after time.Duration) {
-	s.fate <- answer{outcome: outcome.NotSent, reason: reason, retryAfter: after}
+func (s *reserveAttempt) refused(_ *try, reason query.Reason, after time.Duration) {
+	s.result <- attemptResult{outcome: outcome.NotSent, reason: reason, retryAfter: after}
 }
 
 // Settle implements claim.Sender.
@@ -231,7 +237,7 @@
 	t, settles := p.byID[targetID], p.conf.Rules.Settle
 	p.mu.Unlock()
 	if t == nil || !settles {
-		return out, Error.New("settle attempt %s: target %q offers no settlement", attemptID, targetID)
+		return out, Error.New("settle attempt %s: target %q does not exist or does not support settlement", attemptID, targetID)
 	}
 	return t.settle(ctx, attemptID)
 }
@@ -250,24 +256,24 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return out, Error.New("settle attempt %s: answer %d", attemptID, res.StatusCode)
+		return out, Error.New("settle attempt %s: unexpected HTTP status %d", attemptID, res.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, t.maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, t.maxAnswerBytes))
 	if err != nil {
-		return out, Error.New("settle attempt %s: %w", attemptID, err)
+		return out, Error.New("settle attempt %s: read response: %w", attemptID, err)
 	}
 	if err := json.Unmarshal(body, &out); err != nil {
-		return out, Error.New("settle attempt %s: %w", attemptID, err)
+		return out, Error.New("settle attempt %s: parse response: %w", attemptID, err)
 	}
 	if out.AttemptID != attemptID {
-		return out, Error.New("settle attempt %s: answer about %q", attemptID, out.AttemptID)
+		return out, Error.New("settle attempt %s: response is for attempt %q", attemptID, out.AttemptID)
 	}
 	return out, nil
 }
 
-// Drain reports the change to a service's settings that drains a target or
-// undoes it. The caller writes it; the drain is in force where it is applied,
-// and stands until undone.
+// Drain returns the service with the drained flag of the target set. The
+// caller has to store it; the drain takes effect on each host that applies the
+// configuration, and lasts until undone.
 func Drain(s catalog.Service, targetID string, drained bool) (catalog.Service, error) {
 	targets := append([]catalog.Target(nil), s.Targets...)
 	for i := range targets {
--- a/internal/relay/reserve_test.go
+++ b/internal/relay/reserve_test.go
@@ -16,8 +16,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// An item keeps its shard, in the newest snapshot of which every shard has a
-// usable holder.
+// An item always maps to the same shard of a snapshot, and the newest snapshot
+// is used of which every shard has a usable target.
 func TestReservationGoesToTheNewestSnapshotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -13,64 +13,65 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// run is one batch in flight. Its loop, on the caller's goroutine, owns the
-// tasks; the goroutines of granted tries, no more than the targets have
-// places, report to it through a mailbox that never blocks them.
-type run struct {
-	relay    *Relay
-	batch    *query.Batch
-	ctx      context.Context
-	body     []byte // of every attempt
-	deadline time.Time
-	rank     float64
-	tasks    []task
-	lanes    []*lane
-	left     int // tasks without a final result
-	emit     func(query.ShardResult)
-	hedgeAt  time.Time // next look for tries to hedge; zero: none
+// batchRun is one batch in flight. Its event loop runs on the goroutine of the
+// caller and owns the tasks. The goroutines that run the tries, bounded by the
+// slots of the targets, post their results to it without blocking.
+type batchRun struct {
+	relay          *Relay
+	batch          *query.Batch
+	ctx            context.Context
+	body           []byte // request body, shared by all attempts
+	deadline       time.Time
+	rank           float64 // queue rank of the batch
+	tasks          []task
+	windows        []*submitWindow
+	unfinished     int // tasks that are not final
+	emit           func(query.ShardResult)
+	nextHedgeCheck time.Time // zero if none is scheduled
 
-	mu   sync.Mutex
-	box  []report
-	bell chan struct{}
+	mu      sync.Mutex
+	reports []tryReport   // results not yet handled by the event loop
+	wakeup  chan struct{} // signals that reports is not empty
 }
 
 // task is one shard of the batch.
 type task struct {
-	key     query.ShardKey
-	pool    *pool
-	lane    *lane
-	set     *replicaSet
-	tries   []*try
-	live    int // tries that wait or run
-	spent   uint64
-	notHeld bool // some holder no longer holds the snapshot
-	hedged  bool
-	final   bool
+	key             query.ShardKey
+	pool            *pool
+	window          *submitWindow
+	set             *replicaSet
+	tries           []*try
+	active          int    // tries queued or running
+	excluded        uint64 // candidates that were used already, as in try
+	snapshotMissing bool   // a target rejected a try because it does not hold the snapshot
+	hedged          bool
+	final           bool // the result was emitted, or the batch was abandoned
 
-	worst      outcome.Outcome // of the tries that ended
+	combined   outcome.Outcome // of the tries that failed
 	reason     query.Reason
 	retryAfter time.Duration
 }
 
-// report is the end of a try.
-type report struct {
+// tryReport is the result of a try. refused is set if the try was never
+// assigned to a target.
+type tryReport struct {
 	try *try
-	answer
+	attemptResult
 	refused bool
 }
 
 // search runs the batch until every shard has its result.
-func (r *run) search() error {
+func (r *batchRun) search() error {
 	defer r.abandonAll()
 	r.prepare()
 	timer := time.NewTimer(r.untilWake())
 	defer timer.Stop()
-	for r.left > 0 {
+	for r.unfinished > 0 {
 		select {
-		case <-r.bell:
-			r.collect()
+		case <-r.wakeup:
+			r.handleReports()
 		case <-timer.C:
-			r.tick(time.Now())
+			r.onTimer(time.Now())
 		case <-r.ctx.Done():
 			if !errors.Is(r.ctx.Err(), context.DeadlineExceeded) {
 				return Error.New("search abandoned: %w", r.ctx.Err())
@@ -82,21 +83,21 @@
 	return nil
 }
 
-func (r *run) untilWake() time.Duration {
+func (r *batchRun) untilWake() time.Duration {
 	at := r.deadline
-	if !r.hedgeAt.IsZero() && r.hedgeAt.Before(at) {
-		at = r.hedgeAt
+	if !r.nextHedgeCheck.IsZero() && r.nextHedgeCheck.Before(at) {
+		at = r.nextHedgeCheck
 	}
 	return time.Until(at)
 }
 
-// prepare finds the holders of every shard and submits the first tries.
-func (r *run) prepare() {
+// prepare creates the task of every shard and submits the first tries.
+func (r *batchRun) prepare() {
 	n := 0
 	for _, p := range r.batch.Parts {
 		n += len(p.Shards)
 	}
-	r.tasks, r.left = make([]task, 0, n), n
+	r.tasks, r.unfinished = make([]task, 0, n), n
 	if time.Until(r.deadline) <= 0 {
 		r.refuseAll(query.ReasonBudget)
 		return
@@ -104,69 +105,70 @@
 	for _, p := range r.batch.Parts {
 		r.preparePart(p)
 	}
-	r.planHedges(time.Now())
+	r.scheduleHedges(time.Now())
 }
 
-func (r *run) refuseAll(reason query.Reason) {
+func (r *batchRun) refuseAll(reason query.Reason) {
 	for _, p := range r.batch.Parts {
 		r.refusePart(p, reason)
 	}
 }
 
-func (r *run) refusePart(p query.Part, reason query.Reason) {
+func (r *batchRun) refusePart(p query.Part, reason query.Reason) {
 	for _, shard := range p.Shards {
 		r.tasks = append(r.tasks, task{key: query.ShardKey{Service: p.Service, Shard: shard}, reason: reason})
-		r.finish(&r.tasks[len(r.tasks)-1])
+		r.giveUp(&r.tasks[len(r.tasks)-1])
 	}
 }
 
-func (r *run) preparePart(part query.Part) {
+func (r *batchRun) preparePart(part query.Part) {
 	p := r.relay.pool(part.Service)
 	if p == nil {
 		r.refusePart(part, query.ReasonUnknownService)
 		return
 	}
-	r.relay.noteOwnership(p)
+	r.relay.countForeignRequest(p)
 	pl := p.placement(r.batch.Snapshot)
 	if pl == nil {
 		r.refusePart(part, query.ReasonNoSnapshot)
 		return
 	}
-	l := &lane{pool: p, held: make([]*try, 0, len(part.Shards))}
-	r.lanes = append(r.lanes, l)
-	block := make([]try, len(part.Shards))
+	w := &submitWindow{pool: p, unsubmitted: make([]*try, 0, len(part.Shards))}
+	r.windows = append(r.windows, w)
+	tries := make([]try, len(part.Shards))
 	for i, shard := range part.Shards {
 		if int(shard) >= len(pl.shards) {
 			r.refusePart(query.Part{Service: part.Service, Shards: []uint32{shard}}, query.ReasonBadRequest)
 			continue
 		}
 		r.tasks = append(r.tasks, task{
-			key: query.ShardKey{Service: part.Service, Shard: shard}, pool: p, lane: l, set: pl.shards[shard],
+			key: query.ShardKey{Service: part.Service, Shard: shard}, pool: p, window: w, set: pl.shards[shard],
 		})
-		t := &block[i]
-		r.fill(t, &r.tasks[len(r.tasks)-1], policy.FirstTry)
-		l.held = append(l.held, t)
+		t := &tries[i]
+		r.initTry(t, &r.tasks[len(r.tasks)-1], policy.FirstTry)
+		w.unsubmitted = append(w.unsubmitted, t)
 	}
-	r.start(l)
+	r.startWindow(w)
 }
 
-// fill makes t a try of a task.
-func (r *run) fill(t *try, k *task, kind policy.Try) {
+// initTry initializes t as a try of the task.
+func (r *batchRun) initTry(t *try, k *task, kind policy.Try) {
 	t.owner, t.task, t.kind = r, k, kind
-	t.set, t.holders, t.spent = k.set, k.set.targets, k.spent
+	t.set, t.candidates, t.excluded = k.set, k.set.targets, k.excluded
 	t.waiter.Urgency, t.waiter.Deadline, t.waiter.Rank = r.batch.Urgency, r.deadline, r.rank
 	k.tries = append(k.tries, t)
-	k.live++
+	k.active++
 }
 
-// send implements owner. The attempt's context is not a child of the batch's,
-// which would cost a lock and a map for each: whatever ends the batch abandons
-// every task without a result, and so cancels it.
-func (r *run) send(t *try) answer {
+// send implements tryOwner. The context of the attempt is not derived from
+// that of the batch, which would cost a lock and a map entry per attempt.
+// Instead, whatever ends the batch abandons every task without a result and so
+// cancels its attempts.
+func (r *batchRun) send(t *try) attemptResult {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if !r.sending(t, cancel) {
-		return answer{outcome: outcome.NotSent, reason: query.ReasonBudget, cause: errNoTime}
+	if !r.registerCancel(t, cancel) {
+		return attemptResult{outcome: outcome.NotSent, reason: query.ReasonBudget, cause: errBudgetExhausted}
 	}
 	return t.target.send(ctx, cancel, &attempt{
 		id: newAttemptID(), requestID: r.batch.RequestID,
@@ -175,8 +177,9 @@
 	})
 }
 
-// sending notes how to cancel the try, and reports false if it was abandoned.
-func (r *run) sending(t *try, cancel context.CancelFunc) bool {
+// registerCancel stores the cancel function of the try. It reports false if
+// the try was abandoned before.
+func (r *batchRun) registerCancel(t *try, cancel context.CancelFunc) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.abandoned {
@@ -186,93 +189,96 @@
 	return true
 }
 
-// ended implements owner.
-func (r *run) ended(t *try, a answer) { r.post(report{try: t, answer: a}) }
+// ended implements tryOwner.
+func (r *batchRun) ended(t *try, a attemptResult) { r.post(tryReport{try: t, attemptResult: a}) }
 
-// refused takes a try that got no place. At the end of the budget that is the
-// reason, whatever the queue says.
-func (r *run) refused(t *try, reason query.Reason, after time.Duration) {
+// refused implements tryOwner. Once the budget has ended, the reason is the
+// budget, whatever the queue reports.
+func (r *batchRun) refused(t *try, reason query.Reason, after time.Duration) {
 	if !time.Now().Before(r.deadline) {
 		reason = query.ReasonBudget
 	}
-	a := answer{outcome: outcome.NotSent, reason: reason, retryAfter: after}
-	r.post(report{try: t, answer: a, refused: true})
+	a := attemptResult{outcome: outcome.NotSent, reason: reason, retryAfter: after}
+	r.post(tryReport{try: t, attemptResult: a, refused: true})
 }
 
-func (r *run) post(x report) {
+func (r *batchRun) post(x tryReport) {
 	r.mu.Lock()
-	r.box = append(r.box, x)
+	r.reports = append(r.reports, x)
 	r.mu.Unlock()
 	select {
-	case r.bell <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (r *run) collect() {
+func (r *batchRun) handleReports() {
 	r.mu.Lock()
-	box := r.box
-	r.box = nil
+	reports := r.reports
+	r.reports = nil
 	r.mu.Unlock()
-	for i := range box {
-		r.take(&box[i])
+	for i := range reports {
+		r.handleReport(&reports[i])
 	}
 	now := time.Now()
-	for _, l := range r.lanes {
-		l.feed(now)
+	for _, w := range r.windows {
+		w.refill(now)
 	}
 }
 
-// take takes the end of a try: the first valid answer is the task's result,
-// anything else leads to another try, or to giving up at once.
-func (r *run) take(x *report) {
+// handleReport handles the result of a try. The first valid answer is the
+// result of the task; any other result leads to a retry or, if none is
+// possible, to giving up at once.
+func (r *batchRun) handleReport(x *tryReport) {
 	k := x.try.task
 	if k.final {
 		return
 	}
-	k.live--
-	k.spent |= x.try.spent
+	k.active--
+	k.excluded |= x.try.excluded
 	if x.outcome == outcome.Done {
-		r.done(k, &x.answer)
+		r.complete(k, &x.attemptResult)
 		return
 	}
-	k.note(x)
-	if k.live > 0 {
+	k.recordFailure(x)
+	if k.active > 0 {
 		return
 	}
 	if !x.refused && r.retry(k, x) {
 		return
 	}
-	r.finish(k)
+	r.giveUp(k)
 	if x.refused && x.reason == query.ReasonOverload {
-		r.giveUp(k.lane, x.retryAfter)
+		r.refuseUnsubmitted(k.window, x.retryAfter)
 	}
 }
 
-// note sums the ends of a task's tries: the outcome is that of all of them
-// and the reason that of the one which weighs most.
-func (k *task) note(x *report) {
-	k.notHeld = k.notHeld || x.reason == query.ReasonSnapshotNotHeld
-	if x.outcome >= k.worst {
+// recordFailure adds a failed try to the state of the task. The outcome
+// combines those of all tries; the reason is that of the newest try with the
+// greatest outcome.
+func (k *task) recordFailure(x *tryReport) {
+	k.snapshotMissing = k.snapshotMissing || x.reason == query.ReasonSnapshotNotHeld
+	if x.outcome >= k.combined {
 		k.reason = x.reason
 	}
-	k.worst = outcome.Combine(k.worst, x.outcome)
+	k.combined = outcome.Combine(k.combined, x.outcome)
 	k.retryAfter = max(k.retryAfter, x.retryAfter)
 }
 
-// retry submits a further try to a holder not yet asked. It costs nothing
-// when the last one was refused for what it did not hold or for leaving, or
-// never left this host: none of these was load for a target.
-func (r *run) retry(k *task, x *report) bool {
+// retry submits a further try to a candidate that was not used yet. It is not
+// charged to the retry budget if the previous try caused no load on a target:
+// if it was not sent, or was rejected because the target was draining or does
+// not hold the snapshot.
+func (r *batchRun) retry(k *task, x *tryReport) bool {
 	now := time.Now()
 	if !now.Before(r.deadline) {
 		return false
 	}
 	free := x.outcome == outcome.NotSent || x.reason == query.ReasonSnapshotNotHeld || x.reason == query.ReasonDraining
 	t := new(try)
-	r.fill(t, k, policy.Retry)
+	r.initTry(t, k, policy.Retry)
 	if !k.pool.resubmit(now, t, free) {
-		k.live--
+		k.active--
 		k.tries = k.tries[:len(k.tries)-1]
 		return false
 	}
@@ -280,38 +286,40 @@
 	return true
 }
 
-func (r *run) done(k *task, a *answer) {
-	k.worst, k.reason, k.retryAfter = outcome.Done, "", 0
-	r.result(k, query.ShardResult{Rows: a.body.Rows, TotalRows: a.body.TotalRows})
+func (r *batchRun) complete(k *task, a *attemptResult) {
+	k.combined, k.reason, k.retryAfter = outcome.Done, "", 0
+	r.emitResult(k, query.ShardResult{Rows: a.answer.Rows, TotalRows: a.answer.TotalRows})
 }
 
-// finish emits that the task was given up.
-func (r *run) finish(k *task) {
-	if k.notHeld && k.worst <= outcome.Rejected {
+// giveUp emits the failure of the task.
+func (r *batchRun) giveUp(k *task) {
+	if k.snapshotMissing && k.combined <= outcome.Rejected {
 		k.reason = query.ReasonSnapshotNotHeld
 	}
 	if k.retryAfter == 0 && k.reason != query.ReasonSnapshotNotHeld {
 		k.retryAfter = r.relay.cfg.RetryAfter.Std()
 	}
-	r.result(k, query.ShardResult{})
+	r.emitResult(k, query.ShardResult{})
 }
 
-// result emits the task's one result and abandons what still runs for it.
-func (r *run) result(k *task, x query.ShardResult) {
+// emitResult emits the only result of the task and abandons the tries that are
+// still active.
+func (r *batchRun) emitResult(k *task, x query.ShardResult) {
 	k.final = true
-	r.left--
-	if k.lane != nil {
-		k.lane.out--
+	r.unfinished--
+	if k.window != nil {
+		k.window.outstanding--
 	}
 	r.abandon(k)
-	x.Key, x.Snapshot, x.Outcome = k.key, r.batch.Snapshot, k.worst
-	x.Reason, x.RetryAfter, x.Attempts = k.reason, k.retryAfter, r.sent(k)
-	r.relay.metrics.shards[x.Outcome].Inc()
+	x.Key, x.Snapshot, x.Outcome = k.key, r.batch.Snapshot, k.combined
+	x.Reason, x.RetryAfter, x.Attempts = k.reason, k.retryAfter, r.sentCount(k)
+	r.relay.metrics.shardResults[x.Outcome].Inc()
 	r.emit(x)
 }
 
-// sent counts the tries that were given to a target.
-func (r *run) sent(k *task) int {
+// sentCount returns the number of tries of the task that were assigned to a
+// target.
+func (r *batchRun) sentCount(k *task) int {
 	n := 0
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,9 +331,9 @@
 	return n
 }
 
-// abandon ends the tries of a task that still wait or run.
-func (r *run) abandon(k *task) {
-	if k.live == 0 {
+// abandon cancels the active tries of the task.
+func (r *batchRun) abandon(k *task) {
+	if k.active == 0 {
 		return
 	}
 	for _, t := range k.tries {
@@ -337,13 +345,13 @@
 			cancel()
 			continue
 		}
-		k.pool.forget(t)
+		k.pool.dequeue(t)
 	}
 }
 
-func (r *run) abandonAll() {
-	for _, l := range r.lanes {
-		l.drop()
+func (r *batchRun) abandonAll() {
+	for _, w := range r.windows {
+		w.clear()
 	}
 	for i := range r.tasks {
 		if k := &r.tasks[i]; !k.final {
@@ -354,21 +362,21 @@
 }
 
 // expire gives up every task that has no result when the budget ends.
-func (r *run) expire() {
-	for _, l := range r.lanes {
-		l.drop()
+func (r *batchRun) expire() {
+	for _, w := range r.windows {
+		w.clear()
 	}
-	r.collect()
+	r.handleReports()
 	for i := range r.tasks {
 		k := &r.tasks[i]
 		if k.final {
 			continue
 		}
-		if r.sent(k) > 0 {
-			k.worst = outcome.Unknown
+		if r.sentCount(k) > 0 {
+			k.combined = outcome.Unknown
 		}
-		k.reason, k.notHeld = query.ReasonBudget, false
-		r.finish(k)
+		k.reason, k.snapshotMissing = query.ReasonBudget, false
+		r.giveUp(k)
 	}
 }
 
--- a/internal/relay/search_test.go
+++ b/internal/relay/search_test.go
@@ -28,7 +28,7 @@
 					is.Equal(r.Attempts, 1)
 				}
 				for _, target := range f.targets {
-					is.True(target.most <= 2)
+					is.True(target.maxOpen <= 2)
 				}
 			})
 		})
--- a/internal/relay/standin_test.go
+++ b/internal/relay/standin_test.go
@@ -19,7 +19,7 @@
 	standintarget "rhubarbwood.example/rhubarbwood/internal/standin/target"
 )
 
-// faultyTargets serves stand-ins that draw their faults, over loopback.
+// faultyTargets serves stand-in targets with random fault rates over loopback.
 func faultyTargets(t *rapid.T, n int) (targets []*standintarget.Target, addresses []string, stop func()) {
 	var servers []*standintarget.Server
 	var work sync.WaitGroup
@@ -50,9 +50,9 @@
 	}
 }
 
-// Whatever the faults, and over both protocols: a reservation runs at most
-// once; one told as not run has no execution, one told as done has one; an
-// answer to a search is the shard's own rows of the snapshot asked for.
+// Whatever the faults, over both protocols: a reservation is executed at most
+// once; one reported as not run has no execution and one reported as done has
+// exactly one; the answer to a search has the rows of that shard and snapshot.
 func TestOutcomesAreTrueUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets, addresses, stop := faultyTargets(t, 3)
@@ -75,23 +75,23 @@
 		return
 	}
 	got := f.relay.Send(context.Background(), q, target, "a"+strconv.Itoa(i))
-	runs := 0
+	executions := 0
 	for _, x := range targets {
 		for _, e := range x.Executions() {
 			if e.ReservationID == q.ReservationID {
-				runs++
+				executions++
 			}
 		}
 	}
-	if runs > 1 || (got.Outcome.NotRun() && runs != 0) || (got.Outcome == outcome.Done && runs != 1) {
-		t.Fatalf("%s told of a reservation that ran %d times: %+v", got.Outcome, runs, got)
+	if executions > 1 || (got.Outcome.NotRun() && executions != 0) || (got.Outcome == outcome.Done && executions != 1) {
+		t.Fatalf("outcome %s for a reservation that was executed %d times: %+v", got.Outcome, executions, got)
 	}
 }
 
 func checkSearch(t *rapid.T, f *fixture) {
 	got, err := f.search(context.Background(), batch(30, 10*time.Second))
 	if err != nil || len(got) != 30 {
-		t.Fatalf("%d results: %v", len(got), err)
+		t.Fatalf("got %d results, want 30: %v", len(got), err)
 	}
 	for shard, r := range got {
 		if r.Outcome != outcome.Done {
@@ -99,18 +99,18 @@
 		}
 		want := standintarget.Rows("s", shard, 7, benchRows, "")
 		if len(r.Rows) != len(want) {
-			t.Fatalf("shard %d: %d rows for %d", shard, len(r.Rows), len(want))
+			t.Fatalf("shard %d: got %d rows, want %d", shard, len(r.Rows), len(want))
 		}
 		for i, x := range r.Rows {
 			if x.Key != want[i].Key || x.Value != want[i].Value || x.Shard != shard || x.Service != "s" {
-				t.Fatalf("shard %d: row %+v for %+v", shard, x, want[i])
+				t.Fatalf("shard %d: got row %+v, want %+v", shard, x, want[i])
 			}
 		}
 	}
 }
 
-// What the target says of an attempt is taken only if it is about that one;
-// an attempt settled as never run is refused from then on.
+// A settlement is accepted only for the requested attempt. An attempt settled
+// as never run is rejected from then on.
 func TestSettle(t *testing.T) {
 	is := is.New(t)
 	c := benchConfig(0)
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -7,26 +7,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// TargetState is what a relay makes of a target.
+// TargetState is the state of a target as one relay sees it.
 type TargetState string
 
-// States of a target, the first that holds.
+// States of a target. If several apply, the first in this order is reported.
 const (
 	TargetDrained TargetState = "drained" // by an operator
-	TargetLeaving TargetState = "leaving" // showed a sign of leaving
-	TargetSuspect TargetState = "suspect" // set aside; gets probing work only
-	TargetCold    TargetState = "cold"    // its share of work still rises
+	TargetLeaving TargetState = "leaving" // a sign of leaving was observed
+	TargetSuspect TargetState = "suspect" // ejected; gets probe attempts only
+	TargetCold    TargetState = "cold"    // its share of work still rises after a start
 	TargetReady   TargetState = "ready"
 )
 
-// TargetStatus tells operators how this relay sees one target.
+// TargetStatus is the state of one target as this relay sees it, for
+// operators.
 type TargetStatus struct {
 	ID            string        `json:"id"`
 	Service       string        `json:"service"`
 	FailureDomain string        `json:"failure_domain"`
 	State         TargetState   `json:"state"`
-	Reason        string        `json:"reason,omitempty"` // the sign of leaving, or the newest failure of a suspect
-	Relayed       bool          `json:"relayed"`          // this host is one of its relays
+	Reason        string        `json:"reason,omitempty"` // the sign of leaving, or the last failure of a suspect
+	Relayed       bool          `json:"relayed"`          // this host is a relay of the service
 	Incarnation   uint64        `json:"incarnation"`
 	InFlight      int           `json:"in_flight"`
 	Limit         float64       `json:"limit"`
@@ -64,10 +65,10 @@
 		p50, p99 := t.stats.latency.quantiles(now)
 		out = append(out, TargetStatus{
 			ID: t.conf.ID, Service: p.name, FailureDomain: t.conf.FailureDomain,
-			State: state, Reason: reason, Relayed: p.own, Incarnation: t.health.incarnation,
-			InFlight: t.rep.Limiter.InFlight(), Limit: t.rep.Limiter.Limit(), Connections: t.open.Load(),
+			State: state, Reason: reason, Relayed: p.assigned, Incarnation: t.health.incarnation,
+			InFlight: t.replica.Limiter.InFlight(), Limit: t.replica.Limiter.Limit(), Connections: t.openConns.Load(),
 			Attempts: t.stats.attempts, Shed: t.stats.sheds, Errors: t.stats.errors,
-			FailureRatio: t.rep.Outlier.FailureRatio(), P50: p50, P99: p99,
+			FailureRatio: t.replica.Outlier.FailureRatio(), P50: p50, P99: p99,
 		})
 	}
 	return out
@@ -79,16 +80,16 @@
 		return TargetDrained, "operator"
 	case t.health.leaving != signNone:
 		return TargetLeaving, string(t.health.leaving)
-	case t.rep.Outlier.Ejected(now):
-		return TargetSuspect, string(t.stats.last)
-	case t.rep.Ramp.Share(now) < 1:
+	case t.replica.Outlier.Ejected(now):
+		return TargetSuspect, string(t.stats.lastFailure)
+	case t.replica.Ramp.Share(now) < 1:
 		return TargetCold, ""
 	}
 	return TargetReady, ""
 }
 
-// Load returns the work of a service on this host over what its targets take
-// from it at once: 0 is idle, above 1 work waits.
+// Load returns the running and waiting work of a service on this host divided
+// by the capacity of its targets: 0 is idle, above 1 work is queued.
 func (r *Relay) Load(service string) float64 {
 	p := r.pool(service)
 	if p == nil {
@@ -96,57 +97,57 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	places := p.places()
-	work := float64(p.running + p.held + p.queue.Len())
-	if places == 0 {
-		return work
+	capacity := p.capacity()
+	load := float64(p.running + p.unsubmitted + p.queue.Len())
+	if capacity == 0 {
+		return load
 	}
-	return work / places
+	return load / capacity
 }
 
 const (
-	latencySpan   = 30 * time.Second // of one of the two windows kept
-	latencyMax    = 60_000_000       // microseconds
-	latencyDigits = 1
+	latencyWindow          = 30 * time.Second // length of each of the two windows
+	maxLatencyMicros       = 60_000_000
+	latencyPrecisionDigits = 1 // significant decimal digits
 )
 
-// latencies keeps the latency of a target's valid answers over one to two
-// windows.
-type latencies struct {
-	now, old *hdrhistogram.Histogram
-	since    time.Time
+// latencyWindows records the latency of the valid answers of a target.
+// Quantiles cover the current and the previous window.
+type latencyWindows struct {
+	current, previous *hdrhistogram.Histogram
+	windowStart       time.Time
 }
 
-func newLatencies() *latencies {
-	return &latencies{
-		now: hdrhistogram.New(1, latencyMax, latencyDigits),
-		old: hdrhistogram.New(1, latencyMax, latencyDigits),
+func newLatencyWindows() *latencyWindows {
+	return &latencyWindows{
+		current:  hdrhistogram.New(1, maxLatencyMicros, latencyPrecisionDigits),
+		previous: hdrhistogram.New(1, maxLatencyMicros, latencyPrecisionDigits),
 	}
 }
 
-func (l *latencies) record(now time.Time, d time.Duration) {
-	l.turn(now)
-	_ = l.now.RecordValue(min(max(d.Microseconds(), 1), latencyMax)) // in range by construction
+func (l *latencyWindows) record(now time.Time, d time.Duration) {
+	l.rotate(now)
+	_ = l.current.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // the value is always in range
 }
 
-func (l *latencies) turn(now time.Time) {
-	switch past := now.Sub(l.since); {
-	case past >= 2*latencySpan:
-		l.now.Reset()
-		l.old.Reset()
-	case past >= latencySpan:
-		l.now, l.old = l.old, l.now
-		l.now.Reset()
+func (l *latencyWindows) rotate(now time.Time) {
+	switch age := now.Sub(l.windowStart); {
+	case age >= 2*latencyWindow:
+		l.current.Reset()
+		l.previous.Reset()
+	case age >= latencyWindow:
+		l.current, l.previous = l.previous, l.current
+		l.current.Reset()
 	default:
 		return
 	}
-	l.since = now
+	l.windowStart = now
 }
 
-func (l *latencies) quantiles(now time.Time) (p50, p99 time.Duration) {
-	l.turn(now)
-	both := hdrhistogram.Import(l.old.Export())
-	both.Merge(l.now)
-	at := func(q float64) time.Duration { return time.Duration(both.ValueAtQuantile(q)) * time.Microsecond }
+func (l *latencyWindows) quantiles(now time.Time) (p50, p99 time.Duration) {
+	l.rotate(now)
+	merged := hdrhistogram.Import(l.previous.Export())
+	merged.Merge(l.current)
+	at := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q)) * time.Microsecond }
 	return at(50), at(99)
 }
--- a/internal/relay/target.go
+++ b/internal/relay/target.go
@@ -12,108 +12,110 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// target is one target of one service. Fields below the pool's lock line are
-// guarded by the lock of its pool.
+// target is one target of one service.
 type target struct {
-	service   string
-	conf      catalog.Target
-	local     bool // in this host's failure domain
-	transport http.RoundTripper
-	shardURL  *url.URL
-	maxAnswer int64
-	// connections is the most that this relay holds to the target.
-	connections int
-	exclusive   bool         // a connection carries one attempt at a time
-	open        atomic.Int64 // connections now
-	opened      atomic.Int64 // connections ever
-	rowsHint    atomic.Int64 // rows of the newest answer
+	service        string
+	conf           catalog.Target
+	sameDomain     bool // in the failure domain of this host
+	transport      http.RoundTripper
+	shardURL       *url.URL
+	maxAnswerBytes int64
+	// maxConnections is the maximum number of connections from this relay.
+	maxConnections int
+	exclusive      bool         // a connection carries one attempt at a time
+	openConns      atomic.Int64 // connections currently open
+	openedConns    atomic.Int64 // connections opened in total
+	rowsHint       atomic.Int64 // rows of the newest answer
 
-	// Guarded by the pool's lock.
-	rep       *policy.Replica
-	health    health
-	stats     targetStats
-	untried   bool      // got no attempt since it was first seen or started
-	suspect   bool      // was set aside when last looked at
-	polling   bool      // a status poll is at work
-	badLogged time.Time // when a bad answer was last logged
-	gone      bool      // no longer in the catalog
+	// Guarded by the lock of the pool.
+	replica           *policy.Replica
+	health            health
+	stats             targetStats
+	untried           bool // got no attempt since it was added or restarted
+	suspect           bool // was ejected at the last update
+	polling           bool // a status poll is in flight
+	badAnswerLoggedAt time.Time
+	removed           bool // no longer in the catalog
 }
 
-// targetStats counts for operators.
+// targetStats holds the statistics of a target that operators see.
 type targetStats struct {
-	sheds    int64
-	errors   int64
-	attempts int64
-	last     query.Reason // of the newest attempt without an answer
-	latency  *latencies
+	sheds       int64
+	errors      int64
+	attempts    int64
+	lastFailure query.Reason // of the newest attempt without a valid answer
+	latency     *latencyWindows
 }
 
 func (r *Relay) newTarget(s catalog.Service, c catalog.Target, relays int, now time.Time) *target {
 	t := &target{
-		service: s.Name, conf: c, maxAnswer: r.cfg.MaxAnswerBytes,
-		connections: connections(s.Rules), exclusive: s.Rules.Protocol != protocolH2C,
-		local:    c.FailureDomain == r.members.Self().FailureDomain,
-		shardURL: &url.URL{Scheme: "http", Host: c.Address, Path: targetapi.PathShard},
+		service: s.Name, conf: c, maxAnswerBytes: r.cfg.MaxAnswerBytes,
+		maxConnections: maxConnections(s.Rules), exclusive: s.Rules.Protocol != protocolH2C,
+		sameDomain: c.FailureDomain == r.members.Self().FailureDomain,
+		shardURL:   &url.URL{Scheme: "http", Host: c.Address, Path: targetapi.PathShard},
 	}
-	t.rep = policy.NewReplica(c.ID, t.local, c.Slots, relays, ceiling(s.Rules, c))
-	t.stats.latency = newLatencies()
+	t.replica = policy.NewReplica(c.ID, t.sameDomain, c.Slots, relays, maxInFlight(s.Rules, c))
+	t.stats.latency = newLatencyWindows()
 	t.transport = r.newTransport(s.Rules, t)
 	t.health.drained = c.Drained
-	t.warmUp(now, r.cfg.ColdRamp.Std())
+	t.startRamp(now, r.cfg.ColdRamp.Std())
 	return t
 }
 
-// warmUp begins the ramp of a target that was just seen or has just started;
-// with no span there is none.
-func (t *target) warmUp(now time.Time, span time.Duration) {
+// startRamp marks a target that was added or restarted as untried and starts
+// its ramp. A span of 0 disables the ramp.
+func (t *target) startRamp(now time.Time, span time.Duration) {
 	t.untried = true
 	if span > 0 {
-		t.rep.Ramp.Restart(now, span)
+		t.replica.Ramp.Restart(now, span)
 	}
 }
 
-// ceiling returns the most attempts in flight that the connections carry. An
-// HTTP/1.1 connection carries one; one h2c connection carries as many as the
-// target runs.
-func ceiling(rules catalog.Rules, c catalog.Target) int {
+// maxInFlight returns the maximum number of attempts in flight to one target.
+// An HTTP/1.1 connection carries one attempt; a single h2c connection carries
+// as many as the target has slots.
+func maxInFlight(rules catalog.Rules, c catalog.Target) int {
 	if rules.Protocol == protocolH2C {
-		return max(c.Slots, connections(rules))
+		return max(c.Slots, maxConnections(rules))
 	}
-	return connections(rules)
+	return maxConnections(rules)
 }
 
-// connections returns the most connections to one target.
-func connections(rules catalog.Rules) int { return max(rules.ConnectionsPerRelay, 1) }
+// maxConnections returns the maximum number of connections to one target.
+func maxConnections(rules catalog.Rules) int { return max(rules.ConnectionsPerRelay, 1) }
 
-// usable reports whether the target may be given new work at all.
-func (t *target) usable() bool { return !t.gone && t.health.usable() }
+// usable reports whether the target may get new work.
+func (t *target) usable() bool { return !t.removed && t.health.usable() }
 
-// share gives the target a limit for another number of relays; the attempts
-// in flight count under it. A host that is no relay of the service, and is
-// asked only by hosts with another view, does with one connection.
-func (t *target) share(now time.Time, rules catalog.Rules, relays int, own bool) {
-	most := 1
-	if own {
-		most = ceiling(rules, t.conf)
+// resizeLimit gives the target a new limiter for the number of relays and
+// counts the attempts in flight in it. A host that is not a relay of the
+// service gets requests only from hosts with another view of the membership,
+// so one attempt at a time is enough.
+func (t *target) resizeLimit(now time.Time, rules catalog.Rules, relays int, assigned bool) {
+	limit := 1
+	if assigned {
+		limit = maxInFlight(rules, t.conf)
 	}
-	l := policy.NewLimiter(t.conf.Slots, relays, most)
-	for range t.rep.Limiter.InFlight() {
+	l := policy.NewLimiter(t.conf.Slots, relays, limit)
+	for range t.replica.Limiter.InFlight() {
 		l.Take(now)
 	}
-	t.rep.Limiter = l
+	t.replica.Limiter = l
 }
 
-// free reports whether an attempt may be given to the target now.
-func (t *target) free(now time.Time) bool { return t.rep.Limiter.Free(now) && !t.crowded() }
+// hasCapacity reports whether an attempt may be assigned to the target now.
+func (t *target) hasCapacity(now time.Time) bool {
+	return t.replica.Limiter.Free(now) && !t.blockedByPoll()
+}
 
-// crowded reports whether a status poll has the connection that a further
-// attempt would need. Waiting for it in the HTTP client, the attempt could
-// not be given to another target.
-func (t *target) crowded() bool {
-	return t.polling && t.exclusive && t.rep.Limiter.InFlight() >= t.connections-1
+// blockedByPoll reports whether a status poll uses the connection that a
+// further attempt would need. The attempt would wait for it in the HTTP
+// client, where it can no longer be assigned to another target.
+func (t *target) blockedByPoll() bool {
+	return t.polling && t.exclusive && t.replica.Limiter.InFlight() >= t.maxConnections-1
 }
 
-// closeIdle closes the connections that carry nothing.
+// closeIdle closes the idle connections.
 func (t *target) closeIdle() {
 	if tr, ok := t.transport.(*http.Transport); ok {
 		tr.CloseIdleConnections()
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -9,175 +9,178 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// TargetSign tells another relay of a service that a target of it leaves, or
-// that the platform's list took that back.
+// TargetSign informs another relay of a service that a target is leaving, or
+// that the host list no longer lists it as leaving.
 type TargetSign struct {
 	Service     string
 	Target      string
-	Incarnation uint64 // greatest that the teller has seen of the target, 0 if none
+	Incarnation uint64 // greatest that the sender observed of the target, 0 if none
 	Sign        Sign
 }
 
-// Teller carries signs to another host. An error means that they may not have
-// come there; told twice they do no harm.
-type Teller interface {
-	Tell(ctx context.Context, to member.Host, signs []TargetSign) error
+// SignSender sends signs to another host. After an error the signs may or may
+// not have arrived; a duplicate has no effect.
+type SignSender interface {
+	SendSigns(ctx context.Context, to member.Host, signs []TargetSign) error
 }
 
-// A sign that was not told within tellSpan is given up: by then the relay is
-// either gone or has its own.
+// Limits of the delivery of signs to another relay.
 const (
-	tellSpan    = 3 * time.Second
-	tellTimeout = 500 * time.Millisecond // of one call
-	tellPause   = 300 * time.Millisecond // after a failed call
+	signMaxAge      = 3 * time.Second        // then a sign is dropped: the relay is gone or has detected the target by itself
+	signCallTimeout = 500 * time.Millisecond // of one call
+	signRetryDelay  = 300 * time.Millisecond // after a failed call
 )
 
-// dueSign is a sign on its way to a host.
-type dueSign struct {
-	sign  TargetSign
-	until time.Time
+// pendingSign is a sign that is not delivered yet.
+type pendingSign struct {
+	sign      TargetSign
+	expiresAt time.Time
 }
 
-// recipient is one host at one address.
+// recipient is a host at one peer address.
 type recipient struct{ id, peer string }
 
-// courier tells other hosts of signs. A host has one call in flight, which
-// carries all that is due to it, so that a frozen host delays no other and
-// many targets that leave at once do not mean many calls.
-type courier struct {
+// announcer delivers signs to other hosts. Each host has at most one call in
+// flight, which carries all signs pending for it. A frozen host therefore
+// delays no other, and many targets that leave at once need few calls.
+type announcer struct {
 	relay *Relay
 
-	mu   sync.Mutex
-	ctx  context.Context         // nil: not started, or stopped
-	dues map[recipient][]dueSign // of the hosts that are being told
+	mu      sync.Mutex
+	ctx     context.Context             // nil before start and after stop
+	pending map[recipient][]pendingSign // an entry exists while deliver runs for the host
 }
 
-func (c *courier) start(ctx context.Context) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ctx, c.dues = ctx, map[recipient][]dueSign{}
+func (a *announcer) start(ctx context.Context) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ctx, a.pending = ctx, map[recipient][]pendingSign{}
 }
 
-func (c *courier) stop() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ctx = nil
+func (a *announcer) stop() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ctx = nil
 }
 
-// tell sends the sign to the hosts but this one. It never blocks.
-func (c *courier) tell(now time.Time, hosts []member.Host, s TargetSign) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.relay.Teller == nil || c.ctx == nil {
+// announce queues the sign for each of the hosts except this one. It does not
+// block.
+func (a *announcer) announce(now time.Time, hosts []member.Host, s TargetSign) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.relay.Teller == nil || a.ctx == nil {
 		return
 	}
-	self := c.relay.members.Self().ID
+	self := a.relay.members.Self().ID
 	for _, h := range hosts {
 		if h.ID == self {
 			continue
 		}
 		key := recipient{h.ID, h.Peer}
-		due, busy := c.dues[key]
-		c.dues[key] = append(due, dueSign{s, now.Add(tellSpan)})
+		pending, busy := a.pending[key]
+		a.pending[key] = append(pending, pendingSign{s, now.Add(signMaxAge)})
 		if !busy {
-			ctx := c.ctx
-			c.relay.work.Go(func() { c.serve(ctx, h) })
+			ctx := a.ctx
+			a.relay.work.Go(func() { a.deliver(ctx, h) })
 		}
 	}
 }
 
-// serve tells the host until nothing is due to it any more.
-func (c *courier) serve(ctx context.Context, to member.Host) {
+// deliver sends the pending signs of the host until none is left.
+func (a *announcer) deliver(ctx context.Context, to member.Host) {
 	key := recipient{to.ID, to.Peer}
 	var cause error
 	for {
-		due := c.due(key, cause)
-		if len(due) == 0 {
+		batch := a.nextBatch(key, cause)
+		if len(batch) == 0 {
 			return
 		}
-		if cause = c.call(ctx, to, due); cause == nil {
-			c.done(key, len(due))
+		if cause = a.send(ctx, to, batch); cause == nil {
+			a.markDelivered(key, len(batch))
 			continue
 		}
-		await.Sleep(ctx, tellPause)
+		await.Sleep(ctx, signRetryDelay)
 	}
 }
 
-// due returns what the host is to be told, in order. It drops what is too
-// late; if nothing is left, the host counts as not being told any more.
-func (c *courier) due(key recipient, cause error) []TargetSign {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// nextBatch returns the pending signs of the host, oldest first, and drops the
+// expired ones. If none is left it removes the entry of the host.
+func (a *announcer) nextBatch(key recipient, cause error) []TargetSign {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	now := time.Now()
-	due, lost := c.dues[key], 0
-	for lost < len(due) && (c.ctx == nil || !now.Before(due[lost].until)) {
-		lost++
+	pending, expired := a.pending[key], 0
+	for expired < len(pending) && (a.ctx == nil || !now.Before(pending[expired].expiresAt)) {
+		expired++
 	}
-	if lost > 0 && c.ctx != nil {
-		c.relay.noteUntold(key.id, lost, cause)
+	if expired > 0 && a.ctx != nil {
+		a.relay.recordUndelivered(key.id, expired, cause)
 	}
-	c.dues[key] = due[lost:]
-	if lost == len(due) {
-		delete(c.dues, key)
+	a.pending[key] = pending[expired:]
+	if expired == len(pending) {
+		delete(a.pending, key)
 	}
 	var out []TargetSign
-	for _, d := range due[lost:] {
+	for _, d := range pending[expired:] {
 		out = append(out, d.sign)
 	}
 	return out
 }
 
-// done takes off the first n signs due to the host; they came there.
-func (c *courier) done(key recipient, n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.dues[key] = c.dues[key][n:]
-	c.relay.metrics.signs.WithLabelValues("told").Add(float64(n))
+// markDelivered removes the first n pending signs of the host.
+func (a *announcer) markDelivered(key recipient, n int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pending[key] = a.pending[key][n:]
+	a.relay.metrics.signs.WithLabelValues("told").Add(float64(n))
 }
 
-func (c *courier) call(ctx context.Context, to member.Host, signs []TargetSign) error {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (a *announcer) send(ctx context.Context, to member.Host, signs []TargetSign) error {
+	ctx, cancel := context.WithTimeout(ctx, signCallTimeout)
 	defer cancel()
-	return c.relay.Teller.Tell(ctx, to, signs)
+	return a.relay.Teller.SendSigns(ctx, to, signs)
 }
 
-func (r *Relay) noteUntold(host string, signs int, cause error) {
+func (r *Relay) recordUndelivered(host string, signs int, cause error) {
 	r.metrics.signs.WithLabelValues("untold").Add(float64(signs))
-	text := "the calls before took too long"
+	text := "earlier calls to the host took too long"
 	if cause != nil {
 		text = cause.Error()
 	}
-	r.log.Event(evSignsUntold).Str("to", host).Int("signs", signs).Str("cause", text).Msg("")
+	r.log.Event(evSignsUndelivered).Str("to", host).Int("signs", signs).Str("cause", text).Msg("")
 }
 
-// tell tells the other relays of the service of the target's sign. The pool's
-// lock is held.
-func (p *pool) tell(now time.Time, t *target, s Sign) {
-	t.health.told = s
-	p.relay.courier.tell(now, p.hosts, t.sign(s))
+// announce sends a sign of the target to the other relays of the service. The
+// caller holds the lock of the pool.
+func (p *pool) announce(now time.Time, t *target, s Sign) {
+	t.health.announced = s
+	p.relay.announcer.announce(now, p.relayHosts, t.sign(s))
 }
 
 func (t *target) sign(s Sign) TargetSign {
 	return TargetSign{Service: t.service, Target: t.conf.ID, Incarnation: t.health.incarnation, Sign: s}
 }
 
-// tellNew tells the hosts that are relays only now, or have started again
-// since, of the signs that stand. The pool's lock is held.
-func (p *pool) tellNew(now time.Time, before []member.Host) {
-	var fresh []member.Host
-	for _, h := range p.hosts {
-		if !containsStart(before, h) {
-			fresh = append(fresh, h)
+// announceToNewRelays sends the signs that are in force to the hosts that are
+// not in previousHosts or have restarted since. The caller holds the lock of
+// the pool.
+func (p *pool) announceToNewRelays(now time.Time, previousHosts []member.Host) {
+	var newRelays []member.Host
+	for _, h := range p.relayHosts {
+		if !containsIncarnation(previousHosts, h) {
+			newRelays = append(newRelays, h)
 		}
 	}
 	for _, t := range p.targets {
-		if p.own && t.health.leaving != signNone {
-			p.relay.courier.tell(now, fresh, t.sign(t.health.leaving))
+		if p.assigned && t.health.leaving != signNone {
+			p.relay.announcer.announce(now, newRelays, t.sign(t.health.leaving))
 		}
 	}
 }
 
-func containsStart(hosts []member.Host, h member.Host) bool {
+// containsIncarnation reports whether hosts contains the host with the same
+// incarnation.
+func containsIncarnation(hosts []member.Host, h member.Host) bool {
 	for _, x := range hosts {
 		if x.ID == h.ID && x.Incarnation == h.Incarnation {
 			return true
@@ -186,20 +189,20 @@
 	return false
 }
 
-// Told takes signs that another host saw, as if they were this host's own, but
-// tells nobody of them. Signs of unknown services, targets or kinds are
-// dropped.
-func (r *Relay) Told(signs []TargetSign) {
+// ReceiveSigns applies signs that another host observed, as if this host had
+// observed them, but does not announce them further. Signs of unknown
+// services, targets or kinds are dropped.
+func (r *Relay) ReceiveSigns(signs []TargetSign) {
 	for _, s := range signs {
 		result := "unknown"
-		if p := r.pool(s.Service); p != nil && s.Sign.known() {
-			result = p.told(s)
+		if p := r.pool(s.Service); p != nil && s.Sign.valid() {
+			result = p.receiveSign(s)
 		}
 		r.metrics.signs.WithLabelValues(result).Inc()
 	}
 }
 
-func (p *pool) told(s TargetSign) string {
+func (p *pool) receiveSign(s TargetSign) string {
 	now := time.Now()
 	p.mu.Lock()
 	t, ok := p.byID[s.Target]
@@ -207,16 +210,16 @@
 		p.mu.Unlock()
 		return "unknown"
 	}
-	before := t.health.incarnation
-	verdict := t.health.hear(now, s.Sign, s.Incarnation, p.relay.cfg.HostListLag.Std())
-	if before != 0 && t.health.incarnation > before {
-		p.started(now, t)
+	previousIncarnation := t.health.incarnation
+	result := t.health.applyRemoteSign(now, s.Sign, s.Incarnation, p.relay.cfg.HostListLag.Std())
+	if previousIncarnation != 0 && t.health.incarnation > previousIncarnation {
+		p.resetRestarted(now, t)
 	}
-	if verdict == heardFirst {
-		p.left(t)
+	if result == resultApplied {
+		p.recordLeaving(t)
 	}
-	refused := p.drain(now)
+	refused := p.dispatch(now)
 	p.mu.Unlock()
-	refused.tell()
-	return string(verdict)
+	refused.notify()
+	return string(result)
 }
--- a/internal/relay/tell_test.go
+++ b/internal/relay/tell_test.go
@@ -18,16 +18,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// wires carries signs between the relays of a test; the first call to each
-// host is lost.
-type wires struct {
+// lossySignSender delivers signs between the relays of a test; the first call
+// to each host is lost.
+type lossySignSender struct {
 	relays map[string]*fixture
 	mu     sync.Mutex
 	calls  map[string]int
 	signs  int
 }
 
-func (w *wires) Tell(_ context.Context, to member.Host, signs []TargetSign) error {
+func (w *lossySignSender) SendSigns(_ context.Context, to member.Host, signs []TargetSign) error {
 	w.mu.Lock()
 	w.calls[to.ID]++
 	first := w.calls[to.ID] == 1
@@ -38,25 +38,26 @@
 	if first {
 		return Error.New("lost")
 	}
-	w.relays[to.ID].relay.Told(signs)
+	w.relays[to.ID].relay.ReceiveSigns(signs)
 	return nil
 }
 
-// count returns the signs that came through, and the hosts called.
-func (w *wires) count() (signs, hosts int) {
+// count returns the number of delivered signs and of hosts called.
+func (w *lossySignSender) count() (signs, hosts int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.signs, len(w.calls)
 }
 
-// Of 24 hosts 12 read the list and 8, not all the same, relay the service. The
-// target's status always claims ready, and it serves what it gets. The sign
-// shows to few and must reach all relays, and those that become relays later.
+// Of 24 hosts, 12 read the host list and 8, partly others, relay the service.
+// The status of the target always reports ready and it serves all requests. A
+// sign that few hosts observe must reach all relays, including hosts that
+// become relays later.
 func TestSignReachesEveryRelay(t *testing.T) {
 	const hosts, relays, readers = 24, 8, 12
 	for name, x := range map[string]struct {
-		show func(f *fixture, lists []*hostList)
-		most int // signs told
+		show     func(f *fixture, lists []*hostList)
+		maxSigns int // delivered
 	}{
 		"host list": {func(_ *fixture, lists []*hostList) {
 			for _, l := range lists {
@@ -80,12 +81,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFixture(1, 3, rules(func(r *catalog.Rules) { r.Relays = relays }))
-				all, lists := f.relaysOf(hosts), make([]*hostList, hosts)
-				w := &wires{relays: map[string]*fixture{}, calls: map[string]int{}}
+				all, lists := f.withRelays(hosts), make([]*hostList, hosts)
+				w := &lossySignSender{relays: map[string]*fixture{}, calls: map[string]int{}}
 				var gone string
 				onlyRelays := 0
 				for i, g := range all {
-					g.members.set(window(0, hosts)...)
+					g.members.set(hostIDs(0, hosts)...)
 					lists[i] = &hostList{}
 					g.relay.hosts, g.relay.Teller = lists[i], w
 					w.relays[g.members.self] = g
@@ -99,24 +100,24 @@
 					var work sync.WaitGroup
 					for _, g := range all {
 						if g.relay.Assigned("s") {
-							work.Go(func() { g.load(t, span, 20*time.Millisecond) })
+							work.Go(func() { g.searchFor(t, span, 20*time.Millisecond) })
 						}
 					}
 					work.Wait()
 				}
 				run(3 * time.Second)
-				is.True(f.targets[0].count() > 0)
+				is.True(f.targets[0].requestCount() > 0)
 
 				shown := time.Now()
 				x.show(f, lists)
-				run(2 * leaveWithin)
-				is.Equal(f.targets[0].since(shown.Add(leaveWithin)), 0)
+				run(2 * maxLeaveDelay)
+				is.Equal(f.targets[0].requestsSince(shown.Add(maxLeaveDelay)), 0)
 				signs, told := w.count()
-				is.True(signs > 0 && signs <= x.most)
+				is.True(signs > 0 && signs <= x.maxSigns)
 				is.True(told <= relays)
 
 				others := make([]string, 0, hosts)
-				for _, id := range window(0, hosts) {
+				for _, id := range hostIDs(0, hosts) {
 					if id != gone {
 						others = append(others, id)
 					}
@@ -125,13 +126,13 @@
 				for _, g := range all {
 					g.members.set(others...)
 				}
-				run(2 * leaveWithin)
-				is.Equal(f.targets[0].since(changed.Add(leaveWithin/3)), 0)
+				run(2 * maxLeaveDelay)
+				is.Equal(f.targets[0].requestsSince(changed.Add(maxLeaveDelay/3)), 0)
 
 				f.targets[0].set(func(x *fakeTarget) { x.status.Incarnation++ })
 				back := time.Now()
-				run(2 * leaveWithin)
-				is.True(f.targets[0].since(back) > 0) // the next incarnation works
+				run(2 * maxLeaveDelay)
+				is.True(f.targets[0].requestsSince(back) > 0) // the new incarnation gets work
 				for _, g := range all[1:] {
 					is.NoErr(g.relay.Stop(t.Context()))
 				}
@@ -145,7 +146,7 @@
 	is := is.New(t)
 	f := newFixture(1, 1)
 	defer f.close()
-	f.relay.Told([]TargetSign{
+	f.relay.ReceiveSigns([]TargetSign{
 		{Service: "x", Target: "t0", Sign: signStatus}, {Service: "s", Target: "x", Sign: signStatus},
 		{Service: "s", Target: "t0", Sign: "x"},
 	})
--- a/internal/relay/try.go
+++ b/internal/relay/try.go
@@ -9,56 +9,57 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// owner is told the fate of its tries: of each either send and then ended, or
-// refused. All calls come without a lock held.
-type owner interface {
-	// send runs the try on the target that it was given, to its end.
-	send(t *try) answer
-	// ended takes the end of a try that was sent.
-	ended(t *try, a answer)
-	// refused tells that the try was given up before it was sent.
+// tryOwner runs tries and receives their results: each try is either sent and
+// then ended, or refused. No lock is held during the calls.
+type tryOwner interface {
+	// send runs the try on its assigned target until it ends.
+	send(t *try) attemptResult
+	// ended receives the result of a try that was sent.
+	ended(t *try, a attemptResult)
+	// refused reports that the try was given up before it was sent.
 	refused(t *try, reason query.Reason, retryAfter time.Duration)
 }
 
-// try is one attempt on its way to a target: it waits in the queue of its
-// service until one of its holders has a place.
+// try is one attempt on its way to a target: it is queued at its service until
+// one of its candidates has a free slot.
 type try struct {
-	owner   owner
-	task    *task // of the owner, if it has any
-	kind    policy.Try
-	set     *replicaSet // nil: counts for no budget of extra attempts
-	holders []*target
-	peers   []*policy.Replica // compared with, if there is no set
-	spent   uint64            // bit i: holders[i] is not to be asked
-	avoid   string            // failure domain better not used, of the try that this one hedges
-	waiter  policy.Waiter[*try]
+	owner       tryOwner
+	task        *task // of the owner; nil for reservations
+	kind        policy.Try
+	set         *replicaSet       // nil if the try is charged to no retry or hedge budget
+	candidates  []*target         // targets that hold the shard
+	peers       []*policy.Replica // used in place of the replicas of set if that is nil
+	excluded    uint64            // bit i: candidates[i] must not be used
+	avoidDomain string            // for a hedge: failure domain of the try that it hedges
+	waiter      policy.Waiter[*try]
 
-	// Set when granted.
+	// Set when a target is assigned.
 	target  *target
 	started time.Time
 
-	// Used by the owner.
+	// Guarded by the lock of the owner.
 	cancel    context.CancelFunc
 	abandoned bool
 }
 
-// maxHolders bounds the replicas of one shard; more are not looked at.
-const maxHolders = 64
+// maxReplicas is the maximum number of replicas of a shard, the bits of
+// try.excluded. Further ones are ignored.
+const maxReplicas = 64
 
-// holds reports whether holder i may still be asked.
-func (t *try) holds(i int) bool { return t.spent&(1<<i) == 0 && t.holders[i].usable() }
+// eligible reports whether candidate i may be used.
+func (t *try) eligible(i int) bool { return t.excluded&(1<<i) == 0 && t.candidates[i].usable() }
 
-// replicas returns the policies' side of the holders.
-func (t *try) replicas() []*policy.Replica {
+// policyReplicas returns the policy state of the candidates.
+func (t *try) policyReplicas() []*policy.Replica {
 	if t.set != nil {
 		return t.set.replicas
 	}
-	return []*policy.Replica{t.holders[0].rep}
+	return []*policy.Replica{t.candidates[0].replica}
 }
 
-// signal translates the end of a try for the policies. A refusal that belongs
-// to an orderly target speaks neither for nor against it.
-func (t *try) signal(a answer) policy.Signal {
+// signal converts the result of a try to a policy signal. Rejections that are
+// part of normal operation count neither for nor against the target.
+func (t *try) signal(a attemptResult) policy.Signal {
 	if a.outcome == outcome.Done {
 		return policy.Served
 	}
--- a/internal/relayrpc/bench_test.go
+++ b/internal/relayrpc/bench_test.go
@@ -27,8 +27,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRelayedResult measures the processor time of both hosts together
-// for one result that one sends the other, at several widths of a batch.
+// BenchmarkRelayedResult measures the CPU time of both hosts together per
+// result sent from one to the other, for several batch widths.
 func BenchmarkRelayedResult(b *testing.B) {
 	rows := make([]query.Row, benchRows)
 	for i := range rows {
--- a/internal/relayrpc/convert.go
+++ b/internal/relayrpc/convert.go
@@ -68,7 +68,8 @@
 	return out
 }
 
-// parseOutcome reads an outcome; a value of a later version is Unknown.
+// parseOutcome converts an outcome from the wire. Values of a newer version
+// become Unknown.
 func parseOutcome(v uint32) outcome.Outcome {
 	if v > uint32(outcome.Done) {
 		return outcome.Unknown
