--- a/internal/relayrpc/relayrpc_test.go
+++ b/internal/relayrpc/relayrpc_test.go
@@ -30,7 +30,7 @@
 	os.Exit(code)
 }
 
-// stub is the relay and reserver behind a server.
+// stub is a relay and reserver made of functions.
 type stub struct {
 	search  func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error
 	reserve func(ctx context.Context, r query.Reserve) query.Reservation
@@ -62,20 +62,20 @@
 		Limit: 3, Budget: 10 * time.Second, Parts: []query.Part{{Service: "s", Shards: []uint32{0, 1, 2}}}}
 }
 
-// rig is a server of impl and a client of it over loopback.
-type rig struct {
+// testPair is a client and its server, connected over loopback.
+type testPair struct {
 	client *Client
-	cut    func() // loses the server: listener and connections close at once
+	cut    func() // closes the listener and all connections of the server
 }
 
-// cuttable is a listener that can close what it accepted.
-type cuttable struct {
+// cuttableListener can close the connections that it accepted.
+type cuttableListener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func (l *cuttable) Accept() (net.Conn, error) {
+func (l *cuttableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	return c, err
 }
 
-func (l *cuttable) cut() {
+func (l *cuttableListener) cut() {
 	_ = l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,16 +94,17 @@
 	}
 }
 
-func newRig(t *testing.T, impl peerpb.DRPCRelayServer) *rig {
+// newTestPair serves impl over loopback and returns a client of it.
+func newTestPair(t *testing.T, impl peerpb.DRPCRelayServer) *testPair {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	ln, mux, pool := &cuttable{Listener: inner}, drpcmux.New(), peer.NewPool()
+	ln, mux, pool := &cuttableListener{Listener: inner}, drpcmux.New(), peer.NewPool()
 	is.NoErr(peerpb.DRPCRegisterRelay(mux, impl))
 	var serving sync.WaitGroup
 	serving.Go(func() { _ = drpcserver.New(mux).Serve(context.Background(), ln) })
 	t.Cleanup(func() { _ = pool.Stop(context.Background()); ln.cut(); serving.Wait() })
-	return &rig{client: NewClient(pool, inner.Addr().String(), "h0"), cut: ln.cut}
+	return &testPair{client: NewClient(pool, inner.Addr().String(), "h0"), cut: ln.cut}
 }
 
 func collect(c *Client, ctx context.Context, b query.Batch) ([]query.ShardResult, error) {
@@ -112,15 +113,15 @@
 	return out, err
 }
 
-func TestSearchTravelsWhole(t *testing.T) {
+func TestSearchRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var seen query.Batch
-	r := newRig(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	pair := newTestPair(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 		seen = b
 		return answerAll(ctx, b, emit)
 	}}, nil))
 	want := batch()
-	got, err := collect(r.client, t.Context(), want)
+	got, err := collect(pair.client, t.Context(), want)
 	is.NoErr(err)
 	is.Equal(len(got), 3)
 	is.Equal(got[1], result(want, 1))
@@ -129,14 +130,14 @@
 	is.Equal(seen, want)
 }
 
-// foreign answers with the results that a test gives it.
-type foreign struct {
+// scriptedServer responds with the results and the reply that a test sets.
+type scriptedServer struct {
 	peerpb.DRPCRelayUnimplementedServer
 	results []*peerpb.ShardResult
 	reply   *peerpb.ReserveReply
 }
 
-func (f *foreign) Search(_ *peerpb.Batch, s peerpb.DRPCRelay_SearchStream) error {
+func (f *scriptedServer) Search(_ *peerpb.Batch, s peerpb.DRPCRelay_SearchStream) error {
 	for _, r := range f.results {
 		if err := s.Send(r); err != nil {
 			return err
@@ -145,7 +146,7 @@
 	return nil
 }
 
-func (f *foreign) Reserve(context.Context, *peerpb.ReserveRequest) (*peerpb.ReserveReply, error) {
+func (f *scriptedServer) Reserve(context.Context, *peerpb.ReserveRequest) (*peerpb.ReserveReply, error) {
 	return f.reply, nil
 }
 
@@ -163,11 +164,11 @@
 		"other snapshot": change(func(r *peerpb.ShardResult) { r.Snapshot = 8 }),
 		"other service":  change(func(r *peerpb.ShardResult) { r.Service = "x" }),
 		"shard twice":    good(0),
-		"not asked":      good(9),
+		"not requested":  good(9),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, &foreign{results: []*peerpb.ShardResult{good(0), second, good(2)}})
+			r := newTestPair(t, &scriptedServer{results: []*peerpb.ShardResult{good(0), second, good(2)}})
 			got, err := collect(r.client, t.Context(), batch())
 			is.True(err != nil)
 			is.Equal(len(got), 1)
@@ -175,7 +176,7 @@
 	}
 	t.Run("early end", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, &foreign{results: []*peerpb.ShardResult{good(0), good(2)}})
+		r := newTestPair(t, &scriptedServer{results: []*peerpb.ShardResult{good(0), good(2)}})
 		got, err := collect(r.client, t.Context(), batch())
 		is.True(err != nil)
 		is.Equal(len(got), 2)
@@ -185,7 +186,7 @@
 func TestSearchRelayLostInMidAnswer(t *testing.T) {
 	is := is.New(t)
 	lost := make(chan struct{})
-	r := newRig(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	r := newTestPair(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 		emit(result(b, 2))
 		<-ctx.Done()
 		close(lost)
@@ -205,7 +206,7 @@
 func TestSearchCancelReachesTheRelay(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
-	r := newRig(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	r := newTestPair(t, NewServer(&stub{search: func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 		emit(result(b, 0))
 		<-ctx.Done()
 		close(ended)
@@ -218,41 +219,41 @@
 }
 
 func TestReserveOutcomes(t *testing.T) {
-	ask := query.Reserve{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: 10 * time.Second}
+	request := query.Reserve{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: 10 * time.Second}
 	done := query.Reservation{RequestID: "r1", ReservationID: "v1", Outcome: outcome.Done, Granted: true, Answer: "kept", Target: "t1"}
 
 	t.Run("answered", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, NewServer(nil, &stub{reserve: func(context.Context, query.Reserve) query.Reservation { return done }}))
-		is.Equal(r.client.Reserve(t.Context(), ask), done)
+		r := newTestPair(t, NewServer(nil, &stub{reserve: func(context.Context, query.Reserve) query.Reservation { return done }}))
+		is.Equal(r.client.Reserve(t.Context(), request), done)
 	})
 	t.Run("nobody listens", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, &foreign{})
+		r := newTestPair(t, &scriptedServer{})
 		r.cut()
-		is.Equal(r.client.Reserve(t.Context(), ask).Outcome, outcome.NotSent)
+		is.Equal(r.client.Reserve(t.Context(), request).Outcome, outcome.NotSent)
 	})
 	t.Run("budget over", func(t *testing.T) {
 		is := is.New(t)
-		late := ask
+		late := request
 		late.Budget = 0
-		r := newRig(t, &foreign{})
+		r := newTestPair(t, &scriptedServer{})
 		is.Equal(r.client.Reserve(t.Context(), late).Outcome, outcome.NotSent)
 	})
 	t.Run("call lost", func(t *testing.T) {
 		is := is.New(t)
-		var r *rig
-		r = newRig(t, NewServer(nil, &stub{reserve: func(ctx context.Context, _ query.Reserve) query.Reservation {
+		var r *testPair
+		r = newTestPair(t, NewServer(nil, &stub{reserve: func(ctx context.Context, _ query.Reserve) query.Reservation {
 			go r.cut()
 			<-ctx.Done()
 			return done
 		}}))
-		is.Equal(r.client.Reserve(t.Context(), ask).Outcome, outcome.Unknown)
+		is.Equal(r.client.Reserve(t.Context(), request).Outcome, outcome.Unknown)
 	})
 	t.Run("foreign reply", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, &foreign{reply: &peerpb.ReserveReply{RequestId: "r1", ReservationId: "v2", Outcome: 4}})
-		is.Equal(r.client.Reserve(t.Context(), ask).Outcome, outcome.Unknown)
+		r := newTestPair(t, &scriptedServer{reply: &peerpb.ReserveReply{RequestId: "r1", ReservationId: "v2", Outcome: 4}})
+		is.Equal(r.client.Reserve(t.Context(), request).Outcome, outcome.Unknown)
 	})
 }
 
@@ -264,7 +265,7 @@
 		<-finish
 		return answerAll(ctx, b, emit)
 	}}, &stub{})
-	r := newRig(t, s)
+	r := newTestPair(t, s)
 	type end struct {
 		got []query.ShardResult
 		err error
--- a/internal/relayrpc/sender.go
+++ b/internal/relayrpc/sender.go
@@ -10,34 +10,34 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// flusher is the part of a drpc stream that lets several messages leave in
-// one write.
+// flusher is the part of a drpc stream that sends several messages in one
+// write.
 type flusher interface {
 	SetManualFlush(bool)
 	RawFlush() error
 }
 
-// sender writes the results of a batch to its stream, on a goroutine of its
-// own, so that a slow reader does not hold up the relay. Results that are
-// ready together leave in one write.
-type sender struct {
+// resultSender writes the results of a batch to its stream on its own
+// goroutine, so that a slow reader does not block the relay. Results that are
+// pending together are sent in one write.
+type resultSender struct {
 	requestID string
 	stream    peerpb.DRPCRelay_SearchStream
 	flush     func() error
-	failed    context.CancelFunc // called when the stream is lost
+	onFailure context.CancelFunc // called when the stream fails
 
-	mu     sync.Mutex
-	ready  []query.ShardResult
-	closed bool
-	bell   chan struct{}
-	done   chan struct{}
-	err    error // once done is closed
+	mu      sync.Mutex
+	pending []query.ShardResult
+	closed  bool
+	wakeup  chan struct{} // signals that pending or closed changed
+	done    chan struct{} // closed when run has returned
+	err     error         // valid once done is closed
 }
 
-func newSender(requestID string, stream peerpb.DRPCRelay_SearchStream) *sender {
-	s := &sender{
-		requestID: requestID, stream: stream, flush: func() error { return nil }, failed: func() {},
-		bell: make(chan struct{}, 1), done: make(chan struct{}),
+func newResultSender(requestID string, stream peerpb.DRPCRelay_SearchStream) *resultSender {
+	s := &resultSender{
+		requestID: requestID, stream: stream, flush: func() error { return nil }, onFailure: func() {},
+		wakeup: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	if x, ok := stream.(interface{ GetStream() drpc.Stream }); ok {
 		if f, ok := x.GetStream().(flusher); ok {
@@ -49,42 +49,44 @@
 	return s
 }
 
-// emit hands over a result; it never blocks.
-func (s *sender) emit(r query.ShardResult) {
+// emit queues a result. It does not block.
+func (s *resultSender) emit(r query.ShardResult) {
 	s.mu.Lock()
-	s.ready = append(s.ready, r)
+	s.pending = append(s.pending, r)
 	s.mu.Unlock()
-	s.ring()
+	s.wake()
 }
 
-func (s *sender) ring() {
+func (s *resultSender) wake() {
 	select {
-	case s.bell <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// close writes what is left and returns the stream's error, if any.
-func (s *sender) close() error {
+// close writes the pending results and returns the error of the stream, if
+// any.
+func (s *resultSender) close() error {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.ring()
+	s.wake()
 	<-s.done
 	return s.err
 }
 
-// run writes until close is called and all is written, or the stream fails.
-func (s *sender) run() {
+// run writes results until close is called and all are written, or the stream
+// fails.
+func (s *resultSender) run() {
 	defer close(s.done)
-	for range s.bell {
+	for range s.wakeup {
 		s.mu.Lock()
-		ready, closed := s.ready, s.closed
-		s.ready = nil
+		results, closed := s.pending, s.closed
+		s.pending = nil
 		s.mu.Unlock()
-		if err := s.write(ready); err != nil {
+		if err := s.write(results); err != nil {
 			s.err = Error.New("send results: %w", err)
-			s.failed()
+			s.onFailure()
 			return
 		}
 		if closed {
@@ -93,7 +95,7 @@
 	}
 }
 
-func (s *sender) write(ready []query.ShardResult) error {
+func (s *resultSender) write(ready []query.ShardResult) error {
 	if len(ready) == 0 {
 		return nil
 	}
--- a/internal/relayrpc/server.go
+++ b/internal/relayrpc/server.go
@@ -1,6 +1,11 @@
-// Package relayrpc carries relayed searches and reservations between hosts
-// over drpc: a server in front of the host's own relay, and a client that
-// looks like one. Time travels as a remaining budget.
+// Package relayrpc carries searches, reservations and target signs between
+// hosts over drpc. Server runs requests of other hosts on the relay of this
+// host; Client implements the interfaces of a relay on top of another host.
+// Requests carry the remaining budget instead of a deadline. The package makes
+// no decisions on targets: see package relay.
+//
+// Begin with Client.Search and Server.Search; the conversions to the messages
+// are in convert.go.
 package relayrpc
 
 import (
@@ -18,11 +23,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/relay"
 )
 
-// drainRetryAfter is what a host that stops tells those whom it refuses; by
-// then they have turned to another.
+// drainRetryAfter is the retry delay in refusals of a draining host. It leaves
+// the requesting hosts time to switch to another relay.
 const drainRetryAfter = 100 * time.Millisecond
 
-// Server runs the work that other hosts relay through this one.
+// Server runs searches and reservations that other hosts send to this one.
 type Server struct {
 	searcher relay.Searcher
 	reserver claim.Reserver
@@ -30,15 +35,15 @@
 	mu       sync.Mutex
 	draining bool
 	running  int
-	idle     chan struct{} // closed when draining and nothing runs
+	idle     chan struct{} // closed when draining and nothing is running
 }
 
-// NewServer returns a server of the given relay and reserver.
+// NewServer returns a server for the given relay and reserver.
 func NewServer(s relay.Searcher, c claim.Reserver) *Server {
 	return &Server{searcher: s, reserver: c, idle: make(chan struct{})}
 }
 
-// Register adds the server to those of a peer listener.
+// Register registers the server with a peer listener.
 func (s *Server) Register(mux drpc.Mux) error {
 	if err := peerpb.DRPCRegisterRelay(mux, s); err != nil {
 		return Error.New("register relay: %w", err)
@@ -46,7 +51,8 @@
 	return nil
 }
 
-// Drain refuses all work that comes from now on, as not run. What runs goes on.
+// Drain makes the server refuse new work with the outcome NotSent. Running
+// work continues.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +65,7 @@
 	}
 }
 
-// Wait returns when, after Drain, nothing runs any more, or ctx is done.
+// Wait returns when, after Drain, no work is running, or when ctx is done.
 func (s *Server) Wait(ctx context.Context) error {
 	select {
 	case <-s.idle:
@@ -69,13 +75,15 @@
 	}
 }
 
-// Running returns the number of batches and reservations at work.
+// Running returns the number of running batches and reservations.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running
 }
 
+// begin registers a running request. It reports false if the server is
+// draining.
 func (s *Server) begin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +106,7 @@
 // Search implements the drpc service.
 func (s *Server) Search(in *peerpb.Batch, stream peerpb.DRPCRelay_SearchStream) error {
 	b := batchFromWire(in)
-	out := newSender(b.RequestID, stream)
+	out := newResultSender(b.RequestID, stream)
 	if !s.begin() {
 		refuseBatch(&b, out.emit)
 		return out.close()
@@ -106,7 +114,7 @@
 	defer s.end()
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	out.failed = cancel
+	out.onFailure = cancel
 	if err := s.searcher.Search(ctx, b, out.emit); err != nil {
 		_ = out.close()
 		return Error.New("search: %w", err)
--- a/internal/relayrpc/signs.go
+++ b/internal/relayrpc/signs.go
@@ -11,16 +11,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/relay"
 )
 
-var _ relay.Teller = Teller{}
+var _ relay.SignSender = SignSender{}
 
-// Teller carries signs of leaving targets to other hosts.
-type Teller struct{ dialer peer.Dialer }
+// SignSender sends signs of leaving targets to other hosts.
+type SignSender struct{ dialer peer.Dialer }
 
-// NewTeller returns a teller over the connections of the dialer.
-func NewTeller(d peer.Dialer) Teller { return Teller{d} }
+// NewTeller returns a SignSender over the connections of the dialer.
+func NewTeller(d peer.Dialer) SignSender { return SignSender{d} }
 
-// Tell implements relay.Teller.
-func (t Teller) Tell(ctx context.Context, to member.Host, signs []relay.TargetSign) error {
+// SendSigns implements relay.SignSender.
+func (t SignSender) SendSigns(ctx context.Context, to member.Host, signs []relay.TargetSign) error {
 	out := &peerpb.TargetSigns{Signs: make([]*peerpb.TargetSign, len(signs))}
 	for i, s := range signs {
 		out.Signs[i] = &peerpb.TargetSign{
@@ -28,23 +28,24 @@
 		}
 	}
 	if _, err := peerpb.NewDRPCSignsClient(t.dialer.Conn(ctx, to.Peer)).Tell(ctx, out); err != nil {
-		return Error.New("tell host %s of leaving targets: %w", to.ID, err)
+		return Error.New("send target signs to host %s: %w", to.ID, err)
 	}
 	return nil
 }
 
-// Listener takes the signs that other hosts saw; relay.Relay is one.
-type Listener interface{ Told([]relay.TargetSign) }
+// SignReceiver receives the signs that other hosts observed. relay.Relay
+// implements it.
+type SignReceiver interface{ ReceiveSigns([]relay.TargetSign) }
 
-// RegisterSigns adds the listener to the servers of a peer listener.
-func RegisterSigns(mux drpc.Mux, l Listener) error {
-	if err := peerpb.DRPCRegisterSigns(mux, signsServer{l}); err != nil {
+// RegisterSigns registers the receiver with a peer listener.
+func RegisterSigns(mux drpc.Mux, r SignReceiver) error {
+	if err := peerpb.DRPCRegisterSigns(mux, signsServer{r}); err != nil {
 		return Error.New("register signs: %w", err)
 	}
 	return nil
 }
 
-type signsServer struct{ listener Listener }
+type signsServer struct{ receiver SignReceiver }
 
 // Tell implements the drpc service.
 func (s signsServer) Tell(_ context.Context, in *peerpb.TargetSigns) (*peerpb.TargetSignsNoted, error) {
@@ -54,6 +55,6 @@
 			Service: x.GetService(), Target: x.GetTarget(), Incarnation: x.GetIncarnation(), Sign: relay.Sign(x.GetSign()),
 		}
 	}
-	s.listener.Told(signs)
+	s.receiver.ReceiveSigns(signs)
 	return &peerpb.TargetSignsNoted{}, nil
 }
--- a/internal/relayrpc/signs_test.go
+++ b/internal/relayrpc/signs_test.go
@@ -14,13 +14,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/relay"
 )
 
-type listener chan []relay.TargetSign
+type signChannel chan []relay.TargetSign
 
-func (l listener) Told(signs []relay.TargetSign) { l <- signs }
+func (l signChannel) ReceiveSigns(signs []relay.TargetSign) { l <- signs }
 
 func TestSignsTravelWhole(t *testing.T) {
 	is := is.New(t)
-	got, mux, pool := make(listener, 1), drpcmux.New(), peer.NewPool()
+	got, mux, pool := make(signChannel, 1), drpcmux.New(), peer.NewPool()
 	is.NoErr(RegisterSigns(mux, got))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -30,8 +30,8 @@
 	defer func() { _ = pool.Stop(ctx); cancel(); <-served }()
 	want := []relay.TargetSign{{Service: "s", Target: "t0", Incarnation: 7, Sign: "host_list"}, {Service: "s", Target: "t1"}}
 	to := member.Host{ID: "h1", Peer: ln.Addr().String()}
-	is.NoErr(NewTeller(pool).Tell(ctx, to, want))
+	is.NoErr(NewTeller(pool).SendSigns(ctx, to, want))
 	is.Equal(<-got, want)
 	_ = ln.Close()
-	is.True(NewTeller(pool).Tell(ctx, member.Host{Peer: "127.0.0.1:1"}, want) != nil)
+	is.True(NewTeller(pool).SendSigns(ctx, member.Host{Peer: "127.0.0.1:1"}, want) != nil)
 }
