--- a/internal/plan/assign.go
+++ b/internal/plan/assign.go
@@ -10,37 +10,38 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// loadBound is how many times the mean number of targets one host may relay.
-const loadBound = 1.25
+// maxLoadFactor bounds the targets that one host relays, as a multiple of the
+// mean over all hosts.
+const maxLoadFactor = 1.25
 
-// unbounded is the capacity of a host whose load does not matter.
-const unbounded = math.MaxInt
+// unlimitedLoad is the host capacity for an assignment without a load bound.
+const unlimitedLoad = math.MaxInt
 
-// ReplicaSet is one service as an assignment sees it.
-type ReplicaSet struct {
+// ServiceSpec states what one service needs of an assignment.
+type ServiceSpec struct {
 	Service string
-	Targets int // load that each of its relays takes
-	Relays  int // wanted; see RelayCount
+	Targets int // load that the service adds to each of its relays
+	Relays  int // desired number of relays; see RelayCount
 }
 
-// Assignment tells the relays of every service. It is computed once for a
-// generation of the membership and the catalog, and is then only read.
+// Assignment maps every service to its relays. It is computed once per
+// membership generation and catalog revision and is immutable afterwards.
 type Assignment struct {
-	hosts  []member.Host // usable, in the order of the membership
-	places map[string][]int
-	relays map[string][]member.Host
-	load   map[string]int
+	hosts        []member.Host            // usable hosts, in membership order
+	relayIndexes map[string][]int         // by service, indexes into hosts
+	relays       map[string][]member.Host // by service
+	load         map[string]int           // targets relayed, by host id
 }
 
 // Assign computes the relays of all services. No host relays more than 1.25
-// times the mean of targets, as far as the sizes of the sets allow. All hosts
-// that see the same sets and the same membership compute the same.
-func Assign(sets []ReplicaSet, hosts []member.Host) *Assignment {
+// times the mean number of targets, as far as the target counts of the services
+// allow. All hosts with the same input compute the same assignment.
+func Assign(specs []ServiceSpec, hosts []member.Host) *Assignment {
 	p := newPlacer(hosts)
-	return p.assign(inOrder(sets), capacity(sets, len(p.hosts)))
+	return p.assign(sortedByHash(specs), hostCapacity(specs, len(p.hosts)))
 }
 
-// Relays returns the relays of a service, the preferred first; none if the
+// Relays returns the relays of a service in order of preference; none if the
 // service is not part of the assignment.
 func (a *Assignment) Relays(service string) []member.Host { return a.relays[service] }
 
@@ -52,20 +53,24 @@
 	return slices.ContainsFunc(a.relays[service], func(h member.Host) bool { return h.ID == hostID })
 }
 
-// inOrder sorts the sets by hash, so that the place of a service among its
-// neighbours in name does not tell which host is full when its turn comes.
-func inOrder(sets []ReplicaSet) []ReplicaSet {
-	sorted := slices.Clone(sets)
-	slices.SortFunc(sorted, func(a, b ReplicaSet) int {
+// sortedByHash sorts the specs by the hash of the service name. Hosts fill up in
+// this order, so the order of the names has no influence on which services
+// find a host full.
+func sortedByHash(specs []ServiceSpec) []ServiceSpec {
+	sorted := slices.Clone(specs)
+	slices.SortFunc(sorted, func(a, b ServiceSpec) int {
 		byHash := cmp.Compare(xxhash.Sum64String(a.Service), xxhash.Sum64String(b.Service))
 		return cmp.Or(byHash, cmp.Compare(a.Service, b.Service))
 	})
 	return sorted
 }
 
-func capacity(sets []ReplicaSet, hosts int) int {
+// hostCapacity returns how many targets one host may relay: maxLoadFactor times
+// the mean, but at least the mean rounded up to whole services of the largest
+// target count.
+func hostCapacity(specs []ServiceSpec, hosts int) int {
 	total, largest := 0, 0
-	for _, s := range sets {
+	for _, s := range specs {
 		total += s.Targets * min(s.Relays, hosts)
 		largest = max(largest, s.Targets)
 	}
@@ -76,17 +81,17 @@
 	if largest == 0 {
 		return 0
 	}
-	whole := largest * int(math.Ceil(mean/float64(largest)))
-	return max(int(math.Ceil(loadBound*mean)), whole)
+	wholeServices := largest * int(math.Ceil(mean/float64(largest)))
+	return max(int(math.Ceil(maxLoadFactor*mean)), wholeServices)
 }
 
-// placer gives hosts to services one after another.
+// placer assigns hosts to services, one service after another.
 type placer struct {
-	hosts   []member.Host // usable, by id
-	hashes  []uint64
-	domains []int // of each host, as an index
-	count   int   // of domains
-	load    []int
+	hosts       []member.Host // usable hosts; the index is used throughout the placer
+	hashes      []uint64      // of the host ids
+	domainOf    []int         // failure domain of each host, as an index
+	domainCount int
+	load        []int // targets relayed so far
 }
 
 func newPlacer(hosts []member.Host) *placer {
@@ -101,24 +106,24 @@
 		}
 		p.hosts = append(p.hosts, h)
 		p.hashes = append(p.hashes, xxhash.Sum64String(h.ID))
-		p.domains = append(p.domains, names[h.FailureDomain])
+		p.domainOf = append(p.domainOf, names[h.FailureDomain])
 	}
-	p.count = len(names)
+	p.domainCount = len(names)
 	p.load = make([]int, len(p.hosts))
 	return p
 }
 
-func (p *placer) assign(sets []ReplicaSet, bound int) *Assignment {
+func (p *placer) assign(specs []ServiceSpec, capacity int) *Assignment {
 	a := &Assignment{
-		hosts:  p.hosts,
-		places: make(map[string][]int, len(sets)),
-		relays: make(map[string][]member.Host, len(sets)),
-		load:   make(map[string]int, len(p.hosts)),
+		hosts:        p.hosts,
+		relayIndexes: make(map[string][]int, len(specs)),
+		relays:       make(map[string][]member.Host, len(specs)),
+		load:         make(map[string]int, len(p.hosts)),
 	}
-	for _, s := range sets {
-		places := p.place(s.Service, s.Relays, s.Targets, bound)
-		a.places[s.Service] = places
-		a.relays[s.Service] = p.at(places)
+	for _, s := range specs {
+		indexes := p.chooseRelays(s.Service, s.Relays, s.Targets, capacity)
+		a.relayIndexes[s.Service] = indexes
+		a.relays[s.Service] = p.hostsAt(indexes)
 	}
 	for i, h := range p.hosts {
 		a.load[h.ID] = p.load[i]
@@ -126,51 +131,55 @@
 	return a
 }
 
-func (p *placer) at(places []int) []member.Host {
-	hosts := make([]member.Host, len(places))
-	for i, at := range places {
-		hosts[i] = p.hosts[at]
+func (p *placer) hostsAt(indexes []int) []member.Host {
+	hosts := make([]member.Host, len(indexes))
+	for i, index := range indexes {
+		hosts[i] = p.hosts[index]
 	}
 	return hosts
 }
 
-// place gives a service its r relays and adds its targets to their load. A
-// host that would pass the bound is left out unless too few others are left.
-func (p *placer) place(service string, r, targets, bound int) []int {
-	weights := p.weigh(service)
+// chooseRelays returns the indexes of the relays of a service and adds its
+// targets to their load. A host that would exceed the capacity is chosen only
+// if too few others remain.
+func (p *placer) chooseRelays(service string, relays, targets, capacity int) []int {
+	weights := p.rendezvousWeights(service)
 	taken := make([]bool, len(p.hosts))
-	perDomain := make([]int, p.count)
-	chosen := make([]int, 0, min(r, len(p.hosts)))
-	for len(chosen) < min(r, len(p.hosts)) {
-		i := p.best(weights, taken, perDomain, targets, bound)
+	relaysPerDomain := make([]int, p.domainCount)
+	chosen := make([]int, 0, min(relays, len(p.hosts)))
+	for len(chosen) < min(relays, len(p.hosts)) {
+		i := p.bestHost(weights, taken, relaysPerDomain, targets, capacity)
 		if i < 0 {
-			i = p.best(weights, taken, perDomain, targets, unbounded)
+			i = p.bestHost(weights, taken, relaysPerDomain, targets, unlimitedLoad)
 		}
 		taken[i] = true
-		perDomain[p.domains[i]]++
+		relaysPerDomain[p.domainOf[i]]++
 		p.load[i] += targets
 		chosen = append(chosen, i)
 	}
 	return chosen
 }
 
-// best returns the free host with the greatest weight among the domains that
-// have the fewest relays so far; -1 if every host is full or taken.
-func (p *placer) best(weights []uint64, taken []bool, perDomain []int, targets, bound int) int {
+// bestHost returns the host with the greatest weight among the failure domains
+// that have the fewest relays of the service so far; -1 if every host is taken
+// or has no capacity left.
+func (p *placer) bestHost(weights []uint64, taken []bool, relaysPerDomain []int, targets, capacity int) int {
 	best := -1
 	for i := range p.hosts {
-		if taken[i] || p.load[i] > bound-targets {
+		if taken[i] || p.load[i] > capacity-targets {
 			continue
 		}
-		if best < 0 || p.before(i, best, weights, perDomain) {
+		if best < 0 || p.preferred(i, best, weights, relaysPerDomain) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (p *placer) before(i, j int, weights []uint64, perDomain []int) bool {
-	if di, dj := perDomain[p.domains[i]], perDomain[p.domains[j]]; di != dj {
+// preferred reports whether host i precedes host j: by fewer relays in its
+// failure domain, then by weight, then by id.
+func (p *placer) preferred(i, j int, weights []uint64, relaysPerDomain []int) bool {
+	if di, dj := relaysPerDomain[p.domainOf[i]], relaysPerDomain[p.domainOf[j]]; di != dj {
 		return di < dj
 	}
 	if weights[i] != weights[j] {
@@ -179,18 +188,19 @@
 	return p.hosts[i].ID < p.hosts[j].ID
 }
 
-func (p *placer) weigh(service string) []uint64 {
+// rendezvousWeights returns the weight of each host for the service.
+func (p *placer) rendezvousWeights(service string) []uint64 {
 	key := xxhash.Sum64String(service)
 	weights := make([]uint64, len(p.hashes))
 	for i, h := range p.hashes {
-		weights[i] = mix(h ^ key)
+		weights[i] = mix64(h ^ key)
 	}
 	return weights
 }
 
-// mix is the finalizer of SplitMix64: it spreads every bit of x over the
-// whole result, and costs much less than hashing both names for each pair.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of SplitMix64: every bit of x affects the whole
+// result. It costs much less than hashing both names for each pair.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/plan/cover.go
+++ b/internal/plan/cover.go
@@ -7,165 +7,171 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// Ask is one message of a query: the services that one relay is asked for.
-type Ask struct {
+// RelayRequest is one message of a query: the services requested from one relay.
+type RelayRequest struct {
 	Relay    member.Host
 	Services []string
 }
 
-// Coverer chooses the relays of a query so that few are asked.
+// Coverer selects few relays that together cover the services of a query: a
+// greedy weighted set cover.
 type Coverer struct {
 	Assignment *Assignment
-	// Weight says how welcome a host is, as a factor on the services that it
-	// covers: 1 is neutral, less is loaded or far, 0 only when nothing else
-	// is left. Nil is neutral.
+	// Weight returns a factor on the number of services that a host covers:
+	// 1 is neutral, less is for loaded or distant hosts, and a host with 0 is
+	// selected only if no other is left. Nil means 1 for every host.
 	Weight func(h member.Host) float64
-	// Most bounds the services of one message; 0 is no bound. It keeps the
-	// work of a query from gathering on one relay.
-	Most int
+	// MaxServices bounds the services of one message; 0 means no bound. It
+	// prevents the work of a query from concentrating on one relay.
+	MaxServices int
 }
 
 // Cover returns the messages of a query over the services, and the services
-// that have no relay. The relay that covers most is taken first, ties at
-// random so that the entries do not all lean on the same hosts.
-func (c Coverer) Cover(services []string, rng *rand.Rand) (asks []Ask, uncovered []string) {
-	s := c.state(services, rng)
-	for s.left > 0 {
-		best := s.best(c.Most)
+// that have no relay. It selects the relay that covers most services first and
+// breaks ties at random, so that different entries load different hosts.
+func (c Coverer) Cover(services []string, rng *rand.Rand) (requests []RelayRequest, uncovered []string) {
+	s := c.newState(services, rng)
+	for s.uncovered > 0 {
+		best := s.bestHost(c.MaxServices)
 		if best < 0 {
 			break
 		}
-		services := s.take(best, len(asks), c.Most)
-		asks = append(asks, Ask{Relay: c.Assignment.hosts[best], Services: services})
+		services := s.assign(best, len(requests), c.MaxServices)
+		requests = append(requests, RelayRequest{Relay: c.Assignment.hosts[best], Services: services})
 	}
-	return asks, s.addRest(asks)
+	return requests, s.assignRest(requests)
 }
 
+// coverState is the progress of one call of Cover.
 type coverState struct {
-	services []string
-	done     []bool
-	left     int
-	hosts    []coverHost // by place in the assignment
-	asked    []int       // places of the hosts that some service has
-	holders  [][]int     // of each service, as places
+	services     []string
+	covered      []bool
+	uncovered    int
+	hosts        []coverHost // by index in the assignment
+	candidates   []int       // indexes of the hosts that relay any of the services
+	relayIndexes [][]int     // relays of each service, as host indexes
 }
 
+// coverHost is the state of one host in a call of Cover.
 type coverHost struct {
-	weight float64
-	open   int   // services that it could still cover
-	serves []int // services, as indexes
-	ask    int   // index of its message; -1 without one
+	weight    float64
+	uncovered int   // number of its services that are not covered yet
+	services  []int // services that it relays, as indexes
+	request   int   // index of its RelayRequest; -1 if it has none
 }
 
-func (c Coverer) state(services []string, rng *rand.Rand) *coverState {
+func (c Coverer) newState(services []string, rng *rand.Rand) *coverState {
 	s := &coverState{
-		services: services,
-		done:     make([]bool, len(services)),
-		left:     len(services),
-		hosts:    make([]coverHost, len(c.Assignment.hosts)),
-		holders:  make([][]int, len(services)),
+		services:     services,
+		covered:      make([]bool, len(services)),
+		uncovered:    len(services),
+		hosts:        make([]coverHost, len(c.Assignment.hosts)),
+		relayIndexes: make([][]int, len(services)),
 	}
 	for i, service := range services {
-		s.holders[i] = c.Assignment.places[service]
-		for _, at := range s.holders[i] {
-			h := &s.hosts[at]
-			if len(h.serves) == 0 {
-				s.asked = append(s.asked, at)
-				h.weight, h.ask = c.weight(c.Assignment.hosts[at], rng), -1
+		s.relayIndexes[i] = c.Assignment.relayIndexes[service]
+		for _, index := range s.relayIndexes[i] {
+			h := &s.hosts[index]
+			if len(h.services) == 0 {
+				s.candidates = append(s.candidates, index)
+				h.weight, h.request = c.weight(c.Assignment.hosts[index], rng), -1
 			}
-			h.open++
-			h.serves = append(h.serves, i)
+			h.uncovered++
+			h.services = append(h.services, i)
 		}
 	}
 	return s
 }
 
-// tieBreak is the spread of the random factor; too small to outweigh one
-// service more.
-const tieBreak = 1e-3
+// tieBreakJitter is the range of the random factor on weights. It is too small
+// to outweigh a difference of one service.
+const tieBreakJitter = 1e-3
 
 func (c Coverer) weight(h member.Host, rng *rand.Rand) float64 {
-	jitter := 1 + tieBreak*rng.Float64()
+	jitter := 1 + tieBreakJitter*rng.Float64()
 	if c.Weight == nil {
 		return jitter
 	}
 	return c.Weight(h) * jitter
 }
 
-// best returns the place of the host without a message that covers most; -1 if
-// there is none.
-func (s *coverState) best(most int) int {
+// bestHost returns the index of the host without a message that covers most
+// services by weight; -1 if there is none.
+func (s *coverState) bestHost(maxServices int) int {
 	best, bestGain := -1, -1.0
-	for _, at := range s.asked {
-		h := &s.hosts[at]
-		if h.ask >= 0 || h.open == 0 {
+	for _, index := range s.candidates {
+		h := &s.hosts[index]
+		if h.request >= 0 || h.uncovered == 0 {
 			continue
 		}
-		if gain := float64(bounded(h.open, most)) * h.weight; gain > bestGain {
-			best, bestGain = at, gain
+		if gain := float64(capped(h.uncovered, maxServices)) * h.weight; gain > bestGain {
+			best, bestGain = index, gain
 		}
 	}
 	return best
 }
 
-func bounded(n, most int) int {
-	if most > 0 {
-		return min(n, most)
+// capped returns n, at most limit; a limit of 0 means no bound.
+func capped(n, limit int) int {
+	if limit > 0 {
+		return min(n, limit)
 	}
 	return n
 }
 
-// take gives a host what it covers. With a bound, it gets first the services
-// that fewest other hosts could still take.
-func (s *coverState) take(at, ask, most int) []string {
-	h := &s.hosts[at]
-	h.ask = ask
-	open := make([]int, 0, h.open)
-	for _, k := range h.serves {
-		if !s.done[k] {
-			open = append(open, k)
+// assign marks the services that the host covers as covered by the request and
+// returns them. If maxServices is exceeded, it keeps the services that the
+// fewest hosts without a message relay.
+func (s *coverState) assign(index, request, maxServices int) []string {
+	h := &s.hosts[index]
+	h.request = request
+	uncovered := make([]int, 0, h.uncovered)
+	for _, k := range h.services {
+		if !s.covered[k] {
+			uncovered = append(uncovered, k)
 		}
 	}
-	if len(open) > bounded(len(open), most) {
-		slices.SortStableFunc(open, func(a, b int) int { return s.choices(a) - s.choices(b) })
-		open = open[:most]
+	if len(uncovered) > capped(len(uncovered), maxServices) {
+		slices.SortStableFunc(uncovered, func(a, b int) int { return s.freeRelays(a) - s.freeRelays(b) })
+		uncovered = uncovered[:maxServices]
 	}
-	taken := make([]string, len(open))
-	for i, k := range open {
-		taken[i] = s.services[k]
-		s.finish(k)
+	assigned := make([]string, len(uncovered))
+	for i, k := range uncovered {
+		assigned[i] = s.services[k]
+		s.markCovered(k)
 	}
-	return taken
+	return assigned
 }
 
-func (s *coverState) choices(service int) int {
+// freeRelays returns how many relays of the service have no message yet.
+func (s *coverState) freeRelays(service int) int {
 	n := 0
-	for _, at := range s.holders[service] {
-		if s.hosts[at].ask < 0 {
+	for _, index := range s.relayIndexes[service] {
+		if s.hosts[index].request < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *coverState) finish(service int) {
-	s.done[service] = true
-	s.left--
-	for _, at := range s.holders[service] {
-		s.hosts[at].open--
+func (s *coverState) markCovered(service int) {
+	s.covered[service] = true
+	s.uncovered--
+	for _, index := range s.relayIndexes[service] {
+		s.hosts[index].uncovered--
 	}
 }
 
-// addRest gives the services whose relays are all at their bound to the relay
-// with the smallest message, and returns those that have no relay.
-func (s *coverState) addRest(asks []Ask) []string {
+// assignRest adds each service whose relays all reached MaxServices to the
+// smallest message among its relays, and returns the services without a relay.
+func (s *coverState) assignRest(requests []RelayRequest) []string {
 	var uncovered []string
-	for i, done := range s.done {
-		if done {
+	for i, covered := range s.covered {
+		if covered {
 			continue
 		}
-		if k := s.smallest(i, asks); k >= 0 {
-			asks[k].Services = append(asks[k].Services, s.services[i])
+		if k := s.smallestRequest(i, requests); k >= 0 {
+			requests[k].Services = append(requests[k].Services, s.services[i])
 			continue
 		}
 		uncovered = append(uncovered, s.services[i])
@@ -173,13 +179,15 @@
 	return uncovered
 }
 
-func (s *coverState) smallest(service int, asks []Ask) int {
-	least := -1
-	for _, at := range s.holders[service] {
-		k := s.hosts[at].ask
-		if least < 0 || len(asks[k].Services) < len(asks[least].Services) {
-			least = k
+// smallestRequest returns the index of the smallest message to a relay of the
+// service; -1 if it has no relay.
+func (s *coverState) smallestRequest(service int, requests []RelayRequest) int {
+	smallest := -1
+	for _, index := range s.relayIndexes[service] {
+		k := s.hosts[index].request
+		if smallest < 0 || len(requests[k].Services) < len(requests[smallest].Services) {
+			smallest = k
 		}
 	}
-	return least
+	return smallest
 }
--- a/internal/plan/main_test.go
+++ b/internal/plan/main_test.go
@@ -16,7 +16,7 @@
 	os.Exit(m.Run())
 }
 
-// fleet returns n live hosts spread over the failure domains.
+// fleet returns n alive hosts distributed evenly over the failure domains.
 func fleet(n, domains int) []member.Host {
 	hosts := make([]member.Host, n)
 	for i := range hosts {
@@ -29,10 +29,11 @@
 	return hosts
 }
 
-func sets(n, targets, relays int) []ReplicaSet {
-	s := make([]ReplicaSet, n)
-	for i := range s {
-		s[i] = ReplicaSet{Service: fmt.Sprintf("service-%04d", i), Targets: targets, Relays: relays}
+// testSpecs returns n services with the given number of targets and relays.
+func testSpecs(n, targets, relays int) []ServiceSpec {
+	specs := make([]ServiceSpec, n)
+	for i := range specs {
+		specs[i] = ServiceSpec{Service: fmt.Sprintf("service-%04d", i), Targets: targets, Relays: relays}
 	}
-	return s
+	return specs
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -17,17 +17,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 800).Draw(t, "hosts")
 		connections := rapid.IntRange(1, 200).Draw(t, "connections")
-		per := rapid.IntRange(1, 8).Draw(t, "per relay")
+		perRelay := rapid.IntRange(1, 8).Draw(t, "per relay")
 		limit := rapid.IntRange(0, 12).Draw(t, "limit")
-		n := RelayCount(hosts, connections, per, limit)
+		n := RelayCount(hosts, connections, perRelay, limit)
 		if n < 1 || n > hosts {
 			t.Fatalf("%d relays of %d hosts", n, hosts)
 		}
-		if n > 1 && float64(n*per) > connectionShare*float64(connections) {
-			t.Fatalf("%d relays with %d connections each pass the limit %d", n, per, connections)
+		if n > 1 && float64(n*perRelay) > relayConnectionShare*float64(connections) {
+			t.Fatalf("%d relays with %d connections each exceed the limit %d", n, perRelay, connections)
 		}
 		if limit > 0 && n > limit {
-			t.Fatalf("%d relays, at most %d wanted", n, limit)
+			t.Fatalf("%d relays, want at most %d", n, limit)
 		}
 	})
 }
@@ -36,13 +36,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 60).Draw(t, "hosts")
 		domains := rapid.IntRange(1, 5).Draw(t, "domains")
-		all := sets(rapid.IntRange(1, 120).Draw(t, "sets"), 3, rapid.IntRange(1, 6).Draw(t, "relays"))
+		all := testSpecs(rapid.IntRange(1, 120).Draw(t, "sets"), 3, rapid.IntRange(1, 6).Draw(t, "relays"))
 		hosts := fleet(n, domains)
 		a := Assign(all, hosts)
-		total, most := 0, 0
+		total, maxLoad := 0, 0
 		for _, h := range hosts {
 			total += a.Load(h.ID)
-			most = max(most, a.Load(h.ID))
+			maxLoad = max(maxLoad, a.Load(h.ID))
 		}
 		mean := float64(total) / float64(n)
 		bound := max(math.Ceil(1.25*mean), 3*math.Ceil(mean/3)) // whole services of 3 targets
@@ -52,16 +52,16 @@
 				t.Fatalf("%s has relays %v", s.Service, relays)
 			}
 		}
-		// With hardly more hosts than relays, the last services find only full hosts.
-		if float64(most) > bound && all[0].Relays*4 < n {
-			t.Fatalf("%d targets on one host, bound %.0f", most, bound)
+		// With few more hosts than relays, the last services find only full hosts.
+		if float64(maxLoad) > bound && all[0].Relays*4 < n {
+			t.Fatalf("%d targets on one host, bound %.0f", maxLoad, bound)
 		}
 	})
 }
 
 func TestRelaysSpreadOverDomainsFirst(t *testing.T) {
 	is := is.New(t)
-	for _, s := range sets(50, 3, 4) {
+	for _, s := range testSpecs(50, 3, 4) {
 		relays := Relays(s.Service, fleet(20, 4), 4)
 		domains := make(map[string]bool)
 		for _, h := range relays {
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestAssignmentDoesNotHangOnTheOrderOfItsInput(t *testing.T) {
+func TestAssignmentIsIndependentOfInputOrder(t *testing.T) {
 	is := is.New(t)
-	all, hosts := sets(80, 3, 3), fleet(24, 4)
+	all, hosts := testSpecs(80, 3, 3), fleet(24, 4)
 	a := Assign(all, hosts)
 	slices.Reverse(all)
 	shuffled := slices.Clone(hosts)
@@ -86,11 +86,11 @@
 	}
 }
 
-func TestHostsThatLeaveRelayNothing(t *testing.T) {
+func TestLeavingHostsGetNoRelays(t *testing.T) {
 	is := is.New(t)
 	hosts := fleet(6, 3)
 	hosts[2].State = member.Leaving
-	a := Assign(sets(40, 3, 6), hosts)
+	a := Assign(testSpecs(40, 3, 6), hosts)
 	is.Equal(a.Load(hosts[2].ID), 0)
 	is.Equal(len(a.Relays("service-0001")), 5)
 }
@@ -109,42 +109,42 @@
 	is.Equal(len(ForService(s, fleet(9, 3))), 9)
 	is.Equal(ids(ForService(s, fleet(9, 3))), ids(ForServices([]catalog.Service{s}, fleet(9, 3)).Relays(s.Name)))
 	s.Targets[0].Connections = 5
-	is.Equal(len(ForService(s, fleet(9, 3))), 2) // two of the four that a fifth leaves
+	is.Equal(len(ForService(s, fleet(9, 3))), 2) // 80% of 5 connections, 2 per relay
 }
 
-func TestCoverAsksARelayOfEachService(t *testing.T) {
+func TestCoverAssignsEachServiceToOneOfItsRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := fleet(rapid.IntRange(2, 30).Draw(t, "hosts"), 3)
-		all := sets(rapid.IntRange(1, 40).Draw(t, "sets"), 3, rapid.IntRange(1, 4).Draw(t, "relays"))
-		most := rapid.IntRange(0, 6).Draw(t, "most")
+		all := testSpecs(rapid.IntRange(1, 40).Draw(t, "sets"), 3, rapid.IntRange(1, 4).Draw(t, "relays"))
+		maxServices := rapid.IntRange(0, 6).Draw(t, "most")
 		a := Assign(all, hosts)
-		c := Coverer{Assignment: a, Most: most}
-		asks, uncovered := c.Cover(names(all), rand.New(rand.NewPCG(1, 2)))
+		c := Coverer{Assignment: a, MaxServices: maxServices}
+		requests, uncovered := c.Cover(names(all), rand.New(rand.NewPCG(1, 2)))
 		if len(uncovered) > 0 {
 			t.Fatalf("no relay for %v", uncovered)
 		}
-		asked := make(map[string]int)
-		for _, ask := range asks {
-			for _, s := range ask.Services {
-				asked[s]++
-				if !a.IsRelay(s, ask.Relay.ID) {
-					t.Fatalf("%s is no relay of %s", ask.Relay.ID, s)
+		requested := make(map[string]int)
+		for _, request := range requests {
+			for _, s := range request.Services {
+				requested[s]++
+				if !a.IsRelay(s, request.Relay.ID) {
+					t.Fatalf("%s is not a relay of %s", request.Relay.ID, s)
 				}
 			}
 		}
 		for _, s := range all {
-			if asked[s.Service] != 1 {
-				t.Fatalf("%s asked %d times", s.Service, asked[s.Service])
+			if requested[s.Service] != 1 {
+				t.Fatalf("%s requested %d times", s.Service, requested[s.Service])
 			}
 		}
 	})
 }
 
-func TestCoverNamesServicesWithoutRelay(t *testing.T) {
+func TestCoverReturnsServicesWithoutRelay(t *testing.T) {
 	is := is.New(t)
 	c := Coverer{Assignment: Assign(nil, fleet(3, 3))}
-	asks, uncovered := c.Cover([]string{"a", "b"}, rand.New(rand.NewPCG(1, 2)))
-	is.Equal(len(asks), 0)
+	requests, uncovered := c.Cover([]string{"a", "b"}, rand.New(rand.NewPCG(1, 2)))
+	is.Equal(len(requests), 0)
 	is.Equal(uncovered, []string{"a", "b"})
 }
 
@@ -164,7 +164,7 @@
 	return out
 }
 
-func names(all []ReplicaSet) []string {
+func names(all []ServiceSpec) []string {
 	var out []string
 	for _, s := range all {
 		out = append(out, s.Service)
--- a/internal/plan/trial_test.go
+++ b/internal/plan/trial_test.go
@@ -9,38 +9,40 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// The benchmarks below are the arithmetic of docs/design/assignment.md: 1,400
-// services of 3 targets over 720 hosts in 5 failure domains.
+// The benchmarks below compute the figures of docs/design/assignment.md: 1,400
+// services of 3 targets on 720 hosts in 5 failure domains.
 
 const (
-	trialHosts    = 720
-	trialDomains  = 5
-	trialServices = 1400
-	trialWidth    = 167 // services of one query
-	trialQueries  = 400
+	benchHosts         = 720
+	benchDomains       = 5
+	benchServices      = 1400
+	benchQueryServices = 167 // services per query
+	benchQueries       = 400
 )
 
-func plain(all []ReplicaSet, hosts []member.Host) *Assignment {
-	return newPlacer(hosts).assign(all, unbounded)
+// assignUnbounded assigns relays without a load bound, for comparison.
+func assignUnbounded(all []ServiceSpec, hosts []member.Host) *Assignment {
+	return newPlacer(hosts).assign(all, unlimitedLoad)
 }
 
-var makers = []struct {
-	name string
-	make func([]ReplicaSet, []member.Host) *Assignment
-}{{"plain", plain}, {"bounded", Assign}}
+var assigners = []struct {
+	name   string
+	assign func([]ServiceSpec, []member.Host) *Assignment
+}{{"plain", assignUnbounded}, {"bounded", Assign}}
 
-// BenchmarkAssign gives the time of one computation and how even it is.
+// BenchmarkAssign measures the time of one assignment and how evenly it spreads
+// the load.
 func BenchmarkAssign(b *testing.B) {
-	hosts := fleet(trialHosts, trialDomains)
-	for _, m := range makers {
+	hosts := fleet(benchHosts, benchDomains)
+	for _, m := range assigners {
 		for _, r := range []int{2, 4, 8, 12} {
 			b.Run(fmt.Sprintf("%s/r=%d", m.name, r), func(b *testing.B) {
-				all := sets(trialServices, 3, r)
+				all := testSpecs(benchServices, 3, r)
 				var a *Assignment
 				for b.Loop() {
-					a = m.make(all, hosts)
+					a = m.assign(all, hosts)
 				}
-				busiest, idle := evenness(a, hosts)
+				busiest, idle := loadSpread(a, hosts)
 				b.ReportMetric(busiest, "busiest/mean")
 				b.ReportMetric(float64(idle), "idle_hosts")
 			})
@@ -48,41 +50,43 @@
 	}
 }
 
-func evenness(a *Assignment, hosts []member.Host) (busiest float64, idle int) {
+// loadSpread returns the highest load over the mean, and the hosts without load.
+func loadSpread(a *Assignment, hosts []member.Host) (busiest float64, idle int) {
 	total := 0
-	most := 0
+	maxLoad := 0
 	for _, h := range hosts {
 		load := a.Load(h.ID)
 		total += load
-		most = max(most, load)
+		maxLoad = max(maxLoad, load)
 		if load == 0 {
 			idle++
 		}
 	}
-	return float64(most) * float64(len(hosts)) / float64(total), idle
+	return float64(maxLoad) * float64(len(hosts)) / float64(total), idle
 }
 
-// BenchmarkMoved gives the share of (service, relay) pairs that differ after
-// one host died, over what must differ, its own pairs.
+// BenchmarkMoved measures the share of (service, relay) pairs that change after
+// the death of one host, and its ratio to the pairs that must change: those of
+// the dead host.
 func BenchmarkMoved(b *testing.B) {
-	hosts := fleet(trialHosts, trialDomains)
-	for _, m := range makers {
+	hosts := fleet(benchHosts, benchDomains)
+	for _, m := range assigners {
 		for _, r := range []int{2, 4, 8} {
 			b.Run(fmt.Sprintf("%s/r=%d", m.name, r), func(b *testing.B) {
-				all := sets(trialServices, 3, r)
-				before := m.make(all, hosts)
+				all := testSpecs(benchServices, 3, r)
+				before := m.assign(all, hosts)
 				const deaths = 20
 				moved, own := 0, 0
 				for b.Loop() {
 					moved, own = 0, 0
 					for d := range deaths {
-						dead := d * 37 % trialHosts
-						after := m.make(all, without(hosts, dead))
-						moved += differing(all, before, after)
+						dead := d * 37 % benchHosts
+						after := m.assign(all, without(hosts, dead))
+						moved += addedRelays(all, before, after)
 						own += before.Load(hosts[dead].ID) / 3
 					}
 				}
-				pairs := float64(deaths * trialServices * r)
+				pairs := float64(deaths * benchServices * r)
 				b.ReportMetric(100*float64(moved)/pairs, "moved_%")
 				b.ReportMetric(float64(moved)/float64(max(own, 1)), "moved/own")
 			})
@@ -90,124 +94,132 @@
 	}
 }
 
-// BenchmarkViews gives how many relays a service has over its r when the hosts
-// hold two views that differ by k hosts: the union is what connects.
+// BenchmarkViews measures how many relays connect to the targets of a service
+// when the hosts have two views of the membership that differ by k hosts: the
+// union of the relays in both views.
 func BenchmarkViews(b *testing.B) {
-	hosts := fleet(trialHosts, trialDomains)
-	for _, m := range makers {
+	hosts := fleet(benchHosts, benchDomains)
+	for _, m := range assigners {
 		for _, k := range []int{1, 10, 144} {
 			b.Run(fmt.Sprintf("%s/r=4/differ=%d", m.name, k), func(b *testing.B) {
-				all := sets(trialServices, 3, 4)
-				var most int
+				all := testSpecs(benchServices, 3, 4)
+				var maxRelays int
 				var mean float64
 				for b.Loop() {
-					most, mean = union(all, m.make(all, hosts), m.make(all, lose(hosts, k)))
+					maxRelays, mean = unionSizes(all, m.assign(all, hosts), m.assign(all, withoutFirst(hosts, k)))
 				}
-				b.ReportMetric(float64(most), "relays_most")
+				b.ReportMetric(float64(maxRelays), "relays_most")
 				b.ReportMetric(mean, "relays_mean")
 			})
 		}
 	}
 }
 
-// BenchmarkCover gives the messages of a query, the time to choose them, the
-// largest message, and the most work that a relay has over the mean when all
-// queries are taken together. In the balanced runs each host weighs less the
-// more of the work it has had.
+// BenchmarkCover measures the messages per query, the time to compute them, the
+// largest message, and the work of the busiest relay over the mean, summed over
+// all queries. In runs with a balance above 0, the weight of a host decreases
+// with the work that it has received.
 func BenchmarkCover(b *testing.B) {
-	hosts := fleet(trialHosts, trialDomains)
+	hosts := fleet(benchHosts, benchDomains)
 	for _, r := range []int{2, 4, 8, 12} {
-		for _, most := range []int{2, 4, 0} {
+		for _, maxServices := range []int{2, 4, 0} {
 			for _, power := range []float64{0, 1, 2} {
-				b.Run(fmt.Sprintf("r=%d/most=%d/balance=%g", r, most, power), func(b *testing.B) {
-					all := sets(trialServices, 3, r)
+				b.Run(fmt.Sprintf("r=%d/most=%d/balance=%g", r, maxServices, power), func(b *testing.B) {
+					all := testSpecs(benchServices, 3, r)
 					work := make(map[string]int)
-					c := Coverer{Assignment: Assign(all, hosts), Most: most}
-					c.Weight = balance(work, power)
+					c := Coverer{Assignment: Assign(all, hosts), MaxServices: maxServices}
+					c.Weight = balancingWeight(work, power)
 					rng := rand.New(rand.NewPCG(1, 1))
 					for b.Loop() {
-						c.Cover(window(all, rng), rng)
+						c.Cover(randomServices(all, rng), rng)
 					}
-					report(b, c, all, work)
+					reportCover(b, c, all, work)
 				})
 			}
 		}
 	}
 	for _, r := range []int{2, 4, 8, 12} {
 		b.Run(fmt.Sprintf("r=%d/at_random", r), func(b *testing.B) {
-			all := sets(trialServices, 3, r)
+			all := testSpecs(benchServices, 3, r)
 			a := Assign(all, hosts)
 			rng := rand.New(rand.NewPCG(1, 1))
 			messages, work := 0, make(map[string]int)
 			for b.Loop() {
 				messages = 0
 				clear(work)
-				for range trialQueries {
-					messages += atRandom(a, window(all, rng), rng, work)
+				for range benchQueries {
+					messages += coverAtRandom(a, randomServices(all, rng), rng, work)
 				}
 			}
-			b.ReportMetric(float64(messages)/trialQueries, "messages")
-			b.ReportMetric(skew(work), "work_most/mean")
+			b.ReportMetric(float64(messages)/benchQueries, "messages")
+			b.ReportMetric(maxOverMean(work), "work_most/mean")
 		})
 	}
 }
 
-// balance weighs a host by the mean work over its own, to a power.
-func balance(work map[string]int, power float64) func(member.Host) float64 {
+// balancingWeight returns a weight function: mean work divided by the work of the
+// host, raised to a power.
+func balancingWeight(work map[string]int, power float64) func(member.Host) float64 {
 	return func(h member.Host) float64 {
 		total := 0
 		for _, w := range work {
 			total += w
 		}
-		mean := float64(total+trialHosts) / trialHosts
+		mean := float64(total+benchHosts) / benchHosts
 		return math.Pow(mean/float64(work[h.ID]+1), power)
 	}
 }
 
-func report(b *testing.B, c Coverer, all []ReplicaSet, work map[string]int) {
+// reportCover runs the queries again with a fixed seed and reports the metrics of
+// BenchmarkCover.
+func reportCover(b *testing.B, c Coverer, all []ServiceSpec, work map[string]int) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	messages, largest := 0, 0
-	for range trialQueries {
-		asks, _ := c.Cover(window(all, rng), rng)
-		messages += len(asks)
-		for _, a := range asks {
-			largest = max(largest, len(a.Services))
-			work[a.Relay.ID] += len(a.Services)
+	for range benchQueries {
+		requests, _ := c.Cover(randomServices(all, rng), rng)
+		messages += len(requests)
+		for _, request := range requests {
+			largest = max(largest, len(request.Services))
+			work[request.Relay.ID] += len(request.Services)
 		}
 	}
-	b.ReportMetric(float64(messages)/trialQueries, "messages")
+	b.ReportMetric(float64(messages)/benchQueries, "messages")
 	b.ReportMetric(float64(largest), "largest")
-	b.ReportMetric(skew(work), "work_most/mean")
+	b.ReportMetric(maxOverMean(work), "work_most/mean")
 }
 
-// window returns the neighbouring services of one query.
-func window(all []ReplicaSet, rng *rand.Rand) []string {
+// randomServices returns the services of one query: consecutive ones from a
+// random start.
+func randomServices(all []ServiceSpec, rng *rand.Rand) []string {
 	first := rng.IntN(len(all))
-	services := make([]string, trialWidth)
+	services := make([]string, benchQueryServices)
 	for i := range services {
 		services[i] = all[(first+i)%len(all)].Service
 	}
 	return services
 }
 
-func atRandom(a *Assignment, services []string, rng *rand.Rand, work map[string]int) int {
-	asked := make(map[string]bool)
+// coverAtRandom picks a random relay for each service, adds its work, and returns
+// the number of relays used.
+func coverAtRandom(a *Assignment, services []string, rng *rand.Rand, work map[string]int) int {
+	contacted := make(map[string]bool)
 	for _, s := range services {
 		relays := a.Relays(s)
 		h := relays[rng.IntN(len(relays))].ID
-		asked[h] = true
+		contacted[h] = true
 		work[h]++
 	}
-	return len(asked)
+	return len(contacted)
 }
 
-func skew(work map[string]int) float64 {
-	most, total := 0, 0
+// maxOverMean returns the work of the busiest host over the mean of all hosts.
+func maxOverMean(work map[string]int) float64 {
+	maxWork, total := 0, 0
 	for _, w := range work {
-		most = max(most, w)
+		maxWork = max(maxWork, w)
 		total += w
 	}
-	return float64(most) * trialHosts / float64(total)
+	return float64(maxWork) * benchHosts / float64(total)
 }
 
 func without(hosts []member.Host, i int) []member.Host {
@@ -215,11 +227,11 @@
 	return append(left, hosts[i+1:]...)
 }
 
-// lose returns the hosts without k of them, one failure domain first.
-func lose(hosts []member.Host, k int) []member.Host {
+// withoutFirst returns the hosts without the first k of the first failure domain.
+func withoutFirst(hosts []member.Host, k int) []member.Host {
 	var left []member.Host
 	for i, h := range hosts {
-		if i%trialDomains == 0 && i/trialDomains < k {
+		if i%benchDomains == 0 && i/benchDomains < k {
 			continue
 		}
 		left = append(left, h)
@@ -227,7 +239,8 @@
 	return left
 }
 
-func differing(all []ReplicaSet, before, after *Assignment) int {
+// addedRelays counts the (service, relay) pairs that are only in after.
+func addedRelays(all []ServiceSpec, before, after *Assignment) int {
 	n := 0
 	for _, s := range all {
 		was := distinct(before.Relays(s.Service))
@@ -240,15 +253,17 @@
 	return n
 }
 
-func union(all []ReplicaSet, a, b *Assignment) (most int, mean float64) {
+// unionSizes returns the maximum and mean number of relays of a service in the
+// union of two assignments.
+func unionSizes(all []ServiceSpec, a, b *Assignment) (maxRelays int, mean float64) {
 	total := 0
 	for _, s := range all {
 		both := distinct(a.Relays(s.Service))
 		for _, h := range b.Relays(s.Service) {
 			both[h.ID] = true
 		}
-		most = max(most, len(both))
+		maxRelays = max(maxRelays, len(both))
 		total += len(both)
 	}
-	return most, float64(total) / float64(len(all))
+	return maxRelays, float64(total) / float64(len(all))
 }
