--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,8 +1,11 @@
-// Package query holds the typed messages of a request on its way from the
-// caller through entry and relay to the targets, and back.
+// Package query defines the messages of a request on its way from the caller
+// through entry and relay to the targets, and back.
 //
-// In every message time is a remaining budget, never a clock reading: the
+// Messages carry time as a remaining budget, never as a clock reading, as the
 // wall clocks of two hosts are never compared.
+//
+// It contains no routing, encoding or network code. Start reading at Search and
+// Answer, then Batch and ShardResult; Refusal is in refusal.go.
 package query
 
 import (
@@ -12,7 +15,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// Urgency is the class of a workload under load.
+// Urgency is the priority class of a workload under load.
 type Urgency string
 
 const (
@@ -40,21 +43,21 @@
 	Score   float64 `json:"score"`
 }
 
-// Search asks one service, or every service of one workload. Exactly one of
-// Service and Workload is set.
+// Search is a search request to one service, or to every service of one workload.
+// Exactly one of Service and Workload is set.
 type Search struct {
 	RequestID   string
 	Caller      string
 	Service     string
 	Workload    string
 	Text        string
-	Limit       int           // rows wanted, best first; 0 means all
-	MinCoverage float64       // 0..1; below it the caller is refused
-	Budget      time.Duration // time that remains for the whole request
+	Limit       int           // maximum number of rows, best first; 0 means all
+	MinCoverage float64       // 0..1; the request is refused if the coverage is lower
+	Budget      time.Duration // remaining time for the whole request
 }
 
-// Coverage is the set of distinct shards that answered in one snapshot, over
-// the shards of that snapshot's map. Complete is derived from it, never set.
+// Coverage states which of the distinct shards in a snapshot's shard map
+// answered. Completeness is derived from it and never stored.
 type Coverage struct {
 	Shards   int
 	Answered int
@@ -64,7 +67,7 @@
 // Complete reports whether every shard answered.
 func (c Coverage) Complete() bool { return c.Answered == c.Shards && len(c.Missing) == 0 }
 
-// Fraction returns answered shards over all shards; 1 when there are none.
+// Fraction returns the answered shards divided by all shards; 1 if there are none.
 func (c Coverage) Fraction() float64 {
 	if c.Shards == 0 {
 		return 1
@@ -78,15 +81,15 @@
 	Workload  string
 	Snapshot  uint64
 	Rows      []Row
-	TotalRows int // rows that the answering shards found, before the limit
+	TotalRows int // rows found by the answered shards, before the limit
 	Coverage  Coverage
-	Attempts  int // shard attempts sent to targets, hedges and retries included
-	Needed    int // shard answers needed
+	Attempts  int // shard attempts sent to targets, including hedges and retries
+	Needed    int // shard answers needed for a complete answer
 	Elapsed   time.Duration
 }
 
-// Batch is what an entry asks of one relay for one search: the shards of one
-// or more services, all in the same snapshot.
+// Batch is the request of an entry to one relay for one search: the shards of
+// one or more services, all in the same snapshot.
 type Batch struct {
 	RequestID string
 	Caller    string
@@ -99,14 +102,14 @@
 	Parts     []Part
 }
 
-// Part lists the shards wanted of one service.
+// Part lists the requested shards of one service.
 type Part struct {
 	Service string
 	Shards  []uint32
 }
 
-// ShardResult is a relay's final word on one shard of a batch. Rows are set
-// only when Outcome is Done; Reason and RetryAfter only when it is not.
+// ShardResult is a relay's final result for one shard of a batch. Rows are set
+// only if Outcome is Done, Reason and RetryAfter only if it is not.
 type ShardResult struct {
 	Key        ShardKey
 	Snapshot   uint64
@@ -118,8 +121,8 @@
 	Attempts   int
 }
 
-// Reserve asks for one non-idempotent reservation. ReservationID is the
-// caller's, a ULID, and so carries the time at which it was made.
+// Reserve is a request for one non-idempotent reservation. ReservationID is a
+// ULID chosen by the caller and so contains its creation time.
 type Reserve struct {
 	RequestID     string
 	Caller        string
@@ -129,8 +132,8 @@
 	Budget        time.Duration
 }
 
-// Reservation is the final word on a Reserve. Answer is the target's own text
-// and set only when Outcome is Done.
+// Reservation is the final result of a Reserve. Answer is the text returned by
+// the target and is set only if Outcome is Done.
 type Reservation struct {
 	RequestID     string
 	ReservationID string
@@ -138,7 +141,7 @@
 	Granted       bool
 	Answer        string
 	Target        string
-	Repeated      bool // the answer is that of an earlier request with this id
+	Repeated      bool // the answer was given to an earlier request with this id
 	Reason        Reason
 	RetryAfter    time.Duration
 }
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -1,17 +1,18 @@
-// Package targetapi is the interface of a target: paths, headers and bodies
-// of HTTP/JSON. The relay and the target stand-in both use it;
-// docs/TARGETS.md describes it.
+// Package targetapi defines the HTTP/JSON interface of a target: paths, headers
+// and bodies. The relay and the target stand-in both use it; docs/TARGETS.md
+// describes it. It contains no client or server code. Start reading at Request
+// and Answer.
 package targetapi
 
 // Paths of a target.
 const (
-	PathShard  = "/v1/shard"    // POST: run one shard request
-	PathStatus = "/v1/status"   // GET: Status; it may lag or mislead
+	PathShard  = "/v1/shard"    // POST Request: run one shard request
+	PathStatus = "/v1/status"   // GET: Status; may be outdated or wrong
 	PathSettle = "/v1/attempts" // POST /v1/attempts/{attempt id}/settle: Settlement; optional
 )
 
-// Headers of a shard request. The answer's body echoes all but the budget,
-// and the relay checks every one.
+// Headers of a shard request. The body of the answer repeats all of them except
+// the budget, and the relay verifies each one.
 const (
 	HeaderRequest  = "X-Request-Id"
 	HeaderAttempt  = "X-Attempt-Id"
@@ -45,10 +46,10 @@
 	Shard     uint32 `json:"shard"`
 	Snapshot  uint64 `json:"snapshot"`
 	RowCount  int    `json:"row_count"`
-	TotalRows int    `json:"total_rows"` // rows found before the limit
+	TotalRows int    `json:"total_rows"` // rows found, before the limit
 	Rows      []Row  `json:"rows"`
-	Granted   bool   `json:"granted,omitempty"` // reservations
-	Text      string `json:"text,omitempty"`    // reservations: the target's own words
+	Granted   bool   `json:"granted,omitempty"` // reservations only
+	Text      string `json:"text,omitempty"`    // reservations: text of the target
 }
 
 // Row is one row of an answer.
@@ -58,14 +59,14 @@
 	Score float64 `json:"score"`
 }
 
-// Rejection is the body of status 409 and 503: the request did not run.
-// Any other status than 200, 409 and 503 says that it may have run; 500 with a
-// body of this form and Code "failed" says that it ran in vain.
+// Rejection is the body of status 409 and 503: the request did not run. With any
+// status other than 200, 409 and 503 it may have run. Status 500 with this body
+// and Code "failed" means that it ran and failed.
 type Rejection struct {
 	Code         string   `json:"code"`
 	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
-	Snapshots    []uint64 `json:"snapshots,omitempty"`  // held for the service
-	AttemptID    string   `json:"attempt_id,omitempty"` // echoed; a rejection that names another attempt proves nothing
+	Snapshots    []uint64 `json:"snapshots,omitempty"`  // snapshots held for the service
+	AttemptID    string   `json:"attempt_id,omitempty"` // from the request header; with another id the request may have run
 }
 
 // Codes of a Rejection.
@@ -73,7 +74,7 @@
 	CodeSnapshotNotHeld = "snapshot_not_held" // 409
 	CodeDraining        = "draining"          // 503
 	CodeShed            = "shed"              // 503
-	CodeRefusedAttempt  = "refused_attempt"   // 409: the attempt was settled as never run
+	CodeRefusedAttempt  = "refused_attempt"   // 409: the attempt was settled as not run
 	CodeFailed          = "failed"            // 500
 )
 
@@ -84,23 +85,23 @@
 	StateDraining = "draining"
 )
 
-// Status is the body of PathStatus. Incarnation grows with each start of the
-// target.
+// Status is the response body of PathStatus. Incarnation increases with each
+// start of the target.
 type Status struct {
 	ID          string              `json:"id"`
 	State       string              `json:"state"`
 	Incarnation uint64              `json:"incarnation"`
-	Load        float64             `json:"load"` // running requests over slots
+	Load        float64             `json:"load"` // running requests divided by slots
 	Slots       int                 `json:"slots"`
-	Snapshots   map[string][]uint64 `json:"snapshots"` // by service
-	Settles     bool                `json:"settles"`   // the settle interface is offered
+	Snapshots   map[string][]uint64 `json:"snapshots"` // snapshots held, by service
+	Settles     bool                `json:"settles"`   // the target implements PathSettle
 }
 
-// Settlement answers what became of an attempt. If it did not run, the target
-// refuses it from then on.
+// Settlement is the response body of PathSettle: whether an attempt ran. If it did
+// not, the target rejects the attempt from then on.
 type Settlement struct {
 	AttemptID string `json:"attempt_id"`
 	Ran       bool   `json:"ran"`
-	Running   bool   `json:"running"` // still running: ask again
-	Answer    Answer `json:"answer"`  // if it ran
+	Running   bool   `json:"running"` // still running; query again later
+	Answer    Answer `json:"answer"`  // set if it ran
 }
