--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -7,29 +7,32 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config bounds what one request may cost this host. The rules of a service
-// are in the catalog.
+// Config limits the time, snapshots and relays that this host spends on one
+// request. The rules of a service are in the catalog.
 type Config struct {
-	// MaxBudget caps the budget that a caller names.
+	// MaxBudget caps the budget that a caller requests.
 	MaxBudget unit.Duration `json:"max_budget"`
-	// MaxSnapshots is how many snapshots one search may be tried on.
+	// MaxSnapshots is the maximum number of snapshots that one search tries.
 	MaxSnapshots int `json:"max_snapshots"`
-	// MaxRelays is how many relays may be asked for one shard.
+	// MaxRelays is the maximum number of relays that are sent a request for the
+	// same shard or reservation.
 	MaxRelays int `json:"max_relays"`
-	// HedgeRelayAfter is the part of the budget after which shards that a relay
-	// left open are asked of another relay, 0..1.
+	// HedgeRelayAfter is the fraction of the remaining budget after which shards
+	// that a relay has not answered are requested from another relay, above 0
+	// and at most 1.
 	HedgeRelayAfter float64 `json:"hedge_relay_after"`
-	// HopAllowance is taken off the budget that a relay gets, so that its last
-	// word arrives in time.
+	// HopAllowance is subtracted from the budget sent to a relay, so that its
+	// final result arrives before the entry's deadline.
 	HopAllowance unit.Duration `json:"hop_allowance"`
-	// RetryAfter is told to callers when nothing else says when to come back.
+	// RetryAfter is the retry delay sent to callers when no relay or target
+	// provides one.
 	RetryAfter unit.Duration `json:"retry_after"`
-	// UnheldFor is how long a snapshot is avoided after a target set no longer
-	// held it.
-	UnheldFor unit.Duration `json:"unheld_for"`
+	// NotHeldTTL is how long a snapshot is tried last after a shard's targets
+	// reported that they no longer hold it.
+	NotHeldTTL unit.Duration `json:"unheld_for"`
 }
 
-// DefaultConfig returns the values used where the settings name none.
+// DefaultConfig returns the values for settings that are not specified.
 func DefaultConfig() Config {
 	return Config{
 		MaxBudget:       unit.Duration(30 * time.Second),
@@ -38,11 +41,11 @@
 		HedgeRelayAfter: 0.4,
 		HopAllowance:    unit.Duration(2 * time.Millisecond),
 		RetryAfter:      unit.Duration(200 * time.Millisecond),
-		UnheldFor:       unit.Duration(time.Second),
+		NotHeldTTL:      unit.Duration(time.Second),
 	}
 }
 
-// Validate reports every value out of range.
+// Validate returns an error for every value out of range.
 func (c Config) Validate() error {
 	var problems []error
 	check := func(ok bool, text string) {
@@ -56,6 +59,6 @@
 	check(c.HedgeRelayAfter > 0 && c.HedgeRelayAfter <= 1, "hedge_relay_after must be above 0 and at most 1")
 	check(c.HopAllowance >= 0, "hop_allowance must not be negative")
 	check(c.RetryAfter > 0, "retry_after must be above 0")
-	check(c.UnheldFor >= 0, "unheld_for must not be negative")
+	check(c.NotHeldTTL >= 0, "unheld_for must not be negative")
 	return errors.Join(problems...)
 }
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -2,6 +2,6 @@
 
 import "github.com/zeebo/errs"
 
-// Error is the class of this package's errors. What a caller reads is a
-// query.Refusal.
+// Error is the class of this package's errors. Callers get a query.Refusal
+// instead.
 var Error = errs.Class("entry")
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -24,60 +24,61 @@
 	testBudget   = 100 * time.Millisecond
 )
 
-// world is the targets behind the fake relays, and the fakes' views.
-type world struct {
-	mu        sync.Mutex
-	services  []catalog.Service
-	snapshots []catalog.Snapshot // newest first
-	hosts     []member.Host
-	relays    map[string]*fakeRelay
-	stale     bool
-	ran       map[query.ShardKey]int // shard requests that ran
-	recorded  []delivery.Delivery
+// fakeCluster implements the catalog, membership, relays, freshness and recorder
+// of an entry, and counts the executions of shard requests.
+type fakeCluster struct {
+	mu         sync.Mutex
+	services   []catalog.Service
+	snapshots  []catalog.Snapshot // newest first
+	hosts      []member.Host
+	relays     map[string]*fakeRelay
+	stale      bool
+	executions map[query.ShardKey]int // shard requests that ran, by shard
+	recorded   []delivery.Delivery
 }
 
-func (w *world) Service(name string) (catalog.Service, bool) {
-	for _, s := range w.services {
+func (c *fakeCluster) Service(name string) (catalog.Service, bool) {
+	for _, s := range c.services {
 		if s.Name == name {
 			return s, true
 		}
 	}
 	return catalog.Service{}, false
 }
-func (w *world) Workload(string) []catalog.Service   { return w.services }
-func (w *world) Services() []catalog.Service         { return w.services }
-func (w *world) Snapshots(string) []catalog.Snapshot { return w.snapshots }
-func (w *world) Revision() uint64                    { return 1 }
-func (w *world) Self() member.Host                   { return w.hosts[0] }
-func (w *world) Hosts() []member.Host                { return w.hosts }
-func (w *world) Count() int                          { return len(w.Hosts()) }
-
-func (w *world) Generation() uint64                    { return 1 }
-func (w *world) Stale() bool                           { return w.stale }
-func (w *world) Record(d delivery.Delivery)            { w.recorded = append(w.recorded, d) }
-func (w *world) Searcher(h member.Host) relay.Searcher { return w.relays[h.ID] }
-func (w *world) Reserver(h member.Host) claim.Reserver { return w.relays[h.ID] }
-
-func (w *world) run(k query.ShardKey) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ran[k]++
+func (c *fakeCluster) Workload(string) []catalog.Service   { return c.services }
+func (c *fakeCluster) Services() []catalog.Service         { return c.services }
+func (c *fakeCluster) Snapshots(string) []catalog.Snapshot { return c.snapshots }
+func (c *fakeCluster) Revision() uint64                    { return 1 }
+func (c *fakeCluster) Self() member.Host                   { return c.hosts[0] }
+func (c *fakeCluster) Hosts() []member.Host                { return c.hosts }
+func (c *fakeCluster) Count() int                          { return len(c.Hosts()) }
+
+func (c *fakeCluster) Generation() uint64                    { return 1 }
+func (c *fakeCluster) Stale() bool                           { return c.stale }
+func (c *fakeCluster) Record(d delivery.Delivery)            { c.recorded = append(c.recorded, d) }
+func (c *fakeCluster) Searcher(h member.Host) relay.Searcher { return c.relays[h.ID] }
+func (c *fakeCluster) Reserver(h member.Host) claim.Reserver { return c.relays[h.ID] }
+
+func (c *fakeCluster) countExecution(k query.ShardKey) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.executions[k]++
 }
 
-// fakeRelay answers as scripted. Its rows name the snapshot they were read
-// from, so that a checker can tell.
+// fakeRelay returns results by its settings. Each row contains the snapshot that
+// it was read from, so that tests can detect rows of another snapshot.
 type fakeRelay struct {
-	world   *world
-	delay   time.Duration
-	frozen  bool         // never answers
-	loseAt  int          // the stream breaks after this many results; -1: never
-	refuse  query.Reason // every shard is refused as not run
-	fail    query.Reason // every shard runs and has no answer
-	double  bool         // every result comes twice
-	crossed bool         // results of foreign shards come first
-	other   bool         // answers come from another snapshot
-	unheld  map[uint64]bool
-	reserve func() query.Reservation
+	cluster       *fakeCluster
+	delay         time.Duration
+	frozen        bool            // never responds
+	breakAfter    int             // number of results after which the stream breaks; -1: never
+	refuse        query.Reason    // if set, every shard is rejected without running
+	fail          query.Reason    // if set, every shard runs and has an unknown outcome
+	duplicate     bool            // every result is sent twice
+	foreignShards bool            // a result of a shard that was not requested is sent first
+	otherSnapshot bool            // answers are from another snapshot
+	notHeld       map[uint64]bool // snapshots that the targets do not hold
+	reserve       func() query.Reservation
 }
 
 func (f *fakeRelay) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
@@ -88,7 +89,7 @@
 	sent := 0
 	for _, p := range b.Parts {
 		for _, shard := range p.Shards {
-			if f.loseAt >= 0 && sent >= f.loseAt {
+			if f.breakAfter >= 0 && sent >= f.breakAfter {
 				return fmt.Errorf("stream broke")
 			}
 			sent++
@@ -107,29 +108,29 @@
 	switch {
 	case f.refuse != "":
 		return []query.ShardResult{{Key: k, Snapshot: b.Snapshot, Outcome: outcome.Rejected, Reason: f.refuse, RetryAfter: time.Second}}
-	case f.unheld[b.Snapshot]:
+	case f.notHeld[b.Snapshot]:
 		return []query.ShardResult{{Key: k, Snapshot: b.Snapshot, Outcome: outcome.Rejected, Reason: query.ReasonSnapshotNotHeld}}
 	case f.fail != "":
-		f.world.run(k)
+		f.cluster.countExecution(k)
 		return []query.ShardResult{{Key: k, Snapshot: b.Snapshot, Outcome: outcome.Unknown, Reason: f.fail, Attempts: 1}}
 	}
-	f.world.run(k)
-	if f.other {
-		return []query.ShardResult{answerOf(k, b.Snapshot+1)}
+	f.cluster.countExecution(k)
+	if f.otherSnapshot {
+		return []query.ShardResult{answerFor(k, b.Snapshot+1)}
 	}
-	good := answerOf(k, b.Snapshot)
+	good := answerFor(k, b.Snapshot)
 	var all []query.ShardResult
-	if f.crossed {
-		all = append(all, answerOf(query.ShardKey{Service: k.Service, Shard: 99}, b.Snapshot))
+	if f.foreignShards {
+		all = append(all, answerFor(query.ShardKey{Service: k.Service, Shard: 99}, b.Snapshot))
 	}
 	all = append(all, good)
-	if f.double {
+	if f.duplicate {
 		all = append(all, good)
 	}
 	return all
 }
 
-func answerOf(k query.ShardKey, snapshot uint64) query.ShardResult {
+func answerFor(k query.ShardKey, snapshot uint64) query.ShardResult {
 	r := query.ShardResult{Key: k, Snapshot: snapshot, Outcome: outcome.Done, TotalRows: rowsPerShard, Attempts: 1}
 	for n := range rowsPerShard {
 		r.Rows = append(r.Rows, query.Row{
@@ -159,29 +160,29 @@
 	}
 }
 
-// newWorld returns services of the given shard counts, one snapshot, and
-// hosts of which each service has the given number of relays.
-func newWorld(hosts, relays int, shards ...int) *world {
-	w := &world{relays: make(map[string]*fakeRelay), ran: make(map[query.ShardKey]int)}
+// newCluster returns a cluster with one service for each of the given shard
+// counts, one snapshot, and the given number of hosts and of relays per service.
+func newCluster(hosts, relays int, shards ...int) *fakeCluster {
+	cluster := &fakeCluster{relays: make(map[string]*fakeRelay), executions: make(map[query.ShardKey]int)}
 	for i := range hosts {
 		id := fmt.Sprintf("host-%d", i)
-		w.hosts = append(w.hosts, member.Host{ID: id, FailureDomain: "salt-lake", State: member.Alive})
-		w.relays[id] = &fakeRelay{world: w, loseAt: -1, unheld: make(map[uint64]bool)}
+		cluster.hosts = append(cluster.hosts, member.Host{ID: id, FailureDomain: "salt-lake", State: member.Alive})
+		cluster.relays[id] = &fakeRelay{cluster: cluster, breakAfter: -1, notHeld: make(map[uint64]bool)}
 	}
 	snap := catalog.Snapshot{Workload: testWorkload, ID: 1, Services: make(map[string]catalog.ShardMap)}
 	for i, n := range shards {
 		name := fmt.Sprintf("guest-portal-%02d", i)
-		w.services = append(w.services, catalog.Service{
+		cluster.services = append(cluster.services, catalog.Service{
 			Name: name, Workload: testWorkload, Urgency: query.Interactive,
 			Targets: []catalog.Target{{ID: name + "-a", Connections: 100}},
 			Rules:   catalog.Rules{Relays: relays, ConnectionsPerRelay: 2, DefaultBudget: unit.Duration(testBudget)},
 		})
 		snap.Services[name] = catalog.ShardMap{Shards: make([][]string, n)}
 	}
-	w.snapshots = []catalog.Snapshot{snap}
-	return w
+	cluster.snapshots = []catalog.Snapshot{snap}
+	return cluster
 }
 
-func (w *world) entry() *Entry {
-	return New(DefaultConfig(), w, w, w, w, w, prometheus.NewRegistry())
+func (c *fakeCluster) entry() *Entry {
+	return New(DefaultConfig(), c, c, c, c, c, prometheus.NewRegistry())
 }
--- a/internal/entry/latency.go
+++ b/internal/entry/latency.go
@@ -10,85 +10,90 @@
 )
 
 const (
-	latencyWeight  = 1.0 / 64              // of the newest call in mean and deviation
-	latencyCalls   = 32                    // before which nothing is known
-	lateDeviations = 6                     // over the mean, from which a call is late
-	lateLeast      = 50 * time.Millisecond // no call is late before
-	hedgeBudget    = 0.05                  // early hedges per call
-	hedgePause     = time.Second           // after a refusal for load, none is hedged early
+	minSampleWeight         = 1.0 / 64              // of the newest call in the moving averages
+	minLatencySamples       = 32                    // calls before a late threshold is returned
+	lateThresholdDeviations = 6                     // mean deviations above the mean latency
+	minLateThreshold        = 50 * time.Millisecond // lower bound of the late threshold
+	earlyHedgesPerCall      = 0.05                  // maximum ratio of early hedges to calls
+	overloadHedgePause      = time.Second           // no early hedges for this long after an overload refusal
 )
 
-// latencies tells how long calls to relays take, each urgency by itself, so that
-// one that takes far longer is hedged long before its budget is used up. It
-// is safe for concurrent use.
+// callLatencies tracks the latency of relay calls for each urgency, so that a
+// call that takes far longer than usual is hedged early in its budget. It is
+// safe for concurrent use.
 type callLatencies struct {
-	mu  sync.Mutex
-	all map[query.Urgency]*callLatency
+	mu        sync.Mutex
+	byUrgency map[query.Urgency]*callLatency
 }
 
-// callLatency is that of one urgency.
+// callLatency is the call latency of one urgency.
 type callLatency struct {
 	mean, deviation float64 // moving averages, seconds
-	calls           int
-	budget          *policy.Budget
-	overload        time.Time // of the newest refusal for load
+	samples         int
+	hedgeBudget     *policy.Budget
+	lastOverload    time.Time // time of the newest overload refusal
 }
 
 func newCallLatencies() *callLatencies {
-	return &callLatencies{all: make(map[query.Urgency]*callLatency)}
+	return &callLatencies{byUrgency: make(map[query.Urgency]*callLatency)}
 }
 
-func (p *callLatencies) of(u query.Urgency) *callLatency {
-	if p.all[u] == nil {
-		p.all[u] = &callLatency{budget: policy.NewBudget(hedgeBudget)}
+func (l *callLatencies) forUrgency(u query.Urgency) *callLatency {
+	if l.byUrgency[u] == nil {
+		l.byUrgency[u] = &callLatency{hedgeBudget: policy.NewBudget(earlyHedgesPerCall)}
 	}
-	return p.all[u]
+	return l.byUrgency[u]
 }
 
-// began counts a call, which earns its part of an early hedge.
-func (p *callLatencies) began(now time.Time, u query.Urgency) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.of(u).budget.First(now)
+// callStarted counts a call, which adds its share to the budget for early
+// hedges.
+func (l *callLatencies) callStarted(now time.Time, u query.Urgency) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.forUrgency(u).hedgeBudget.First(now)
 }
 
-// took notes how long a call took, or has taken so far if it is given up.
-func (p *callLatencies) took(u query.Urgency, d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.of(u)
-	a.calls++
-	weight := max(latencyWeight, 1/float64(a.calls))
-	off := d.Seconds() - a.mean
-	a.mean += weight * off
-	if a.calls > 1 {
-		a.deviation += weight * (math.Abs(off) - a.deviation)
+// observe adds the duration of a call, or the time since its start if the call
+// is abandoned.
+func (l *callLatencies) observe(u query.Urgency, d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.forUrgency(u)
+	a.samples++
+	weight := max(minSampleWeight, 1/float64(a.samples))
+	diff := d.Seconds() - a.mean
+	a.mean += weight * diff
+	if a.samples > 1 {
+		a.deviation += weight * (math.Abs(diff) - a.deviation)
 	}
 }
 
-// overloaded notes a refusal for load: a call is then late because all are.
-func (p *callLatencies) overloaded(now time.Time, u query.Urgency) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.of(u).overload = now
+// overloadRefused records an overload refusal. Under overload all calls are
+// slow, and hedges would add load.
+func (l *callLatencies) overloadRefused(now time.Time, u query.Urgency) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.forUrgency(u).lastOverload = now
 }
 
-// late returns after what time a call is late; false if that is not known.
-func (p *callLatencies) late(u query.Urgency) (time.Duration, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.of(u)
-	if a.calls < latencyCalls {
+// lateThreshold returns the duration after which a call counts as late; false
+// if there are too few samples.
+func (l *callLatencies) lateThreshold(u query.Urgency) (time.Duration, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.forUrgency(u)
+	if a.samples < minLatencySamples {
 		return 0, false
 	}
-	late := time.Duration((a.mean + lateDeviations*a.deviation) * float64(time.Second))
-	return max(late, lateLeast), true
+	threshold := time.Duration((a.mean + lateThresholdDeviations*a.deviation) * float64(time.Second))
+	return max(threshold, minLateThreshold), true
 }
 
-// take spends one early hedge, and reports false if there is none.
-func (p *callLatencies) take(now time.Time, u query.Urgency) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.of(u)
-	return now.Sub(a.overload) > hedgePause && a.budget.Take(now)
+// takeEarlyHedge takes one early hedge from the budget; false if the budget is
+// empty or an overload refusal is recent.
+func (l *callLatencies) takeEarlyHedge(now time.Time, u query.Urgency) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.forUrgency(u)
+	return now.Sub(a.lastOverload) > overloadHedgePause && a.hedgeBudget.Take(now)
 }
--- a/internal/entry/latency_test.go
+++ b/internal/entry/latency_test.go
@@ -13,113 +13,116 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-const testDelay = time.Millisecond // of a shard
+const shardDelay = time.Millisecond // of each shard result
 
-// remoteWorld returns a world whose one service of 6 shards has two relays,
-// both on other hosts than the entry's.
-func remoteWorld() (*world, []member.Host) {
-	w := newWorld(3, 2, 6)
-	w.services[0].Name = serviceWithRemoteRelays(w)
-	w.snapshots[0].Services = map[string]catalog.ShardMap{w.services[0].Name: {Shards: make([][]string, 6)}}
-	for _, r := range w.relays {
-		r.delay = testDelay
+// newRemoteCluster returns a cluster with one service of 6 shards and two relays,
+// both on hosts other than the entry's.
+func newRemoteCluster() (*fakeCluster, []member.Host) {
+	cluster := newCluster(3, 2, 6)
+	cluster.services[0].Name = serviceWithRemoteRelays(cluster)
+	cluster.snapshots[0].Services = map[string]catalog.ShardMap{cluster.services[0].Name: {Shards: make([][]string, 6)}}
+	for _, r := range cluster.relays {
+		r.delay = shardDelay
 	}
-	return w, w.entry().router.candidates(w.services[0].Name)
+	return cluster, cluster.entry().router.candidates(cluster.services[0].Name)
 }
 
-// TestFrozenRelayIsHedgedAsSoonAsItIsLate freezes a relay when the usual
-// time of calls is known: a search waits for that, not for its part of the budget, and
-// one search at a time probes the relay later.
-func TestFrozenRelayIsHedgedAsSoonAsItIsLate(t *testing.T) {
+// TestFrozenRelayIsHedgedAfterLateThreshold freezes a relay after the entry has
+// enough latency samples. A search must wait for the late threshold only, not
+// for the HedgeRelayAfter fraction of its budget, and later only one search at a
+// time may probe the relay.
+func TestFrozenRelayIsHedgedAfterLateThreshold(t *testing.T) {
 	is := is.New(t)
-	w, remote := remoteWorld()
+	cluster, remote := newRemoteCluster()
 	synctest.Test(t, func(t *testing.T) {
-		e := w.entry()
-		q := wholeWorkload
+		e := cluster.entry()
+		q := workloadSearch
 		q.Budget = time.Second
-		for range 3 * latencyCalls {
+		for range 3 * minLatencySamples {
 			_, refusal := e.Search(context.Background(), q)
 			is.True(refusal == nil)
 		}
-		w.relays[remote[0].ID].frozen = true
+		cluster.relays[remote[0].ID].frozen = true
 		start := time.Now()
-		waited := 0
+		slowSearches := 0
 		for range 200 {
-			began := time.Now()
+			searchStart := time.Now()
 			answer, _ := e.Search(context.Background(), q)
 			is.True(answer.Coverage.Complete())
-			took := time.Since(began)
-			is.True(took < 2*lateLeast) // that part would be 400 ms
-			if took > 6*testDelay {
-				waited++
+			elapsed := time.Since(searchStart)
+			is.True(elapsed < 2*minLateThreshold) // HedgeRelayAfter would be 400 ms
+			if elapsed > 6*shardDelay {
+				slowSearches++
 			}
 		}
 		is.True(time.Since(start) < 2*time.Second)
-		is.True(waited >= 1 && waited <= 3) // found frozen, and probed
+		is.True(slowSearches >= 1 && slowSearches <= 3) // the first to find it frozen, and the probes
 	})
 }
 
-// TestSuspectsAreAskedLast has the membership suspect a relay.
-func TestSuspectsAreAskedLast(t *testing.T) {
+// TestSuspectRelaysAreChosenLast checks that a relay in state Suspect is chosen
+// only after the other one was tried.
+func TestSuspectRelaysAreChosenLast(t *testing.T) {
 	is := is.New(t)
-	w, remote := remoteWorld()
-	for i := range w.hosts {
-		if w.hosts[i].ID == remote[0].ID {
-			w.hosts[i].State = member.Suspect
+	cluster, remote := newRemoteCluster()
+	for i := range cluster.hosts {
+		if cluster.hosts[i].ID == remote[0].ID {
+			cluster.hosts[i].State = member.Suspect
 		}
 	}
-	r := w.entry().router
+	r := cluster.entry().router
 	for range 50 {
-		h, ok := r.choose(w.services[0].Name, time.Now(), choice{})
+		h, ok := r.choose(cluster.services[0].Name, time.Now(), relayChoice{})
 		is.True(ok)
 		is.Equal(h.ID, remote[1].ID)
 	}
-	h, ok := r.choose(w.services[0].Name, time.Now(), choice{tried: []string{remote[1].ID}})
-	is.True(ok) // there is no other left
+	h, ok := r.choose(cluster.services[0].Name, time.Now(), relayChoice{triedHosts: []string{remote[1].ID}})
+	is.True(ok) // no other relay is left
 	is.Equal(h.ID, remote[0].ID)
 }
 
-// TestOneSearchProbes lets the time of an avoided relay end.
-func TestOneSearchProbes(t *testing.T) {
+// TestOneSearchProbesAvoidedRelay checks that one search probes a relay when its
+// avoidance expires, and that a lost probe doubles the avoidance.
+func TestOneSearchProbesAvoidedRelay(t *testing.T) {
 	is := is.New(t)
-	w, remote := remoteWorld()
-	r := w.entry().router
+	cluster, remote := newRemoteCluster()
+	r := cluster.entry().router
 	now := time.Now()
-	r.lost(remote[0].ID, now)
-	is.True(r.spared(remote[0].ID, now.Add(avoidFirst-1)))
-	now = now.Add(avoidFirst)
-	is.True(!r.spared(remote[0].ID, now)) // the probe
-	is.True(r.spared(remote[0].ID, now))
-	r.lost(remote[0].ID, now) // the probe was lost: twice as long
-	is.True(r.spared(remote[0].ID, now.Add(2*avoidFirst-1)))
-	is.True(!r.spared(remote[0].ID, now.Add(2*avoidFirst)))
-	r.answered(remote[0].ID)
-	is.True(!r.spared(remote[0].ID, now))
+	r.callLost(remote[0].ID, now)
+	is.True(r.avoidUnlessProbing(remote[0].ID, now.Add(minAvoidance-1)))
+	now = now.Add(minAvoidance)
+	is.True(!r.avoidUnlessProbing(remote[0].ID, now)) // the probe
+	is.True(r.avoidUnlessProbing(remote[0].ID, now))
+	r.callLost(remote[0].ID, now) // the probe was lost: avoided for twice as long
+	is.True(r.avoidUnlessProbing(remote[0].ID, now.Add(2*minAvoidance-1)))
+	is.True(!r.avoidUnlessProbing(remote[0].ID, now.Add(2*minAvoidance)))
+	r.callAnswered(remote[0].ID)
+	is.True(!r.avoidUnlessProbing(remote[0].ID, now))
 }
 
-// TestNoEarlyOvertakingUnderLoad holds the early ones to their budget, and to
-// none after a refusal for load.
-func TestNoEarlyOvertakingUnderLoad(t *testing.T) {
+// TestEarlyHedgesAreLimited checks that early hedges stay within their budget,
+// and that there are none shortly after an overload refusal.
+func TestEarlyHedgesAreLimited(t *testing.T) {
 	is := is.New(t)
-	p := newCallLatencies()
+	latencies := newCallLatencies()
 	now := time.Now()
 	taken := 0
 	for range 1000 {
-		p.began(now, query.Interactive)
-		p.took(query.Interactive, 20*time.Millisecond)
-		if p.take(now, query.Interactive) {
+		latencies.callStarted(now, query.Interactive)
+		latencies.observe(query.Interactive, 20*time.Millisecond)
+		if latencies.takeEarlyHedge(now, query.Interactive) {
 			taken++
 		}
 	}
-	is.True(taken >= 30 && taken <= int(hedgeBudget*1000))
-	late, ok := p.late(query.Interactive)
+	is.True(taken >= 30 && taken <= int(earlyHedgesPerCall*1000))
+	threshold, ok := latencies.lateThreshold(query.Interactive)
 	is.True(ok)
-	is.Equal(late, lateLeast)
+	is.Equal(threshold, minLateThreshold)
 	for range 100 {
-		p.began(now, query.Interactive)
+		latencies.callStarted(now, query.Interactive)
 	}
-	p.overloaded(now, query.Interactive)
-	now = now.Add(hedgePause)
-	is.True(!p.take(now, query.Interactive))
-	is.True(p.take(now.Add(1), query.Interactive))
+	latencies.overloadRefused(now, query.Interactive)
+	now = now.Add(overloadHedgePause)
+	is.True(!latencies.takeEarlyHedge(now, query.Interactive))
+	is.True(latencies.takeEarlyHedge(now.Add(1), query.Interactive))
 }
--- a/internal/entry/mailbox.go
+++ b/internal/entry/mailbox.go
@@ -2,31 +2,33 @@
 
 import "sync"
 
-// mailbox carries the messages of relay calls to the goroutine that merges
-// them. Putting never blocks, and many messages are taken at once: with 500
-// shards a search, a channel operation for each costs more than the merge.
-// What is put after the search has ended is dropped with the mailbox.
+// mailbox is an unbounded queue from the relay calls of a search to the
+// goroutine that merges their results. Adding never blocks, and all queued
+// messages are taken at once: with 500 shards per search, a channel operation
+// for each message costs more than the merge. Messages added after the end of
+// the search are discarded with the mailbox.
 type mailbox struct {
-	bell chan struct{} // has a value when there may be messages
+	ready chan struct{} // receives a value when messages may be queued
 
 	mu       sync.Mutex
 	messages []message
 }
 
-func newMailbox() *mailbox { return &mailbox{bell: make(chan struct{}, 1)} }
+func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
-func (b *mailbox) put(m message) {
+func (b *mailbox) add(m message) {
 	b.mu.Lock()
 	b.messages = append(b.messages, m)
 	b.mu.Unlock()
 	select {
-	case b.bell <- struct{}{}:
+	case b.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take returns the messages that are there and keeps spare for those to come.
-func (b *mailbox) take(spare []message) []message {
+// takeAll returns the queued messages and reuses spare as the buffer for the
+// next ones.
+func (b *mailbox) takeAll(spare []message) []message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	taken := b.messages
--- a/internal/entry/merge.go
+++ b/internal/entry/merge.go
@@ -8,71 +8,72 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// merge collects the shard results of one search in one snapshot. It takes
-// the first valid answer for each shard and drops late, doubled and foreign
-// ones, so coverage is a set of shards and never a count of answers. One
-// goroutine owns it.
-type merge struct {
-	snapshot  uint64
-	slots     []slot
-	byKey     map[query.ShardKey]*slot
-	answered  int
-	open      int // slots that may still be answered
-	attempts  int
-	totalRows int
+// merger collects the shard results of one search in one snapshot. It accepts
+// the first valid answer for each shard and discards late and duplicate ones
+// and results for foreign shards, so coverage is a set of shards and never a
+// count of answers. It is not safe for concurrent use.
+type merger struct {
+	snapshot      uint64
+	shards        []shardState
+	byKey         map[query.ShardKey]*shardState
+	answeredCount int
+	openCount     int // shards that may still be answered
+	attempts      int
+	totalRows     int
 }
 
-// slot is the state of one shard.
-type slot struct {
-	key      query.ShardKey
-	tried    []string // hosts asked
-	waiting  []*call  // relays asked that have not given their last word
-	answered bool
-	rows     []query.Row
-	outcomes []outcome.Outcome
-	reason   query.Reason
-	result   query.ShardResult // last failure
+// shardState is the state of one shard in a search.
+type shardState struct {
+	key         query.ShardKey
+	triedHosts  []string // ids of the hosts whose relays were sent the shard
+	pending     []*call  // calls without a final result for the shard
+	answered    bool
+	rows        []query.Row
+	outcomes    []outcome.Outcome
+	reason      query.Reason
+	lastFailure query.ShardResult
 }
 
-// newMerge returns a merge that waits for the shards of the parts.
-func newMerge(snapshot uint64, parts []query.Part) *merge {
+// newMerger returns a merger for the shards of the parts.
+func newMerger(snapshot uint64, parts []query.Part) *merger {
 	n := 0
 	for _, p := range parts {
 		n += len(p.Shards)
 	}
-	m := &merge{snapshot: snapshot, slots: make([]slot, 0, n), byKey: make(map[query.ShardKey]*slot, n), open: n}
+	m := &merger{snapshot: snapshot, shards: make([]shardState, 0, n), byKey: make(map[query.ShardKey]*shardState, n), openCount: n}
 	for _, p := range parts {
 		for _, shard := range p.Shards {
-			m.slots = append(m.slots, slot{key: query.ShardKey{Service: p.Service, Shard: shard}})
+			m.shards = append(m.shards, shardState{key: query.ShardKey{Service: p.Service, Shard: shard}})
 		}
 	}
-	for i := range m.slots {
-		m.byKey[m.slots[i].key] = &m.slots[i]
+	for i := range m.shards {
+		m.byKey[m.shards[i].key] = &m.shards[i]
 	}
 	return m
 }
 
-// ask notes that a relay was asked for the shard.
-func (s *slot) ask(c *call) {
-	s.tried = append(s.tried, c.host.ID)
-	s.waiting = append(s.waiting, c)
-	c.left++
+// addCall records that the call requests the shard.
+func (s *shardState) addCall(c *call) {
+	s.triedHosts = append(s.triedHosts, c.host.ID)
+	s.pending = append(s.pending, c)
+	c.pendingShards++
 }
 
-// offer takes a relay's last word on a shard and returns the shard. A result
-// for a foreign shard, or one that the relay has told already, is dropped: it
-// returns nil. An answer from another snapshot is none.
-func (m *merge) offer(c *call, r query.ShardResult) *slot {
+// addResult merges a relay's final result for a shard and returns the shard. It
+// discards a result for a shard that the call did not request, or a second
+// result for the same shard, and returns nil. An answer from another snapshot
+// counts as a bad answer with an unknown outcome.
+func (m *merger) addResult(c *call, r query.ShardResult) *shardState {
 	s, ok := m.byKey[r.Key]
 	if !ok {
 		return nil
 	}
-	i := slices.Index(s.waiting, c)
+	i := slices.Index(s.pending, c)
 	if i < 0 {
 		return nil
 	}
-	s.waiting = slices.Delete(s.waiting, i, i+1)
-	c.left--
+	s.pending = slices.Delete(s.pending, i, i+1)
+	c.pendingShards--
 	m.attempts += r.Attempts
 	if r.Outcome == outcome.Done && r.Snapshot != m.snapshot {
 		r.Outcome, r.Reason = outcome.Unknown, query.ReasonBadAnswer
@@ -80,74 +81,74 @@
 	switch {
 	case s.answered:
 	case r.Outcome == outcome.Done:
-		m.answer(s, r)
+		m.acceptAnswer(s, r)
 	default:
 		s.outcomes = append(s.outcomes, r.Outcome)
-		s.result = r
+		s.lastFailure = r
 	}
 	return s
 }
 
-// openOf returns the unanswered shards that wait for the relay.
-func (m *merge) openOf(c *call) []*slot {
-	if c.left == 0 {
+// unansweredOf returns the unanswered shards that the call has yet to return.
+func (m *merger) unansweredOf(c *call) []*shardState {
+	if c.pendingShards == 0 {
 		return nil
 	}
-	var open []*slot
-	for i := range m.slots {
-		if s := &m.slots[i]; !s.answered && slices.Contains(s.waiting, c) {
-			open = append(open, s)
+	var unanswered []*shardState
+	for i := range m.shards {
+		if s := &m.shards[i]; !s.answered && slices.Contains(s.pending, c) {
+			unanswered = append(unanswered, s)
 		}
 	}
-	return open
+	return unanswered
 }
 
-func (m *merge) answer(s *slot, r query.ShardResult) {
+func (m *merger) acceptAnswer(s *shardState, r query.ShardResult) {
 	s.answered = true
 	s.rows = r.Rows
 	m.totalRows += r.TotalRows
-	m.answered++
-	m.open--
+	m.answeredCount++
+	m.openCount--
 }
 
-// settle closes the shard if no relay is left that may answer it.
-func (m *merge) settle(s *slot) {
-	if s.answered || len(s.waiting) > 0 || s.reason != "" {
+// closeIfExhausted closes the shard if no pending call may answer it.
+func (m *merger) closeIfExhausted(s *shardState) {
+	if s.answered || len(s.pending) > 0 || s.reason != "" {
 		return
 	}
-	s.reason = s.result.Reason
+	s.reason = s.lastFailure.Reason
 	if s.reason == "" {
 		s.reason = query.ReasonNoRelay
 	}
-	m.open--
+	m.openCount--
 }
 
-// reachable returns the highest coverage that may still be reached.
-func (m *merge) reachable() float64 {
-	if len(m.slots) == 0 {
+// reachableCoverage returns the coverage if all open shards were answered.
+func (m *merger) reachableCoverage() float64 {
+	if len(m.shards) == 0 {
 		return 1
 	}
-	return float64(m.answered+m.open) / float64(len(m.slots))
+	return float64(m.answeredCount+m.openCount) / float64(len(m.shards))
 }
 
-// coverage returns what was answered so far.
-func (m *merge) coverage() query.Coverage {
-	c := query.Coverage{Shards: len(m.slots), Answered: m.answered}
-	for i := range m.slots {
-		if s := &m.slots[i]; !s.answered {
+// coverage returns the coverage reached so far.
+func (m *merger) coverage() query.Coverage {
+	c := query.Coverage{Shards: len(m.shards), Answered: m.answeredCount}
+	for i := range m.shards {
+		if s := &m.shards[i]; !s.answered {
 			c.Missing = append(c.Missing, s.key)
 		}
 	}
-	return c // slots are sorted as the parts are, by service and shard
+	return c // shards are in the order of the parts, by service and shard
 }
 
 // rows returns the rows of all answered shards, best first, at most limit of
 // them; 0 means all.
-func (m *merge) rows(limit int) []query.Row {
+func (m *merger) rows(limit int) []query.Row {
 	var best []query.Row
-	for i := range m.slots {
-		best = append(best, m.slots[i].rows...)
-		if limit > 0 && len(best) >= selectAt*limit {
+	for i := range m.shards {
+		best = append(best, m.shards[i].rows...)
+		if limit > 0 && len(best) >= rowSelectFactor*limit {
 			slices.SortFunc(best, byScore)
 			best = best[:limit]
 		}
@@ -159,11 +160,13 @@
 	return best
 }
 
-// selectAt is how many times the limit of rows is gathered before the best are
-// selected, so that a wide search never sorts all its rows.
-const selectAt = 8
+// rowSelectFactor is the number of collected rows, as a multiple of the limit,
+// at which the best are selected, so that a wide search never sorts all its
+// rows.
+const rowSelectFactor = 8
 
-// byScore orders rows best first, and rows of one score by where they are from.
+// byScore orders rows best first, and rows of equal score by service, shard and
+// key.
 func byScore(a, b query.Row) int {
 	if a.Score != b.Score {
 		return cmp.Compare(b.Score, a.Score)
@@ -171,26 +174,26 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Key, b.Key))
 }
 
-// outcome returns what became of the search as a whole, for a refusal. A
-// search whose shards were answered, but too few of them, ran in vain.
-func (m *merge) outcome() outcome.Outcome {
-	all := outcome.NotSent
-	for i := range m.slots {
-		all = outcome.Combine(all, m.slots[i].outcome())
+// outcome returns the outcome of the whole search, for a refusal. Done becomes
+// Failed: the caller gets no answer if too few shards were answered.
+func (m *merger) outcome() outcome.Outcome {
+	combined := outcome.NotSent
+	for i := range m.shards {
+		combined = outcome.Combine(combined, m.shards[i].outcome())
 	}
-	if all == outcome.Done {
+	if combined == outcome.Done {
 		return outcome.Failed
 	}
-	return all
+	return combined
 }
 
-// outcome of one shard; a relay that has not given its last word may have
-// sent an attempt.
-func (s *slot) outcome() outcome.Outcome {
+// outcome returns the outcome of the shard: Unknown while a call is pending, as
+// its relay may have sent an attempt.
+func (s *shardState) outcome() outcome.Outcome {
 	if s.answered {
 		return outcome.Done
 	}
-	if len(s.waiting) > 0 {
+	if len(s.pending) > 0 {
 		return outcome.Unknown
 	}
 	return outcome.Combine(s.outcomes...)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -11,14 +11,14 @@
 )
 
 type metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	attempts prometheus.Counter
-	needed   prometheus.Counter
-	calls    prometheus.Counter
-	lost     prometheus.Counter
-	hedges   prometheus.Counter
-	restarts prometheus.Counter
+	requests         *prometheus.CounterVec
+	latency          *prometheus.HistogramVec
+	attempts         prometheus.Counter
+	neededAnswers    prometheus.Counter
+	relayCalls       prometheus.Counter
+	relaysLost       prometheus.Counter
+	relayHedges      prometheus.Counter
+	snapshotRestarts prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -36,27 +36,27 @@
 			Help:    "Time from a request's arrival to its answer or refusal.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 1.6, 20),
 		}, []string{"service"}),
-		attempts: counter("attempts_total", "Shard attempts sent to targets, hedges and retries included."),
-		needed:   counter("needed_total", "Shard answers that answered searches needed."),
-		calls:    counter("relay_calls_total", "Batches sent to relays."),
-		lost:     counter("relays_lost_total", "Relay calls that ended without a last word on every shard."),
-		hedges:   counter("relay_hedges_total", "Relay calls whose open shards were asked of another relay as well."),
-		restarts: counter("snapshot_restarts_total", "Searches that left a snapshot which a shard's targets no longer held."),
+		attempts:         counter("attempts_total", "Shard attempts sent to targets, hedges and retries included."),
+		neededAnswers:    counter("needed_total", "Shard answers that answered searches needed."),
+		relayCalls:       counter("relay_calls_total", "Batches sent to relays."),
+		relaysLost:       counter("relays_lost_total", "Relay calls that ended without a last word on every shard."),
+		relayHedges:      counter("relay_hedges_total", "Relay calls whose open shards were asked of another relay as well."),
+		snapshotRestarts: counter("snapshot_restarts_total", "Searches that left a snapshot which a shard's targets no longer held."),
 	}
 }
 
 func (m *metrics) observe(d delivery.Delivery) {
 	if d.Reason == query.ReasonUnknownService || d.Reason == query.ReasonBadRequest {
-		d.Service = "" // a caller's free text must not become a label
+		d.Service = "" // the name comes from the caller and must not become a label
 	}
-	m.requests.WithLabelValues(d.Service, d.Outcome.String(), string(d.Reason), bandOf(d.Coverage)).Inc()
+	m.requests.WithLabelValues(d.Service, d.Outcome.String(), string(d.Reason), coverageBand(d.Coverage)).Inc()
 	m.latency.WithLabelValues(d.Service).Observe(d.Latency.Seconds())
 	m.attempts.Add(float64(d.Attempts))
-	m.needed.Add(float64(d.Needed))
+	m.neededAnswers.Add(float64(d.Needed))
 }
 
-// bandOf returns the label of a coverage in metrics.
-func bandOf(coverage float64) string {
+// coverageBand returns the value of the coverage label.
+func coverageBand(coverage float64) string {
 	switch {
 	case coverage >= 1:
 		return "complete"
--- a/internal/entry/reserve.go
+++ b/internal/entry/reserve.go
@@ -14,9 +14,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Reserve runs a reservation to its final word. The claim record under the
-// reservation id arbitrates, so a lost relay may be followed by another; what
-// the lost one did is then part of the outcome.
+// Reserve sends a reservation to its relays until one returns a final result. The
+// claim record of the reservation id prevents a second execution, so another
+// relay may be tried after one was lost; the outcome then includes what the
+// lost relay may have done.
 func (e *Entry) Reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
 	start := time.Now()
 	result, refusal := e.reserve(ctx, r)
@@ -55,49 +56,50 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, budget)
 	defer cancel()
-	last := query.Reservation{Outcome: outcome.NotSent, Reason: query.ReasonNoRelay}
+	combined := query.Reservation{Outcome: outcome.NotSent, Reason: query.ReasonNoRelay}
 	var tried []string
 	for n := 1; n <= e.cfg.MaxRelays; n++ {
-		h, ok := e.reserveRelay(r, tried)
+		h, ok := e.chooseReserveRelay(r, tried)
 		if !ok {
 			break
 		}
 		tried = append(tried, h.ID)
-		next, lost := e.reserveAt(ctx, h, r, n == e.cfg.MaxRelays)
-		last = follow(last, next)
-		if !lost || ctx.Err() != nil {
+		next, unavailable := e.reserveOnRelay(ctx, h, r, n == e.cfg.MaxRelays)
+		combined = combineReservations(combined, next)
+		if !unavailable || ctx.Err() != nil {
 			break
 		}
-		e.router.lost(h.ID, time.Now())
-		e.metrics.lost.Inc()
+		e.router.callLost(h.ID, time.Now())
+		e.metrics.relaysLost.Inc()
 	}
-	return last, nil
+	return combined, nil
 }
 
-// reserveAt asks one relay and reports whether it was lost, so that another
-// may know or do more. A remote relay that is not the last gets a part of the
-// time: a frozen one must leave some to ask another.
-func (e *Entry) reserveAt(ctx context.Context, h member.Host, r query.Reserve, final bool) (query.Reservation, bool) {
+// reserveOnRelay sends the reservation to one relay and reports whether another
+// relay should be tried. A remote relay that is not the last try gets only the
+// HedgeRelayAfter fraction of the time, so that some is left for another relay
+// if it does not respond.
+func (e *Entry) reserveOnRelay(ctx context.Context, h member.Host, r query.Reserve, lastTry bool) (query.Reservation, bool) {
 	r.Budget = remaining(ctx)
 	if allowance := e.cfg.HopAllowance.Std(); r.Budget > 2*allowance {
 		r.Budget -= allowance
 	}
-	if !final && h.ID != e.members.Self().ID {
+	if !lastTry && h.ID != e.members.Self().ID {
 		timeout := time.Duration(e.cfg.HedgeRelayAfter * float64(remaining(ctx)))
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	e.router.begin(h.ID)
-	defer e.router.end(h.ID)
+	e.router.callStarted(h.ID)
+	defer e.router.callEnded(h.ID)
 	result := e.relays.Reserver(h).Reserve(ctx, r)
-	late := ctx.Err() != nil && result.Outcome == outcome.Unknown
-	return result, late || relayLost(result)
+	timedOut := ctx.Err() != nil && result.Outcome == outcome.Unknown
+	return result, timedOut || relayUnavailable(result)
 }
 
-// relayLost reports whether the relay could not be reached, was lost, is
-// leaving, or has not learned of the service yet.
-func relayLost(r query.Reservation) bool {
+// relayUnavailable reports whether the relay could not be reached, was lost, is
+// leaving or stale, or does not have the service in its configuration yet.
+func relayUnavailable(r query.Reservation) bool {
 	switch r.Reason {
 	case query.ReasonConnection, query.ReasonDraining, query.ReasonStale, query.ReasonNotRelay,
 		query.ReasonNoSnapshot, query.ReasonUnknownService:
@@ -106,40 +108,41 @@
 	return false
 }
 
-// follow combines the words of two relays on one reservation. A relay that may
-// have run it makes any later "not run" unknown.
-func follow(last, next query.Reservation) query.Reservation {
-	if next.Outcome.NotRun() && !last.Outcome.NotRun() {
-		return last
+// combineReservations combines the results of two relays for one reservation. If
+// an earlier relay may have run it, a later "not run" does not change that.
+func combineReservations(combined, next query.Reservation) query.Reservation {
+	if next.Outcome.NotRun() && !combined.Outcome.NotRun() {
+		return combined
 	}
-	next.Outcome = outcome.Combine(last.Outcome, next.Outcome)
+	next.Outcome = outcome.Combine(combined.Outcome, next.Outcome)
 	return next
 }
 
-// reserveRelay returns the relay to be asked next. Repeats of one id meet at
-// the same relay, where they join; relays that were lost of late come last,
-// and then the successors of those tried.
-func (e *Entry) reserveRelay(r query.Reserve, tried []string) (member.Host, bool) {
+// chooseReserveRelay returns the next relay to try. Repeats of one reservation id
+// go to the same relay, which joins them. Avoided relays come last, followed
+// by the successors of those tried.
+func (e *Entry) chooseReserveRelay(r query.Reserve, tried []string) (member.Host, bool) {
 	now := time.Now()
 	for _, hosts := range [][]member.Host{e.router.candidates(r.Service), e.router.successors(r.Service, tried)} {
-		left := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return slices.Contains(tried, h.ID) })
-		if len(left) > 0 {
-			return slices.MinFunc(left, e.byReservation(r.ReservationID, now)), true
+		untried := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return slices.Contains(tried, h.ID) })
+		if len(untried) > 0 {
+			return slices.MinFunc(untried, e.reservationOrder(r.ReservationID, now)), true
 		}
 	}
 	return member.Host{}, false
 }
 
-// byReservation orders relays for a reservation id.
-func (e *Entry) byReservation(id string, now time.Time) func(a, b member.Host) int {
+// reservationOrder returns a comparison of relays for a reservation id: those
+// not avoided first, then by rendezvous weight.
+func (e *Entry) reservationOrder(id string, now time.Time) func(a, b member.Host) int {
 	weight := func(h member.Host) uint64 { return xxhash.Sum64String(id + "\x00" + h.ID) }
-	late := func(h member.Host) int {
+	avoidedRank := func(h member.Host) int {
 		if e.router.avoided(h.ID, now) {
 			return 1
 		}
 		return 0
 	}
 	return func(a, b member.Host) int {
-		return cmp.Or(cmp.Compare(late(a), late(b)), cmp.Compare(weight(b), weight(a)))
+		return cmp.Or(cmp.Compare(avoidedRank(a), avoidedRank(b)), cmp.Compare(weight(b), weight(a)))
 	}
 }
--- a/internal/entry/reserve_test.go
+++ b/internal/entry/reserve_test.go
@@ -14,30 +14,30 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-func testutilCount(c prometheus.Counter) float64 { return testutil.ToFloat64(c) }
+func counterValue(c prometheus.Counter) float64 { return testutil.ToFloat64(c) }
 
-var oneReservation = query.Reserve{RequestID: "r1", Caller: "guest", ReservationID: "01J", Service: "guest-portal-00", Item: "pressure cooker"}
+var testReservation = query.Reserve{RequestID: "r1", Caller: "guest", ReservationID: "01J", Service: "guest-portal-00", Item: "pressure cooker"}
 
-// TestReserveOverTwoRelays tries every pair of words of a first relay that was
-// lost and a second one. A relay that may have run the reservation makes a
-// later "not run" unknown.
+// TestReserveOverTwoRelays runs every pair of outcomes of a first relay that was
+// lost and a second one. If the first may have run the reservation, a later
+// "not run" must not be reported to the caller.
 func TestReserveOverTwoRelays(t *testing.T) {
 	is := is.New(t)
 	all := []outcome.Outcome{outcome.NotSent, outcome.Rejected, outcome.Failed, outcome.Unknown, outcome.Done}
 	for _, first := range all {
 		for _, second := range all {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(2, 2, 1)
-				e := w.entry()
-				one, _ := e.reserveRelay(oneReservation, nil)
-				two, _ := e.reserveRelay(oneReservation, []string{one.ID})
-				w.relays[one.ID].reserve = func() query.Reservation {
+				cluster := newCluster(2, 2, 1)
+				e := cluster.entry()
+				one, _ := e.chooseReserveRelay(testReservation, nil)
+				two, _ := e.chooseReserveRelay(testReservation, []string{one.ID})
+				cluster.relays[one.ID].reserve = func() query.Reservation {
 					return query.Reservation{Outcome: first, Reason: query.ReasonConnection}
 				}
-				w.relays[two.ID].reserve = func() query.Reservation {
+				cluster.relays[two.ID].reserve = func() query.Reservation {
 					return query.Reservation{Outcome: second, Reason: query.ReasonOverload}
 				}
-				got, refusal := e.Reserve(context.Background(), oneReservation)
+				got, refusal := e.Reserve(context.Background(), testReservation)
 				if first == outcome.Done {
 					is.Equal(got.Outcome, outcome.Done)
 					return
@@ -52,22 +52,22 @@
 	}
 }
 
-// TestReserveFrozenRelay freezes the relay that is asked first: another one is
-// asked within the budget.
+// TestReserveFrozenRelay freezes the relay that is tried first: another one must
+// answer within the budget.
 func TestReserveFrozenRelay(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(3, 3, 1)
-		e := w.entry()
-		for _, r := range w.relays {
+		cluster := newCluster(3, 3, 1)
+		e := cluster.entry()
+		for _, r := range cluster.relays {
 			r.reserve = func() query.Reservation { return query.Reservation{Outcome: outcome.Done, Granted: true} }
 		}
-		r := oneReservation
-		first, _ := e.reserveRelay(r, nil)
-		for ; first.ID == w.hosts[0].ID; first, _ = e.reserveRelay(r, nil) {
+		r := testReservation
+		first, _ := e.chooseReserveRelay(r, nil)
+		for ; first.ID == cluster.hosts[0].ID; first, _ = e.chooseReserveRelay(r, nil) {
 			r.ReservationID += "a"
 		}
-		w.relays[first.ID].frozen = true
+		cluster.relays[first.ID].frozen = true
 		start := time.Now()
 		got, refusal := e.Reserve(context.Background(), r)
 		is.True(refusal == nil)
@@ -76,22 +76,23 @@
 	})
 }
 
-// TestOnlyRelayDoesNotKnowTheService has the one relay of a service refuse, as
-// a host does that has just started: its successor is asked.
-func TestOnlyRelayDoesNotKnowTheService(t *testing.T) {
+// TestSuccessorReplacesOnlyRelay has the only relay of a service refuse it as
+// unknown, as a host does that has just started: the entry must try the
+// successor of the relay.
+func TestSuccessorReplacesOnlyRelay(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(3, 1, 4)
-		e := w.entry()
-		for _, r := range w.relays {
+		cluster := newCluster(3, 1, 4)
+		e := cluster.entry()
+		for _, r := range cluster.relays {
 			r.reserve = func() query.Reservation { return query.Reservation{Outcome: outcome.Done, Granted: true} }
 		}
-		only := w.relays[e.router.candidates("guest-portal-00")[0].ID]
+		only := cluster.relays[e.router.candidates("guest-portal-00")[0].ID]
 		only.refuse = query.ReasonUnknownService
 		only.reserve = func() query.Reservation { return query.Reservation{Reason: query.ReasonUnknownService} }
-		answer, _ := e.Search(context.Background(), wholeWorkload)
+		answer, _ := e.Search(context.Background(), workloadSearch)
 		is.True(answer != nil && answer.Coverage.Complete())
-		got, refusal := e.Reserve(context.Background(), oneReservation)
+		got, refusal := e.Reserve(context.Background(), testReservation)
 		is.True(refusal == nil)
 		is.True(got.Granted)
 	})
--- a/internal/entry/scatter.go
+++ b/internal/entry/scatter.go
@@ -9,34 +9,34 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// scatter runs one search in one snapshot: it groups shards by relay, asks the
-// relays side by side and merges their results. One goroutine, that of run,
-// owns its state; the relay calls send it messages.
+// scatter runs one search in one snapshot: it groups the shards by relay, calls
+// the relays concurrently and merges their results. Its state is used only by
+// the goroutine of run; the relay calls send their results to the mailbox.
 type scatter struct {
-	entry    *Entry
-	search   query.Search
-	urgency  query.Urgency
-	snapshot uint64
-	workload string
-	merge    *merge
-	chosen   map[string]bool // hosts asked for any shard
-	calls    map[*call]bool
-	mailbox  *mailbox
-	last     bool // no other snapshot is left to try
-	overdue  bool // the budget ended with shards open
+	entry           *Entry
+	search          query.Search
+	urgency         query.Urgency
+	snapshot        uint64
+	workload        string
+	merger          *merger
+	contacted       map[string]bool // hosts that were sent any shard
+	running         map[*call]bool
+	mailbox         *mailbox
+	lastSnapshot    bool // no other snapshot will be tried
+	budgetExhausted bool // the budget ended while shards were open
 }
 
-// call is one batch asked of one relay.
+// call is one batch sent to one relay.
 type call struct {
-	host member.Host
-	keys []query.ShardKey // asked for
-	left int              // shards without the relay's last word
-	at   time.Time        // when it began
-	late bool             // its shards were asked of another relay as well
-	told bool             // its last word on every shard was noted
+	host          member.Host
+	keys          []query.ShardKey // shards in the batch
+	pendingShards int              // number of shards without a final result
+	startedAt     time.Time        // when it began
+	hedged        bool             // it was late and its open shards were sent to another relay as well
+	completed     bool             // every shard has a final result
 }
 
-// message is what a relay call sends: a result, or its end.
+// message is a result of a relay call, or its end.
 type message struct {
 	call   *call
 	result query.ShardResult
@@ -44,185 +44,191 @@
 	err    error
 }
 
-// verdict tells how a scatter ended.
-type verdict uint8
+// runStatus is the reason why run, or the processing of messages, ended.
+type runStatus uint8
 
 const (
-	verdictAnswered verdict = iota // nothing is left open, or nothing more can help
-	verdictUnheld                  // a shard's targets no longer hold the snapshot
-	verdictDeadline                // the budget ended
+	statusDecided         runStatus = iota // no shard is open, or the minimum coverage is out of reach
+	statusSnapshotNotHeld                  // a shard's targets no longer hold the snapshot; another may be tried
+	statusDeadline                         // the budget ended
 )
 
-// run asks every shard of the parts and returns as soon as the search is
-// decided. Relay calls that are still running then are cancelled and not
-// waited for. On the last snapshot to be tried, a shard that is not held is
-// missing and ends nothing.
-func (s *scatter) run(ctx context.Context) verdict {
+// run requests every shard and returns as soon as the search is decided. It
+// cancels the relay calls that are still running then and does not wait for
+// them. On the last snapshot to be tried, a shard whose snapshot is not held is
+// reported as missing and does not end the run.
+func (s *scatter) run(ctx context.Context) runStatus {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	all := make([]*slot, len(s.merge.slots))
+	all := make([]*shardState, len(s.merger.shards))
 	for i := range all {
-		all[i] = &s.merge.slots[i]
+		all[i] = &s.merger.shards[i]
 	}
-	s.ask(ctx, all)
-	latest := time.Now().Add(s.hedgeAfter(ctx))
-	timer := time.NewTimer(s.untilLate(latest))
+	s.dispatch(ctx, all)
+	hedgeDeadline := time.Now().Add(s.maxHedgeDelay(ctx))
+	timer := time.NewTimer(s.hedgeCheckDelay(hedgeDeadline))
 	defer timer.Stop()
-	defer s.noteLate()
+	defer s.observeHedgedCalls()
 	var batch []message
 	for !s.decided() {
 		select {
-		case <-s.mailbox.bell:
-			batch = s.mailbox.take(batch)
-			if s.receiveAll(ctx, batch) == verdictUnheld {
-				return verdictUnheld
+		case <-s.mailbox.ready:
+			batch = s.mailbox.takeAll(batch)
+			if s.receiveAll(ctx, batch) == statusSnapshotNotHeld {
+				return statusSnapshotNotHeld
 			}
 		case <-timer.C:
 			now := time.Now()
-			s.hedge(ctx, now, !now.Before(latest))
-			if now.Before(latest) {
-				timer.Reset(latest.Sub(now))
+			s.hedge(ctx, now, !now.Before(hedgeDeadline))
+			if now.Before(hedgeDeadline) {
+				timer.Reset(hedgeDeadline.Sub(now))
 			}
 		case <-ctx.Done():
 			s.drain()
-			s.overdue = s.merge.open > 0
-			return verdictDeadline
+			s.budgetExhausted = s.merger.openCount > 0
+			return statusDeadline
 		}
 	}
 	s.drain()
-	return verdictAnswered
+	return statusDecided
 }
 
-// decided reports whether no message can change the answer: nothing is open,
-// or the minimum is out of reach.
+// decided reports whether further results are not needed: no shard is open, or
+// the minimum coverage is out of reach.
 func (s *scatter) decided() bool {
-	return s.merge.open == 0 || s.merge.reachable() < s.search.MinCoverage
+	return s.merger.openCount == 0 || s.merger.reachableCoverage() < s.search.MinCoverage
 }
 
-// receiveAll takes messages until the search is decided; what comes after
-// that only counts.
-func (s *scatter) receiveAll(ctx context.Context, batch []message) verdict {
+// receiveAll processes messages until the search is decided. Later results are
+// merged without sending further requests.
+func (s *scatter) receiveAll(ctx context.Context, batch []message) runStatus {
 	for i, m := range batch {
 		if s.decided() {
-			s.count(batch[i:])
+			s.addResults(batch[i:])
 			break
 		}
-		if s.receive(ctx, m) == verdictUnheld {
-			s.count(batch[i+1:])
-			return verdictUnheld
+		if s.receive(ctx, m) == statusSnapshotNotHeld {
+			s.addResults(batch[i+1:])
+			return statusSnapshotNotHeld
 		}
 	}
-	return verdictAnswered
+	return statusDecided
 }
 
-// drain takes the results that had arrived when the search was decided.
-func (s *scatter) drain() { s.count(s.mailbox.take(nil)) }
+// drain merges the results that had arrived when the search was decided.
+func (s *scatter) drain() { s.addResults(s.mailbox.takeAll(nil)) }
 
-// count takes results without asking any relay again.
-func (s *scatter) count(batch []message) {
+// addResults merges results without sending further requests.
+func (s *scatter) addResults(batch []message) {
 	for _, m := range batch {
 		if !m.end {
-			s.offer(m)
+			s.addResult(m)
 		}
 	}
 }
 
-// offer merges a result and notes when it was the last of its call. The end
-// of the call itself often comes when the search is decided.
-func (s *scatter) offer(m message) *slot {
-	sl := s.merge.offer(m.call, m.result)
-	if m.call.left == 0 && !m.call.told {
-		m.call.told = true
-		s.answered(m.call)
+// addResult merges a result and completes its call after the last one. It does
+// not wait for the end message of the call, which often arrives after the
+// search is decided.
+func (s *scatter) addResult(m message) *shardState {
+	shard := s.merger.addResult(m.call, m.result)
+	if m.call.pendingShards == 0 && !m.call.completed {
+		m.call.completed = true
+		s.callCompleted(m.call)
 	}
-	return sl
+	return shard
 }
 
-// hedgeAfter returns after what time open shards are asked of another relay at
-// the latest.
-func (s *scatter) hedgeAfter(ctx context.Context) time.Duration {
+// maxHedgeDelay returns the delay after which open shards are sent to another
+// relay even if their calls are not late by their usual latency.
+func (s *scatter) maxHedgeDelay(ctx context.Context) time.Duration {
 	return time.Duration(s.entry.cfg.HedgeRelayAfter * float64(remaining(ctx)))
 }
 
-// untilLate returns when to look for calls that take longer than others do,
-// at the latest at the given time.
-func (s *scatter) untilLate(latest time.Time) time.Duration {
-	left := time.Until(latest)
-	if late, ok := s.entry.latencies.late(s.urgency); ok {
-		return min(late, left)
+// hedgeCheckDelay returns the delay until calls are checked for lateness: the
+// late threshold, but not after the hedge deadline.
+func (s *scatter) hedgeCheckDelay(hedgeDeadline time.Time) time.Duration {
+	untilDeadline := time.Until(hedgeDeadline)
+	if threshold, ok := s.entry.callLatencies.lateThreshold(s.urgency); ok {
+		return min(threshold, untilDeadline)
 	}
-	return left
+	return untilDeadline
 }
 
-// noteLate tells how long the late calls took so far, as the search is over.
-func (s *scatter) noteLate() {
-	for c := range s.calls {
-		if c.late && !c.told {
-			s.entry.latencies.took(s.urgency, time.Since(c.at))
+// observeHedgedCalls records the time that hedged calls took so far, as the
+// search does not wait for their end.
+func (s *scatter) observeHedgedCalls() {
+	for c := range s.running {
+		if c.hedged && !c.completed {
+			s.entry.callLatencies.observe(s.urgency, time.Since(c.startedAt))
 		}
 	}
 }
 
-// ask chooses a relay for each shard and starts one call a relay. Shards with
-// no relay left are settled.
-func (s *scatter) ask(ctx context.Context, slots []*slot) {
+// dispatch chooses a relay for each shard and starts one call per relay. Shards
+// without an untried relay are closed unless another call may answer them.
+func (s *scatter) dispatch(ctx context.Context, shards []*shardState) {
 	calls := make(map[string]*call)
-	first := make(map[string]member.Host) // relay of a service's shards that were not asked for yet
+	relayOf := make(map[string]member.Host) // by service, for shards that were sent to no relay yet
 	now := time.Now()
-	for _, sl := range slots {
-		h, ok := first[sl.key.Service]
-		if !ok || len(sl.tried) > 0 {
-			h, ok = s.relayFor(sl, now)
+	for _, shard := range shards {
+		h, ok := relayOf[shard.key.Service]
+		if !ok || len(shard.triedHosts) > 0 {
+			h, ok = s.relayFor(shard, now)
 		}
 		if !ok {
-			s.merge.settle(sl)
+			s.merger.closeIfExhausted(shard)
 			continue
 		}
-		if len(sl.tried) == 0 {
-			first[sl.key.Service] = h
+		if len(shard.triedHosts) == 0 {
+			relayOf[shard.key.Service] = h
 		}
 		c := calls[h.ID]
 		if c == nil {
 			c = &call{host: h}
 			calls[h.ID] = c
-			s.chosen[h.ID] = true
+			s.contacted[h.ID] = true
 		}
-		c.keys = append(c.keys, sl.key)
-		sl.ask(c)
+		c.keys = append(c.keys, shard.key)
+		shard.addCall(c)
 	}
 	for _, c := range calls {
-		s.start(ctx, c)
+		s.startCall(ctx, c)
 	}
 }
 
-func (s *scatter) relayFor(sl *slot, now time.Time) (member.Host, bool) {
-	if len(sl.tried) >= s.entry.cfg.MaxRelays {
+// relayFor returns an untried relay for the shard; false if there is none or
+// MaxRelays were tried.
+func (s *scatter) relayFor(shard *shardState, now time.Time) (member.Host, bool) {
+	if len(shard.triedHosts) >= s.entry.cfg.MaxRelays {
 		return member.Host{}, false
 	}
-	return s.entry.router.choose(sl.key.Service, now, choice{tried: sl.tried, chosen: s.chosen})
+	return s.entry.router.choose(shard.key.Service, now, relayChoice{triedHosts: shard.triedHosts, contacted: s.contacted})
 }
 
-// start runs a relay call in its own goroutine.
-func (s *scatter) start(ctx context.Context, c *call) {
-	s.calls[c] = true
-	c.at = time.Now()
-	batch := s.batch(ctx, c)
+// startCall runs a relay call in its own goroutine.
+func (s *scatter) startCall(ctx context.Context, c *call) {
+	s.running[c] = true
+	c.startedAt = time.Now()
+	batch := s.newBatch(ctx, c)
 	searcher := s.entry.relays.Searcher(c.host)
-	s.entry.router.begin(c.host.ID)
-	s.entry.metrics.calls.Inc()
-	if s.remote(c) {
-		s.entry.latencies.began(c.at, s.urgency)
+	s.entry.router.callStarted(c.host.ID)
+	s.entry.metrics.relayCalls.Inc()
+	if s.isRemote(c) {
+		s.entry.callLatencies.callStarted(c.startedAt, s.urgency)
 	}
 	go func() {
-		defer s.entry.router.end(c.host.ID)
+		defer s.entry.router.callEnded(c.host.ID)
 		err := searcher.Search(ctx, batch, func(r query.ShardResult) {
-			s.mailbox.put(message{call: c, result: r})
+			s.mailbox.add(message{call: c, result: r})
 		})
-		s.mailbox.put(message{call: c, end: true, err: err})
+		s.mailbox.add(message{call: c, end: true, err: err})
 	}()
 }
 
-func (s *scatter) batch(ctx context.Context, c *call) query.Batch {
+// newBatch returns the batch of a call, with the remaining budget less the hop
+// allowance.
+func (s *scatter) newBatch(ctx context.Context, c *call) query.Batch {
 	budget := remaining(ctx)
 	if allowance := s.entry.cfg.HopAllowance.Std(); budget > 2*allowance {
 		budget -= allowance
@@ -236,37 +242,37 @@
 		Text:      s.search.Text,
 		Limit:     s.search.Limit,
 		Budget:    budget,
-		Parts:     partsOf(c.keys),
+		Parts:     groupByService(c.keys),
 	}
 }
 
-// receive takes one message of a relay call.
-func (s *scatter) receive(ctx context.Context, m message) verdict {
+// receive processes one message of a relay call.
+func (s *scatter) receive(ctx context.Context, m message) runStatus {
 	if m.end {
-		s.finish(ctx, m)
-		return verdictAnswered
+		s.callEnded(ctx, m)
+		return statusDecided
 	}
-	sl := s.offer(m)
-	if sl == nil || sl.answered {
-		return verdictAnswered
+	shard := s.addResult(m)
+	if shard == nil || shard.answered {
+		return statusDecided
 	}
-	reason := sl.result.Reason
-	if reason == query.ReasonSnapshotNotHeld && !s.last {
-		return verdictUnheld
+	reason := shard.lastFailure.Reason
+	if reason == query.ReasonSnapshotNotHeld && !s.lastSnapshot {
+		return statusSnapshotNotHeld
 	}
 	if reason == query.ReasonOverload {
-		s.entry.latencies.overloaded(time.Now(), s.urgency)
+		s.entry.callLatencies.overloadRefused(time.Now(), s.urgency)
 	}
-	if relaysFault(reason) {
-		s.ask(ctx, []*slot{sl})
+	if retryOnOtherRelay(reason) {
+		s.dispatch(ctx, []*shardState{shard})
 	}
-	s.merge.settle(sl)
-	return verdictAnswered
+	s.merger.closeIfExhausted(shard)
+	return statusDecided
 }
 
-// relaysFault reports whether another relay may do better: the relay itself
-// refused, does not know the snapshot yet, or answered from another one.
-func relaysFault(r query.Reason) bool {
+// retryOnOtherRelay reports whether another relay may succeed: the relay itself
+// refused, does not have the service or the snapshot yet, or sent a bad answer.
+func retryOnOtherRelay(r query.Reason) bool {
 	switch r {
 	case query.ReasonNotRelay, query.ReasonNoSnapshot, query.ReasonUnknownService,
 		query.ReasonStale, query.ReasonDraining, query.ReasonBadAnswer:
@@ -275,60 +281,60 @@
 	return false
 }
 
-// finish takes the end of a relay call. Shards without a last word may have
-// run; searches are idempotent, so they are asked of another relay.
-func (s *scatter) finish(ctx context.Context, m message) {
-	delete(s.calls, m.call)
-	if m.call.left == 0 {
+// callEnded processes the end of a relay call. Shards without a final result may
+// have run; as searches are idempotent, they are sent to another relay.
+func (s *scatter) callEnded(ctx context.Context, m message) {
+	delete(s.running, m.call)
+	if m.call.pendingShards == 0 {
 		return
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	s.entry.router.lost(m.call.host.ID, time.Now())
-	s.entry.metrics.lost.Inc()
-	open := s.merge.openOf(m.call)
-	for _, sl := range open {
-		s.merge.offer(m.call, query.ShardResult{Key: sl.key, Outcome: outcome.Unknown, Reason: query.ReasonConnection})
+	s.entry.router.callLost(m.call.host.ID, time.Now())
+	s.entry.metrics.relaysLost.Inc()
+	unanswered := s.merger.unansweredOf(m.call)
+	for _, shard := range unanswered {
+		s.merger.addResult(m.call, query.ShardResult{Key: shard.key, Outcome: outcome.Unknown, Reason: query.ReasonConnection})
 	}
-	s.ask(ctx, open)
-	for _, sl := range open {
-		s.merge.settle(sl)
+	s.dispatch(ctx, unanswered)
+	for _, shard := range unanswered {
+		s.merger.closeIfExhausted(shard)
 	}
 }
 
-// answered takes a call that gave its last word on every shard. One that was
-// late shows no more than that its relay is slow.
-func (s *scatter) answered(c *call) {
-	if s.remote(c) {
-		s.entry.latencies.took(s.urgency, time.Since(c.at))
+// callCompleted records the latency of a call that returned a final result for
+// every shard. It ends the avoidance of the relay unless the call was late.
+func (s *scatter) callCompleted(c *call) {
+	if s.isRemote(c) {
+		s.entry.callLatencies.observe(s.urgency, time.Since(c.startedAt))
 	}
-	if !c.late {
-		s.entry.router.answered(c.host.ID)
+	if !c.hedged {
+		s.entry.router.callAnswered(c.host.ID)
 	}
 }
 
-// remote reports whether the relay is on another host; this host's own hedges
-// by itself.
-func (s *scatter) remote(c *call) bool { return c.host.ID != s.entry.members.Self().ID }
+// isRemote reports whether the relay is on another host. The local relay hedges
+// its own attempts, so calls to it are neither hedged nor measured.
+func (s *scatter) isRemote(c *call) bool { return c.host.ID != s.entry.members.Self().ID }
 
-// hedge asks other relays for the shards that slow remote relays left
-// open. Before the latest time for it that takes from a budget. The first valid
-// answer counts, whoever gives it.
-func (s *scatter) hedge(ctx context.Context, now time.Time, ended bool) {
-	var again []*slot
-	for c := range s.calls {
-		if c.late || !s.remote(c) {
+// hedge sends the unanswered shards of late remote calls to other relays as well.
+// Before the hedge deadline this is limited by the budget for early hedges. The
+// first valid answer for a shard is used, from whichever relay.
+func (s *scatter) hedge(ctx context.Context, now time.Time, deadlinePassed bool) {
+	var toHedge []*shardState
+	for c := range s.running {
+		if c.hedged || !s.isRemote(c) {
 			continue
 		}
-		open := s.merge.openOf(c)
-		if len(open) == 0 || (!ended && !s.entry.latencies.take(now, s.urgency)) {
+		unanswered := s.merger.unansweredOf(c)
+		if len(unanswered) == 0 || (!deadlinePassed && !s.entry.callLatencies.takeEarlyHedge(now, s.urgency)) {
 			continue
 		}
-		c.late = true
-		again = append(again, open...)
-		s.entry.router.lost(c.host.ID, now)
-		s.entry.metrics.hedges.Inc()
+		c.hedged = true
+		toHedge = append(toHedge, unanswered...)
+		s.entry.router.callLost(c.host.ID, now)
+		s.entry.metrics.relayHedges.Inc()
 	}
-	s.ask(ctx, again)
+	s.dispatch(ctx, toHedge)
 }
--- a/internal/entry/scope.go
+++ b/internal/entry/scope.go
@@ -10,39 +10,40 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// scope is what a search asks: one service, or a whole workload.
-type scope struct {
-	workload string
-	service  string // empty for the whole workload
-	urgency  query.Urgency
-	budget   time.Duration // default budget
+// searchScope is the set of services that a search covers: one service or a
+// whole workload.
+type searchScope struct {
+	workload      string
+	service       string // empty for the whole workload
+	urgency       query.Urgency
+	defaultBudget time.Duration
 }
 
-// scope resolves the names of a search.
-func (e *Entry) scope(q query.Search) (scope, *query.Refusal) {
+// resolveScope looks up the service or workload of a search.
+func (e *Entry) resolveScope(q query.Search) (searchScope, *query.Refusal) {
 	if (q.Service == "") == (q.Workload == "") {
-		return scope{}, e.refuse(query.ReasonBadRequest, outcome.NotSent, "name either a service or a workload")
+		return searchScope{}, e.refuse(query.ReasonBadRequest, outcome.NotSent, "name either a service or a workload")
 	}
 	if q.Service != "" {
 		s, ok := e.catalog.Service(q.Service)
 		if !ok {
-			return scope{}, e.refuse(query.ReasonUnknownService, outcome.NotSent, "no service "+q.Service)
+			return searchScope{}, e.refuse(query.ReasonUnknownService, outcome.NotSent, "no service "+q.Service)
 		}
-		return scope{workload: s.Workload, service: s.Name, urgency: s.Urgency, budget: s.Rules.DefaultBudget.Std()}, nil
+		return searchScope{workload: s.Workload, service: s.Name, urgency: s.Urgency, defaultBudget: s.Rules.DefaultBudget.Std()}, nil
 	}
 	services := e.catalog.Workload(q.Workload)
 	if len(services) == 0 {
-		return scope{}, e.refuse(query.ReasonUnknownService, outcome.NotSent, "no workload "+q.Workload)
+		return searchScope{}, e.refuse(query.ReasonUnknownService, outcome.NotSent, "no workload "+q.Workload)
 	}
-	sc := scope{workload: q.Workload, urgency: services[0].Urgency}
+	sc := searchScope{workload: q.Workload, urgency: services[0].Urgency}
 	for _, s := range services {
-		sc.budget = max(sc.budget, s.Rules.DefaultBudget.Std())
+		sc.defaultBudget = max(sc.defaultBudget, s.Rules.DefaultBudget.Std())
 	}
 	return sc, nil
 }
 
-// name returns what was asked, for a person.
-func (s scope) name() string {
+// describe returns a readable description for refusals.
+func (s searchScope) describe() string {
 	if s.service != "" {
 		return "service " + s.service
 	}
@@ -50,7 +51,7 @@
 }
 
 // coveredBy reports whether the snapshot has a shard map for the scope.
-func (s scope) coveredBy(snap catalog.Snapshot) bool {
+func (s searchScope) coveredBy(snap catalog.Snapshot) bool {
 	if s.service == "" {
 		return len(snap.Services) > 0
 	}
@@ -58,9 +59,9 @@
 	return ok
 }
 
-// parts returns every shard of the scope in the snapshot. The snapshot alone
-// says which services and shards there are, so that coverage has one meaning.
-func (s scope) parts(snap catalog.Snapshot) []query.Part {
+// parts returns every shard of the scope in the snapshot. Services and shards
+// come from the snapshot alone, so coverage is always relative to its map.
+func (s searchScope) parts(snap catalog.Snapshot) []query.Part {
 	var parts []query.Part
 	for name, m := range snap.Services {
 		if s.service != "" && s.service != name {
@@ -81,13 +82,12 @@
 	return parts
 }
 
-// unheldSnapshots remembers for a short time which snapshots were found not
-// held, so that the next searches do not start on them. It is safe for
-// concurrent use.
-type unheldSnapshots struct {
-	span time.Duration
-	mu   sync.Mutex
-	at   map[snapshotKey]time.Time
+// notHeldCache keeps the snapshots that targets recently reported as not held, so
+// that the next searches do not start on them. It is safe for concurrent use.
+type notHeldCache struct {
+	ttl    time.Duration
+	mu     sync.Mutex
+	seenAt map[snapshotKey]time.Time
 }
 
 type snapshotKey struct {
@@ -95,20 +95,20 @@
 	id       uint64
 }
 
-func (u *unheldSnapshots) note(workload string, id uint64, now time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for k, t := range u.at {
-		if now.Sub(t) > u.span {
-			delete(u.at, k)
+func (c *notHeldCache) add(workload string, id uint64, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for k, t := range c.seenAt {
+		if now.Sub(t) > c.ttl {
+			delete(c.seenAt, k)
 		}
 	}
-	u.at[snapshotKey{workload, id}] = now
+	c.seenAt[snapshotKey{workload, id}] = now
 }
 
-func (u *unheldSnapshots) recent(workload string, id uint64, now time.Time) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	t, ok := u.at[snapshotKey{workload, id}]
-	return ok && now.Sub(t) <= u.span
+func (c *notHeldCache) contains(workload string, id uint64, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t, ok := c.seenAt[snapshotKey{workload, id}]
+	return ok && now.Sub(t) <= c.ttl
 }
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -11,9 +11,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Search answers a search from one snapshot, or refuses it. Exactly one of the
-// results is set. It returns as soon as the answer is decided, and no later
-// than the budget ends.
+// Search answers a search from one snapshot or refuses it. Exactly one of the
+// results is set. It returns as soon as the answer is decided, at the latest
+// when the budget ends.
 func (e *Entry) Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal) {
 	start := time.Now()
 	answer, refusal := e.search(ctx, q)
@@ -35,152 +35,153 @@
 }
 
 func (e *Entry) search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal) {
-	scope, refusal := e.scope(q)
+	scope, refusal := e.resolveScope(q)
 	if refusal != nil {
 		return nil, refusal
 	}
-	budget, refusal := e.budget(q.Budget, scope.budget)
+	budget, refusal := e.budget(q.Budget, scope.defaultBudget)
 	if refusal != nil {
 		return nil, refusal
 	}
 	ctx, cancel := context.WithTimeout(ctx, budget)
 	defer cancel()
-	all := e.tryPins(ctx, q, scope)
-	if all.best == nil {
-		return nil, e.refuse(query.ReasonNoSnapshot, outcome.NotSent, "no snapshot covers "+scope.name())
+	runs := e.runOnSnapshots(ctx, q, scope)
+	if runs.best == nil {
+		return nil, e.refuse(query.ReasonNoSnapshot, outcome.NotSent, "no snapshot covers "+scope.describe())
 	}
-	return e.conclude(q, all)
+	return e.response(q, runs)
 }
 
-// trials are the runs of one search, each in another snapshot. Rows of two
-// snapshots are never merged; what ran and what it cost counts for all.
-type trials struct {
-	best     *scatter // the run that reached most
+// searchRuns combines the runs of one search, each in a different snapshot. Rows of
+// two snapshots are never merged; outcome and attempts include all runs.
+type searchRuns struct {
+	best     *scatter // the run with the most answered shards
 	outcome  outcome.Outcome
 	attempts int
 }
 
-func (t *trials) add(s *scatter) {
-	t.outcome = outcome.Combine(t.outcome, s.merge.outcome())
-	t.attempts += s.merge.attempts
-	if t.best == nil || s.merge.answered > t.best.merge.answered {
-		t.best = s
+func (r *searchRuns) add(s *scatter) {
+	r.outcome = outcome.Combine(r.outcome, s.merger.outcome())
+	r.attempts += s.merger.attempts
+	if r.best == nil || s.merger.answeredCount > r.best.merger.answeredCount {
+		r.best = s
 	}
 }
 
-// tryPins runs the search on one snapshot after another until one is held by
-// every shard's targets.
-func (e *Entry) tryPins(ctx context.Context, q query.Search, scope scope) trials {
-	var all trials
+// runOnSnapshots runs the search on one snapshot after another until no shard's
+// targets report that the snapshot is not held.
+func (e *Entry) runOnSnapshots(ctx context.Context, q query.Search, scope searchScope) searchRuns {
+	var runs searchRuns
 	tried := make(map[uint64]bool)
 	for ctx.Err() == nil {
-		pins := e.pinOrder(scope, tried)
-		if len(pins) == 0 {
+		snapshots := e.snapshotOrder(scope, tried)
+		if len(snapshots) == 0 {
 			break
 		}
-		s := e.newScatter(q, scope, pins[0])
-		tried[pins[0].ID] = true
-		s.last = len(pins) == 1 || len(tried) >= e.cfg.MaxSnapshots
-		v := s.run(ctx)
-		all.add(s)
-		if v != verdictUnheld {
+		s := e.newScatter(q, scope, snapshots[0])
+		tried[snapshots[0].ID] = true
+		s.lastSnapshot = len(snapshots) == 1 || len(tried) >= e.cfg.MaxSnapshots
+		status := s.run(ctx)
+		runs.add(s)
+		if status != statusSnapshotNotHeld {
 			break
 		}
-		e.unheld.note(scope.workload, pins[0].ID, time.Now())
-		e.metrics.restarts.Inc()
+		e.notHeld.add(scope.workload, snapshots[0].ID, time.Now())
+		e.metrics.snapshotRestarts.Inc()
 	}
-	return all
+	return runs
 }
 
-// conclude makes the answer, or the refusal if too little was reached.
-func (e *Entry) conclude(q query.Search, all trials) (*query.Answer, *query.Refusal) {
-	s := all.best
-	c := s.merge.coverage()
+// response returns the answer, or a refusal if the coverage is below the minimum.
+func (e *Entry) response(q query.Search, runs searchRuns) (*query.Answer, *query.Refusal) {
+	s := runs.best
+	c := s.merger.coverage()
 	if c.Fraction() < q.MinCoverage {
-		r := e.refuse(s.reason(), all.outcome, "reached less than the minimum coverage")
+		r := e.refuse(s.missingReason(), runs.outcome, "reached less than the minimum coverage")
 		r.Coverage = &c
-		r.RetryAfter = s.retryAfter(r.RetryAfter)
+		r.RetryAfter = s.maxRetryAfter(r.RetryAfter)
 		return nil, r
 	}
 	return &query.Answer{
 		RequestID: q.RequestID,
 		Workload:  s.workload,
 		Snapshot:  s.snapshot,
-		Rows:      s.merge.rows(q.Limit),
-		TotalRows: s.merge.totalRows,
+		Rows:      s.merger.rows(q.Limit),
+		TotalRows: s.merger.totalRows,
 		Coverage:  c,
-		Attempts:  all.attempts,
+		Attempts:  runs.attempts,
 		Needed:    c.Shards,
 	}, nil
 }
 
-// reason returns why most of the missing shards are missing. Shards left open
-// because the minimum was out of reach anyway don't count.
-func (s *scatter) reason() query.Reason {
+// missingReason returns the most frequent reason among the missing shards. Shards
+// that were still open when the minimum went out of reach are not counted.
+func (s *scatter) missingReason() query.Reason {
 	counts := make(map[query.Reason]int)
-	for i := range s.merge.slots {
-		slot := &s.merge.slots[i]
+	for i := range s.merger.shards {
+		shard := &s.merger.shards[i]
 		switch {
-		case slot.answered:
-		case slot.reason == "" && s.overdue:
+		case shard.answered:
+		case shard.reason == "" && s.budgetExhausted:
 			counts[query.ReasonBudget]++
-		case slot.reason != "":
-			counts[slot.reason]++
+		case shard.reason != "":
+			counts[shard.reason]++
 		}
 	}
-	most := query.ReasonCoverage
+	mostFrequent := query.ReasonCoverage
 	for r, n := range counts {
-		if n > counts[most] || (n == counts[most] && r < most) {
-			most = r
+		if n > counts[mostFrequent] || (n == counts[mostFrequent] && r < mostFrequent) {
+			mostFrequent = r
 		}
 	}
-	return most
+	return mostFrequent
 }
 
-// retryAfter returns the longest time that a missing shard asked for.
-func (s *scatter) retryAfter(least time.Duration) time.Duration {
-	for i := range s.merge.slots {
-		if slot := &s.merge.slots[i]; !slot.answered {
-			least = max(least, slot.result.RetryAfter)
+// maxRetryAfter returns the longest retry delay among the missing shards, at
+// least minRetryAfter.
+func (s *scatter) maxRetryAfter(minRetryAfter time.Duration) time.Duration {
+	for i := range s.merger.shards {
+		if shard := &s.merger.shards[i]; !shard.answered {
+			minRetryAfter = max(minRetryAfter, shard.lastFailure.RetryAfter)
 		}
 	}
-	return least
+	return minRetryAfter
 }
 
-func (e *Entry) newScatter(q query.Search, scope scope, snap catalog.Snapshot) *scatter {
+func (e *Entry) newScatter(q query.Search, scope searchScope, snap catalog.Snapshot) *scatter {
 	return &scatter{
-		entry:    e,
-		search:   q,
-		urgency:  scope.urgency,
-		snapshot: snap.ID,
-		workload: scope.workload,
-		merge:    newMerge(snap.ID, scope.parts(snap)),
-		chosen:   make(map[string]bool),
-		calls:    make(map[*call]bool),
-		mailbox:  newMailbox(),
+		entry:     e,
+		search:    q,
+		urgency:   scope.urgency,
+		snapshot:  snap.ID,
+		workload:  scope.workload,
+		merger:    newMerger(snap.ID, scope.parts(snap)),
+		contacted: make(map[string]bool),
+		running:   make(map[*call]bool),
+		mailbox:   newMailbox(),
 	}
 }
 
-// pinOrder returns the untried snapshots that cover the scope in the order in
-// which they are tried: newest first, those that were not held of late last.
-func (e *Entry) pinOrder(s scope, tried map[uint64]bool) []catalog.Snapshot {
+// snapshotOrder returns the untried snapshots that cover the scope in the order in
+// which to try them: newest first, those recently reported as not held last.
+func (e *Entry) snapshotOrder(s searchScope, tried map[uint64]bool) []catalog.Snapshot {
 	now := time.Now()
-	var held, unheld []catalog.Snapshot
+	var preferred, notHeld []catalog.Snapshot
 	for _, snap := range e.catalog.Snapshots(s.workload) {
 		if tried[snap.ID] || !s.coveredBy(snap) {
 			continue
 		}
-		if e.unheld.recent(s.workload, snap.ID, now) {
-			unheld = append(unheld, snap)
+		if e.notHeld.contains(s.workload, snap.ID, now) {
+			notHeld = append(notHeld, snap)
 			continue
 		}
-		held = append(held, snap)
+		preferred = append(preferred, snap)
 	}
-	return append(held, unheld...)
+	return append(preferred, notHeld...)
 }
 
-// partsOf groups shards by service, in the order in which they come.
-func partsOf(keys []query.ShardKey) []query.Part {
+// groupByService groups shards by service, in order of first appearance.
+func groupByService(keys []query.ShardKey) []query.Part {
 	var parts []query.Part
 	index := make(map[string]int)
 	for _, k := range keys {
