--- a/internal/entry/merge.go
+++ b/internal/entry/merge.go
@@ -29,8 +29,8 @@
 	pending     []*call  // calls without a final result for the shard
 	answered    bool
 	rows        []query.Row
-	outcomes    []outcome.Outcome
-	reason      query.Reason
+	outcomes    []outcome.Outcome // of the results without an answer
+	reason      query.Reason      // set when the shard is closed without an answer
 	lastFailure query.ShardResult
 }
 
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// observe counts a completed request.
 func (m *metrics) observe(d delivery.Delivery) {
 	if d.Reason == query.ReasonUnknownService || d.Reason == query.ReasonBadRequest {
 		d.Service = "" // the name comes from the caller and must not become a label
--- a/internal/entry/scatter.go
+++ b/internal/entry/scatter.go
@@ -44,7 +44,8 @@
 	err    error
 }
 
-// runStatus is the reason why run, or the processing of messages, ended.
+// runStatus is the reason why run ended. While messages are processed,
+// statusDecided means that the run is not aborted.
 type runStatus uint8
 
 const (
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -138,14 +138,14 @@
 }
 
 // maxRetryAfter returns the longest retry delay among the missing shards, at
-// least minRetryAfter.
-func (s *scatter) maxRetryAfter(minRetryAfter time.Duration) time.Duration {
+// least the given one.
+func (s *scatter) maxRetryAfter(retryAfter time.Duration) time.Duration {
 	for i := range s.merger.shards {
 		if shard := &s.merger.shards[i]; !shard.answered {
-			minRetryAfter = max(minRetryAfter, shard.lastFailure.RetryAfter)
+			retryAfter = max(retryAfter, shard.lastFailure.RetryAfter)
 		}
 	}
-	return minRetryAfter
+	return retryAfter
 }
 
 func (e *Entry) newScatter(q query.Search, scope searchScope, snap catalog.Snapshot) *scatter {
--- a/internal/plan/trial_test.go
+++ b/internal/plan/trial_test.go
@@ -158,7 +158,7 @@
 }
 
 // balancingWeight returns a weight function: mean work divided by the work of the
-// host, raised to a power.
+// host, both plus 1, raised to a power.
 func balancingWeight(work map[string]int, power float64) func(member.Host) float64 {
 	return func(h member.Host) float64 {
 		total := 0
@@ -222,6 +222,7 @@
 	return float64(maxWork) * benchHosts / float64(total)
 }
 
+// without returns a copy of the hosts without the one at index i.
 func without(hosts []member.Host, i int) []member.Host {
 	left := append([]member.Host(nil), hosts[:i]...)
 	return append(left, hosts[i+1:]...)
