--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -218,7 +218,7 @@
 // TestLostAnswerOfAChangeThatOthersFollowed lets others change the service
 // before the operator can read back.
 func TestLostAnswerOfAChangeThatOthersFollowed(t *testing.T) {
-	for others, want := range map[int]Status{1: Accepted, maxPrevious: Accepted, maxPrevious + 1: Unknown} {
+	for others, want := range map[int]Status{1: Accepted, maxPreviousChanges: Accepted, maxPreviousChanges + 1: Unknown} {
 		atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
 			c.client.LoseNextAnswers(1)
 			time.AfterFunc(time.Millisecond, func() {
@@ -301,5 +301,5 @@
 	p := objstoretest.New()
 	_, err := newConsole(p).editor.Read(t.Context(), "a")
 	is.True(errors.Is(err, objstore.ErrNotFound))
-	is.Equal(fmt.Sprint(messages(err)), "["+err.Error()+"]")
+	is.Equal(fmt.Sprint(errorMessages(err)), "["+err.Error()+"]")
 }
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -7,19 +7,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config tells how the configuration reaches this host.
+// Config holds the settings by which this host receives the configuration.
 type Config struct {
 	WatchersPerDomain int           `json:"watchers_per_domain"` // hosts of a failure domain that watch the platform
-	WatchWait         unit.Duration `json:"watch_wait"`          // time that one watch waits for a change
-	TakeoverAfter     unit.Duration `json:"takeover_after"`      // time without an answer of the platform after which as many more hosts watch
+	WatchWait         unit.Duration `json:"watch_wait"`          // longest wait of one watch for a change
+	TakeoverAfter     unit.Duration `json:"takeover_after"`      // time without a response of the platform after which the next level of hosts watches
 	PullInterval      unit.Duration `json:"pull_interval"`       // time between pulls from a random peer
 	PullTimeout       unit.Duration `json:"pull_timeout"`        // timeout of one page of a pull
-	StaleAfter        unit.Duration `json:"stale_after"`         // time without an answer of platform or peers after which callers are refused
-	StartWait         unit.Duration `json:"start_wait"`          // time that the start waits for a first configuration
-	ChangeTimeout     unit.Duration `json:"change_timeout"`      // time to settle an operator's change
+	StaleAfter        unit.Duration `json:"stale_after"`         // time without a response of the platform or of a peer that is not stale, after which callers are refused
+	StartWait         unit.Duration `json:"start_wait"`          // longest wait of Start for the first configuration
+	ChangeTimeout     unit.Duration `json:"change_timeout"`      // timeout of an operator's change, reading back included
 }
 
-// DefaultConfig returns the settings used where none are given.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		WatchersPerDomain: 2,
--- a/internal/catalog/defaults.go
+++ b/internal/catalog/defaults.go
@@ -6,14 +6,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Protocols towards targets.
+// Protocols of the connections to targets.
 const (
 	ProtocolHTTP1 = "http1"
 	ProtocolH2C   = "h2c"
 )
 
-// DefaultRules are the rules of a service that names none. Budgets and ratios
-// are per first try and per answer.
+// DefaultRules returns the rules of a service that sets none. HedgeBudget and
+// RetryBudget are per first attempt; the ratios are shares of all answers.
 func DefaultRules() Rules {
 	return Rules{
 		Protocol:            ProtocolHTTP1,
@@ -29,24 +29,24 @@
 	}
 }
 
-// filled returns the rules with the defaults in place of zero fields. Relays
-// and Settle have no other default than zero.
-func (r Rules) filled() Rules {
+// withDefaults returns the rules with zero fields replaced by their defaults. For
+// Relays and Settle the default is zero.
+func (r Rules) withDefaults() Rules {
 	d := DefaultRules()
-	fill(&r.Protocol, d.Protocol)
-	fill(&r.ConnectionsPerRelay, d.ConnectionsPerRelay)
-	fill(&r.DefaultBudget, d.DefaultBudget)
-	fill(&r.QueueWait, d.QueueWait)
-	fill(&r.HedgeQuantile, d.HedgeQuantile)
-	fill(&r.HedgeBudget, d.HedgeBudget)
-	fill(&r.RetryBudget, d.RetryBudget)
-	fill(&r.LatencyObjective, d.LatencyObjective)
-	fill(&r.LatencyRatio, d.LatencyRatio)
-	fill(&r.CoverageRatio, d.CoverageRatio)
+	setDefault(&r.Protocol, d.Protocol)
+	setDefault(&r.ConnectionsPerRelay, d.ConnectionsPerRelay)
+	setDefault(&r.DefaultBudget, d.DefaultBudget)
+	setDefault(&r.QueueWait, d.QueueWait)
+	setDefault(&r.HedgeQuantile, d.HedgeQuantile)
+	setDefault(&r.HedgeBudget, d.HedgeBudget)
+	setDefault(&r.RetryBudget, d.RetryBudget)
+	setDefault(&r.LatencyObjective, d.LatencyObjective)
+	setDefault(&r.LatencyRatio, d.LatencyRatio)
+	setDefault(&r.CoverageRatio, d.CoverageRatio)
 	return r
 }
 
-func fill[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// changeField holds the author of an object; it differs between any two
-// changes and is left out of what differs.
+// changeField is the field that contains the id and author of the last change.
+// It differs between any two changes and is excluded from the comparison.
 const changeField = "change"
 
-// FieldDiff is one field in which two values of an object differ. A field
-// that is missing is empty.
+// FieldDiff is one field in which the current and the wanted value of an object
+// differ. The text of a missing field is empty.
 type FieldDiff struct {
 	Path   string `json:"path"` // such as "rules.relays" or "targets[guest-01-t2].slots"
 	Stands string `json:"stands,omitempty"`
@@ -20,11 +20,11 @@
 }
 
 // diffJSON returns the fields in which two JSON values differ, sorted by path.
-// A value that is not JSON counts as one field.
-func diffJSON(stands, wanted []byte) []FieldDiff {
+// If one of them is not valid JSON, both are returned as one field.
+func diffJSON(current, wanted []byte) []FieldDiff {
 	var a, b any
-	if decodeOptional(stands, &a) != nil || decodeOptional(wanted, &b) != nil {
-		return []FieldDiff{{Stands: string(stands), Wanted: string(wanted)}}
+	if decodeOptional(current, &a) != nil || decodeOptional(wanted, &b) != nil {
+		return []FieldDiff{{Stands: string(current), Wanted: string(wanted)}}
 	}
 	for _, v := range []any{a, b} {
 		if fields, ok := v.(map[string]any); ok {
@@ -34,7 +34,7 @@
 	return diffValues("", a, b)
 }
 
-// decodeOptional reads JSON; nothing reads as an object without fields.
+// decodeOptional decodes JSON; empty input decodes to an object without fields.
 func decodeOptional(b []byte, into *any) error {
 	if len(b) == 0 {
 		*into = map[string]any{}
@@ -50,7 +50,7 @@
 	fa, okA := fieldsOf(a)
 	fb, okB := fieldsOf(b)
 	if !okA || !okB {
-		return []FieldDiff{{Path: path, Stands: text(a), Wanted: text(b)}}
+		return []FieldDiff{{Path: path, Stands: jsonText(a), Wanted: jsonText(b)}}
 	}
 	names := sortedKeys(fa)
 	for name := range fb {
@@ -66,8 +66,8 @@
 	return all
 }
 
-// fieldsOf takes an object, or a list of objects with ids such as targets,
-// apart; it reports false for anything else. Nothing has no fields.
+// fieldsOf returns the fields of a JSON object, or the items by id of a list of
+// objects with unique ids, such as targets. It returns false for any other value.
 func fieldsOf(v any) (map[string]any, bool) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -102,7 +102,7 @@
 	return path + "." + name
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/internal/catalog/fresh.go
+++ b/internal/catalog/fresh.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// freshness tells whether this host can still know of every change in force.
+// freshness tracks whether this host is stale: whether it may have missed a
+// change that is in force elsewhere.
 //
-// It is fresh while the newest answer of the platform, or of a peer that is
-// itself fresh, is younger than the limit. An answer is dated by the moment at
-// which it was asked for: one that waited in a socket while the process was
-// stopped is as old as the question. All times are readings of one clock.Clock,
-// which goes on while the machine is suspended.
+// A host is fresh, which means not stale, while the newest response from the
+// platform or from a peer that is itself fresh is younger than the limit. The age of a
+// response is counted from the time at which its request was sent: a response
+// that waited in a socket buffer while the process was stopped is as old as its
+// request. All times are readings of one clock.Clock, which also advances while
+// the machine is suspended.
 //
-// When the platform is down and the network fails for longer than the limit,
-// every host is stale at once, and no fresh one is left to begin from. So a
-// stale host is fresh again also when it has taken the configuration of more
-// than half of the hosts that it knew when it was last fresh, itself counted.
+// If the platform is down and the network fails for longer than the limit, all
+// hosts are stale at once, and there is no fresh peer to recover from. So a
+// stale host also becomes fresh once it has pulled the configuration, itself
+// counted, of more than half of the hosts that the membership had when it was last fresh.
 type freshness struct {
-	limit     time.Duration
-	confirmed time.Time       // date of the newest answer that counts; zero: never
-	hosts     int             // known when it was last fresh
-	heard     map[string]bool // stale peers heard since this host became stale
+	limit       time.Duration
+	confirmedAt time.Time       // when the request of the newest accepted response was sent; zero: never
+	hostCount   int             // hosts in the membership at confirmedAt
+	stalePeers  map[string]bool // stale peers that were pulled from since this host became stale
 }
 
 func newFreshness(limit time.Duration) *freshness {
-	return &freshness{limit: limit, heard: map[string]bool{}}
+	return &freshness{limit: limit, stalePeers: map[string]bool{}}
 }
 
-// stale reports whether the newest answer is too old, or there never was one.
+// stale reports whether the newest accepted response is too old, or there was none yet.
 func (f *freshness) stale(now time.Time) bool {
-	return f.confirmed.IsZero() || now.Sub(f.confirmed) > f.limit
+	return f.confirmedAt.IsZero() || now.Sub(f.confirmedAt) > f.limit
 }
 
-// confirm notes an answer of the platform or of a fresh peer that was asked for
-// at the given time. hosts is the number of hosts known, this one included.
-func (f *freshness) confirm(asked time.Time, hosts int) {
-	if !asked.After(f.confirmed) {
+// confirm records a response of the platform or of a fresh peer to a request
+// sent at the given time. hosts is the current number of hosts, this one included.
+func (f *freshness) confirm(sentAt time.Time, hosts int) {
+	if !sentAt.After(f.confirmedAt) {
 		return
 	}
-	f.confirmed, f.hosts = asked, hosts
-	clear(f.heard)
+	f.confirmedAt, f.hostCount = sentAt, hosts
+	clear(f.stalePeers)
 }
 
-// confirmStale notes an answer of a stale peer that was asked for at the given
-// time.
-func (f *freshness) confirmStale(peer string, asked time.Time) {
-	if f.hosts == 0 || !f.stale(asked) {
+// confirmStale records a response of a stale peer to a request sent at the
+// given time.
+func (f *freshness) confirmStale(peer string, sentAt time.Time) {
+	if f.hostCount == 0 || !f.stale(sentAt) {
 		return
 	}
-	f.heard[peer] = true
-	if 2*(len(f.heard)+1) > f.hosts {
-		f.confirm(asked, f.hosts)
+	f.stalePeers[peer] = true
+	if 2*(len(f.stalePeers)+1) > f.hostCount {
+		f.confirm(sentAt, f.hostCount)
 	}
 }
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -8,17 +8,17 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// view is what a state looks like to the rest of the host. It never changes.
+// view is the content of a state in the form in which View returns it. It is immutable.
 type view struct {
 	services  []Service             // by name
 	workloads map[string][]Service  // by name
 	snapshots map[string][]Snapshot // newest first
 }
 
-// with returns the view after the entries have changed. What has not changed
-// keeps its order, so that one change among many services costs a copy and no
-// sorting.
-func (v *view) with(changed []*entry) *view {
+// withChanges returns a copy of the view with the changed entries applied. Services
+// that have not changed keep their order, so that a change of one existing
+// service costs a copy but no sorting.
+func (v *view) withChanges(changed []*entry) *view {
 	services, snapshots := map[string]*Service{}, map[string]*Snapshot{}
 	for _, e := range changed {
 		switch e.object.Kind {
@@ -39,26 +39,26 @@
 	return next
 }
 
-// replaceServices puts the changed services, nil for those that are gone, in
-// the place of the old ones. changed is used up.
+// replaceServices returns the services with the changed ones replaced, added,
+// or removed where the value is nil or dropped. It deletes entries of changed.
 func replaceServices(old []Service, changed map[string]*Service) []Service {
 	services := make([]Service, 0, len(old)+len(changed))
-	take := func(s *Service) {
+	appendLive := func(s *Service) {
 		if s != nil && !s.Dropped {
 			services = append(services, *s)
-			services[len(services)-1].Rules = s.Rules.filled()
+			services[len(services)-1].Rules = s.Rules.withDefaults()
 		}
 	}
 	for _, s := range old {
 		if now, ok := changed[s.Name]; ok {
-			take(now)
+			appendLive(now)
 			delete(changed, s.Name)
 			continue
 		}
 		services = append(services, s)
 	}
 	for _, s := range changed {
-		take(s)
+		appendLive(s)
 	}
 	if len(changed) > 0 {
 		slices.SortFunc(services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/catalog/inforce.go
+++ b/internal/catalog/inforce.go
@@ -11,21 +11,21 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// askAtOnce is how many hosts are asked for their revision at one time.
-const askAtOnce = 32
+// maxConcurrentQueries is the number of hosts queried for their revision at a time.
+const maxConcurrentQueries = 32
 
-// InForce tells on which hosts a revision is in force.
+// InForce reports on which hosts a revision is in force.
 type InForce struct {
 	Revision  uint64            `json:"revision"`
-	Of        int               `json:"of"`      // hosts that take work
-	On        int               `json:"on"`      // those that have the revision or a newer one
-	Missing   []string          `json:"missing"` // ids of the others, sorted; also of those that did not answer
-	Revisions map[string]uint64 `json:"told"`    // of each of the hosts, as it reported last
+	Of        int               `json:"of"`      // number of usable hosts
+	On        int               `json:"on"`      // number of those that have the revision or a newer one
+	Missing   []string          `json:"missing"` // ids of the others, sorted; includes hosts that did not respond
+	Revisions map[string]uint64 `json:"told"`    // newest known revision of each usable host
 }
 
-// InForce compares a revision with those of the hosts. What a host reported
-// through the membership lags, by minutes in a large fleet, so each host that
-// is behind by that is asked itself, one small call each.
+// InForce compares a revision with those of the usable hosts. The revisions in
+// the membership lag, by minutes in a large fleet, so each host whose revision
+// there is too old is queried directly, with one small call.
 func (c *Catalog) InForce(ctx context.Context, revision uint64) InForce {
 	hosts := slices.DeleteFunc(slices.Clone(c.members.Hosts()), func(h member.Host) bool { return !h.Usable() })
 	revisions := c.revisionsOf(ctx, hosts, revision)
@@ -41,32 +41,32 @@
 	return f
 }
 
-// revisionsOf returns the revision of each host. Those whose reported revision
-// is below the wanted one are asked.
-func (c *Catalog) revisionsOf(ctx context.Context, hosts []member.Host, wanted uint64) []uint64 {
+// revisionsOf returns the revision of each host. Hosts whose revision in the
+// membership is below minRevision are queried.
+func (c *Catalog) revisionsOf(ctx context.Context, hosts []member.Host, minRevision uint64) []uint64 {
 	revisions := make([]uint64, len(hosts))
-	var asks errgroup.Group
-	asks.SetLimit(askAtOnce)
+	var queries errgroup.Group
+	queries.SetLimit(maxConcurrentQueries)
 	for i, h := range hosts {
 		revisions[i] = h.Revision
 		switch {
 		case h.ID == c.members.Self().ID:
 			revisions[i] = c.state.Load().complete
-		case h.Revision < wanted:
-			asks.Go(func() error {
-				revisions[i] = max(revisions[i], c.askRevision(ctx, h))
+		case h.Revision < minRevision:
+			queries.Go(func() error {
+				revisions[i] = max(revisions[i], c.queryRevision(ctx, h))
 				return nil
 			})
 		}
 	}
-	_ = asks.Wait() // no ask returns an error
+	_ = queries.Wait() // the queries return no error
 	return revisions
 }
 
-// askRevision returns the revision up to which the host is complete, 0 if it
-// does not answer. No change is later than the one asked from, so the answer
-// holds no object.
-func (c *Catalog) askRevision(ctx context.Context, h member.Host) uint64 {
+// queryRevision returns the revision up to which the host has applied all
+// changes, or 0 if it does not respond. No change is later than the requested
+// revision, so the response contains no objects.
+func (c *Catalog) queryRevision(ctx context.Context, h member.Host) uint64 {
 	out, err := c.pullPage(ctx, h, &peerpb.PullRequest{AfterRevision: math.MaxUint64})
 	if err != nil {
 		return 0
--- a/internal/catalog/object.go
+++ b/internal/catalog/object.go
@@ -10,14 +10,15 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// kinds are the objects that make up the configuration.
+// kinds are the kinds of objects that make up the configuration.
 var kinds = []string{objstore.KindService, objstore.KindSnapshot}
 
 type key struct{ kind, name string }
 
 func keyOf(o objstore.Object) key { return key{o.Kind, o.Name} }
 
-// withOrdinals gives objects of the platform the ordinals of their revisions, by which states order them.
+// withOrdinals replaces the revisions of the platform's objects by ordinals that also contain the era; states compare
+// objects by them.
 func withOrdinals(objects []objstore.Object) []objstore.Object {
 	all := slices.Clone(objects)
 	for i := range all {
@@ -26,31 +27,31 @@
 	return all
 }
 
-// entry is what is held of one object: the newest version as it was written,
-// and the newest version that could be read. The object's revision is an ordinal. An entry never changes.
+// entry is the state of one object: its newest version as written, and the decoded content of the
+// newest valid version. The object's revision is an ordinal. An entry is immutable.
 type entry struct {
-	object   objstore.Object // Deleted: a deletion
-	service  *Service        // as written, defaults not filled in
-	snapshot *Snapshot
-	problem  error     // why object can't be read; then the fields above are of an older version
-	heard    time.Time // when this host heard of it
-	lost     bool      // by the platform, which came back from an older copy: it is to be written again
+	object       objstore.Object // a deletion if Deleted is set
+	service      *Service        // as written, without defaults filled in
+	snapshot     *Snapshot
+	readErr      error     // why object is invalid; then service and snapshot are of an older version
+	receivedAt   time.Time // when this host received the object
+	needsRewrite bool      // the platform lost the object in a restore from an older copy, so it has to be written again
 }
 
-// newEntry reads an object. If it can't be read, the content of the entry
-// before it stays in force.
+// newEntry decodes an object. If the object is invalid, the content of the
+// entry before it stays in force.
 func newEntry(o objstore.Object, before *entry, now time.Time) *entry {
-	e := &entry{object: o, heard: now}
+	e := &entry{object: o, receivedAt: now}
 	if o.Deleted {
 		return e
 	}
 	switch o.Kind {
 	case objstore.KindService:
-		e.service, e.problem = readService(o)
+		e.service, e.readErr = readService(o)
 	case objstore.KindSnapshot:
-		e.snapshot, e.problem = readSnapshot(o)
+		e.snapshot, e.readErr = readSnapshot(o)
 	}
-	if e.problem != nil && before != nil {
+	if e.readErr != nil && before != nil {
 		e.service, e.snapshot = before.service, before.snapshot
 	}
 	return e
@@ -76,7 +77,7 @@
 		return nil, Error.New("read snapshot %q: %w", o.Name, err)
 	}
 	if s.ObjectName() != o.Name {
-		return nil, Error.New("read snapshot %q: it calls itself %q", o.Name, s.ObjectName())
+		return nil, Error.New("read snapshot %q: its value is that of snapshot %q", o.Name, s.ObjectName())
 	}
 	var p problems
 	p.snapshot(s)
@@ -90,8 +91,8 @@
 // ObjectName returns the name of the snapshot's platform object.
 func (s Snapshot) ObjectName() string { return fmt.Sprintf("%s.%d", s.Workload, s.ID) }
 
-// intern lets equal target ids and equal lists of holders of a snapshot share
-// their memory: a map has many shards and few targets.
+// intern makes equal target ids, and equal lists of a shard's targets, share
+// memory within a snapshot: a shard map has many shards and few targets.
 func intern(s Snapshot) {
 	ids := map[string]string{}
 	for _, m := range s.Services {
--- a/internal/catalog/publish.go
+++ b/internal/catalog/publish.go
@@ -10,21 +10,21 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// PublishSnapshot writes a new snapshot, which must fit the services in force
+// PublishSnapshot writes a new snapshot, which must match the services in force
 // on this host. Its id must be above those of the workload's other snapshots,
-// so that an id names one snapshot for good.
-func (e *Editor) PublishSnapshot(ctx context.Context, s Snapshot, by Author, dryRun bool) Result {
+// so that an id is never reused.
+func (e *Editor) PublishSnapshot(ctx context.Context, s Snapshot, author Author, dryRun bool) Result {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ChangeTimeout.Std())
 	defer cancel()
 	r := Result{Kind: objstore.KindSnapshot, Name: s.ObjectName(), ChangeID: ulid.Make().String()}
-	return e.record(by, e.publish(ctx, s, by, dryRun, r))
+	return e.report(author, e.publish(ctx, s, author, dryRun, r))
 }
 
-func (e *Editor) publish(ctx context.Context, s Snapshot, by Author, dryRun bool, r Result) Result {
+func (e *Editor) publish(ctx context.Context, s Snapshot, author Author, dryRun bool, r Result) Result {
 	if err := ValidateNewSnapshot(s, e.view); err != nil {
 		return r.refused(err)
 	}
-	s.Change = Change{ID: r.ChangeID, Operator: by.Operator, Reason: by.Reason}
+	s.Change = Change{ID: r.ChangeID, Operator: author.Operator, Reason: author.Reason}
 	value, err := json.Marshal(s)
 	if err != nil {
 		return r.refused(Error.New("encode: %w", err))
@@ -36,22 +36,22 @@
 		r.Status = Possible
 		return r
 	}
-	return e.put(ctx, write{kind: r.Kind, name: r.Name, value: value, id: r.ChangeID}, r)
+	return e.put(ctx, write{kind: r.Kind, name: r.Name, value: value, changeID: r.ChangeID}, r)
 }
 
-// RetireSnapshot deletes a snapshot. The newest of a workload is refused,
-// since requests are answered from it, and so is one that does not exist. One
-// that another operator deletes meanwhile counts as accepted.
-func (e *Editor) RetireSnapshot(ctx context.Context, workload string, id uint64, by Author, dryRun bool) Result {
+// RetireSnapshot deletes a snapshot. It refuses to delete the newest snapshot
+// of a workload, since requests are answered from it, and one that does not
+// exist. If another operator deletes it at the same time, the result is Accepted.
+func (e *Editor) RetireSnapshot(ctx context.Context, workload string, id uint64, author Author, dryRun bool) Result {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ChangeTimeout.Std())
 	defer cancel()
 	name := Snapshot{Workload: workload, ID: id}.ObjectName()
 	r := Result{Kind: objstore.KindSnapshot, Name: name, ChangeID: ulid.Make().String()}
-	return e.record(by, e.retire(ctx, workload, id, dryRun, r))
+	return e.report(author, e.retire(ctx, workload, id, dryRun, r))
 }
 
 func (e *Editor) retire(ctx context.Context, workload string, id uint64, dryRun bool, r Result) Result {
-	if held := e.view.Snapshots(workload); len(held) > 0 && held[0].ID == id {
+	if snapshots := e.view.Snapshots(workload); len(snapshots) > 0 && snapshots[0].ID == id {
 		return r.refused(Error.New("snapshot %s is the newest of its workload; publish another one first", r.Name))
 	}
 	o, err := e.current(ctx, r.Kind, r.Name)
@@ -64,31 +64,32 @@
 		r.Status = Possible
 		return r
 	}
-	return e.remove(ctx, o, r)
+	return e.deleteSnapshot(ctx, o, r)
 }
 
-// remove deletes the object and settles an answer that is lost. A snapshot
-// never changes, so one that is gone was deleted, if not by this call.
-func (e *Editor) remove(ctx context.Context, o objstore.Object, r Result) Result {
+// deleteSnapshot deletes the object. If the response is lost, it reads the
+// object back. A snapshot is never changed, so if it no longer exists it was
+// deleted, by this call or by another one.
+func (e *Editor) deleteSnapshot(ctx context.Context, o objstore.Object, r Result) Result {
 	delay := newSettleDelay()
 	w := write{kind: o.Kind, name: o.Name, version: o.Version}
-	sent := false
+	answerLost := false
 	for {
 		err := e.store.Delete(ctx, o.Kind, o.Name, o.Version)
 		var conflict *objstore.Conflict
 		var unanswered *objstore.Unanswered
 		switch {
 		case err == nil, errors.Is(err, objstore.ErrNotFound):
-			return e.gone(ctx, o, r)
+			return e.acceptDeletion(ctx, o, r)
 		case errors.As(err, &conflict) && conflict.Current.Version == 0:
-			return e.gone(ctx, o, r)
-		case errors.As(err, &conflict) && sent:
+			return e.acceptDeletion(ctx, o, r)
+		case errors.As(err, &conflict) && answerLost:
 			return r.unknown(Error.New("snapshot %s was written again", o.Name))
 		case errors.As(err, &conflict):
-			return r.lost(conflict.Current, nil).refused(Error.New("snapshot %s was written again", o.Name))
+			return r.withLostRace(conflict.Current, nil).refused(Error.New("snapshot %s was written again", o.Name))
 		}
-		sent = sent || errors.As(err, &unanswered)
-		if !sent {
+		answerLost = answerLost || errors.As(err, &unanswered)
+		if !answerLost {
 			return r.refused(Error.New("nothing was deleted: %w", err))
 		}
 		current, settled, cause := e.readBack(ctx, w, delay)
@@ -96,13 +97,14 @@
 		case cause != nil:
 			return r.unknown(err)
 		case settled && current.Version == 0:
-			return e.gone(ctx, o, r)
+			return e.acceptDeletion(ctx, o, r)
 		}
 	}
 }
 
-// gone accepts a deletion and finds its revision, if the platform still knows.
-func (e *Editor) gone(ctx context.Context, o objstore.Object, r Result) Result {
+// acceptDeletion returns an accepted result, with the revision of the deletion
+// if the platform still keeps that change.
+func (e *Editor) acceptDeletion(ctx context.Context, o objstore.Object, r Result) Result {
 	r.Status = Accepted
 	l, err := e.store.Watch(ctx, o.At(), 0, o.Kind)
 	if err != nil {
--- a/internal/catalog/publish_test.go
+++ b/internal/catalog/publish_test.go
@@ -21,7 +21,7 @@
 				o := objstore.Object{Kind: objstore.KindSnapshot, Name: s.ObjectName()}
 				entries = append(entries, &entry{object: o, snapshot: &s})
 			}
-			return emptyState().view.with(entries)
+			return emptyState().view.withChanges(entries)
 		}
 		c := p.Client()
 		one, two := testSnapshot(1, 6, a), testSnapshot(2, 6, a)
--- a/internal/catalog/pull.go
+++ b/internal/catalog/pull.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	staleInterval = 250 * time.Millisecond // between rounds of pulls of a stale host
-	stalePeers    = 4                      // asked in one such round
-	pullTries     = 3                      // peers asked in turn when pulls fail
-	maxPages      = 64                     // of one pull
+	stalePullInterval = 250 * time.Millisecond // interval at which a stale host pulls
+	stalePullPeers    = 4                      // peers that a stale host pulls from per interval
+	maxPullAttempts   = 3                      // peers tried one after the other when pulls fail
+	maxPullPages      = 64                     // per pull
 )
 
-// Hint tells that a peer has shown a newer revision, which is then pulled. It
-// does not block; of several hints the one with the newest revision counts.
+// Hint schedules a pull from a peer that has reported a newer revision. It does
+// not block; of several pending hints the one with the newest revision is used.
 func (c *Catalog) Hint(peer member.Host) {
 	c.mu.Lock()
-	if peer.Revision > c.hint.Revision {
-		c.hint = peer
+	if peer.Revision > c.newestHint.Revision {
+		c.newestHint = peer
 	}
 	c.mu.Unlock()
 	select {
-	case c.hints <- struct{}{}:
+	case c.hintSignal <- struct{}{}:
 	default:
 	}
 }
 
-// hintLoop pulls from the peers that showed a newer revision.
+// hintLoop pulls from peers that have reported a newer revision.
 func (c *Catalog) hintLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.hints:
+		case <-c.hintSignal:
 		}
 		c.mu.Lock()
-		peer := c.hint
-		c.hint = member.Host{}
+		peer := c.newestHint
+		c.newestHint = member.Host{}
 		c.mu.Unlock()
 		if peer.Revision > c.Revision() {
 			c.pull(ctx, peer)
@@ -51,30 +51,30 @@
 	}
 }
 
-// pullLoop pulls from a random peer at each interval. That keeps this host
-// fresh and brings what the hints have missed. When the pull fails another peer
-// is asked at once: with a quarter of the hosts out of reach, four failures in a
-// row are not rare in a fleet, and would make this host stale. A stale host asks
-// several at short intervals.
+// pullLoop pulls from a random peer at each interval. This keeps the host fresh
+// and delivers changes whose hints were lost. If a pull fails, another peer is
+// tried immediately: with a quarter of the hosts unreachable, four failures in a
+// row are not rare in a fleet, and would make this host stale. A stale host pulls
+// from several peers at a shorter interval.
 func (c *Catalog) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := c.cfg.PullInterval.Std()
 		if c.Stale() {
-			interval = staleInterval
-			for _, p := range c.randomPeers(stalePeers) {
-				c.done.Go(func() { c.pull(ctx, p) })
+			interval = stalePullInterval
+			for _, p := range c.randomPeers(stalePullPeers) {
+				c.goroutines.Go(func() { c.pull(ctx, p) })
 			}
 		} else {
-			c.done.Go(func() { c.pullFromAny(ctx) })
+			c.goroutines.Go(func() { c.pullFromAny(ctx) })
 		}
 		await.Sleep(ctx, interval)
-		c.noteFreshness()
+		c.reportFreshness()
 	}
 }
 
-// pullFromAny pulls from one random peer, or from another if that fails.
+// pullFromAny pulls from a random peer, and on failure from up to two others.
 func (c *Catalog) pullFromAny(ctx context.Context) {
-	for _, p := range c.randomPeers(pullTries) {
+	for _, p := range c.randomPeers(maxPullAttempts) {
 		if c.pull(ctx, p) {
 			return
 		}
@@ -96,11 +96,11 @@
 	return peers[:min(n, len(peers))]
 }
 
-// pull takes from a peer what changed since this host's last change, and
-// reports whether the peer answered.
+// pull fetches from a peer the changes after this host's last one, applies them
+// and reports whether that succeeded.
 func (c *Catalog) pull(ctx context.Context, from member.Host) bool {
-	asked := c.clock.Now()
-	b, last, err := c.fetch(ctx, from)
+	sentAt := c.clock.Now()
+	b, last, err := c.fetchPages(ctx, from)
 	if err == nil {
 		err = c.applyBatch(b, sourcePeer)
 	}
@@ -109,32 +109,33 @@
 		return false
 	}
 	c.metrics.pulls.WithLabelValues("ok").Inc()
-	c.heardPeer(from, asked, last)
+	c.recordPeerAnswer(from, sentAt, last)
 	return true
 }
 
-// fetch asks for all pages and returns them as one batch, with the last one.
-func (c *Catalog) fetch(ctx context.Context, from member.Host) (batch, *peerpb.PullReply, error) {
+// fetchPages requests all pages and returns them as one batch, and the last
+// page.
+func (c *Catalog) fetchPages(ctx context.Context, from member.Host) (batch, *peerpb.PullReply, error) {
 	b := batch{after: c.state.Load().complete}
 	in := &peerpb.PullRequest{AfterRevision: b.after}
-	for range maxPages {
+	for range maxPullPages {
 		out, err := c.pullPage(ctx, from, in)
 		if err != nil {
 			return b, nil, err
 		}
 		if in.Cursor > 0 && out.Full != b.full {
-			return b, nil, Error.New("pull from %s: its deletions were forgotten between two pages", from.ID)
+			return b, nil, Error.New("pull from %s: the peer discarded deletions between two pages", from.ID)
 		}
-		b.add(out)
+		b.addPage(out)
 		if !out.More || len(out.Objects) == 0 {
 			return b, out, nil
 		}
 		in.Cursor = out.Objects[len(out.Objects)-1].Revision
 	}
-	return b, nil, Error.New("pull from %s: more than %d pages", from.ID, maxPages)
+	return b, nil, Error.New("pull from %s: more than %d pages", from.ID, maxPullPages)
 }
 
-// pullPage asks a host for one page of changes.
+// pullPage requests one page of changes from a host.
 func (c *Catalog) pullPage(ctx context.Context, from member.Host, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.PullTimeout.Std())
 	defer cancel()
@@ -142,13 +143,13 @@
 	if err != nil {
 		return nil, Error.New("pull from %s: %w", from.ID, err)
 	}
-	c.metrics.pulled.Add(float64(proto.Size(out)))
+	c.metrics.pulledBytes.Add(float64(proto.Size(out)))
 	return out, nil
 }
 
-// add appends a page. The revisions of the last page hold for all of them,
-// since an object that changed between two pages is in the later one.
-func (b *batch) add(out *peerpb.PullReply) {
+// addPage appends a page. The revisions of the last page are valid for all
+// pages, since an object that changes between two pages is in the later one.
+func (b *batch) addPage(out *peerpb.PullReply) {
 	b.revision, b.complete, b.floor = out.Revision, out.Complete, out.Floor
 	b.full = out.Full
 	for _, o := range out.Objects {
@@ -158,24 +159,25 @@
 		})
 	}
 	for _, o := range out.Held {
-		b.held = append(b.held, key{o.Kind, o.Name})
+		b.unchanged = append(b.unchanged, key{o.Kind, o.Name})
 	}
 }
 
-// heardPeer notes a peer's answer that was asked for at the given time.
-func (c *Catalog) heardPeer(from member.Host, asked time.Time, out *peerpb.PullReply) {
+// recordPeerAnswer records a peer's response to a request that was sent at the
+// given time, and the ages of platform responses that it reports.
+func (c *Catalog) recordPeerAnswer(from member.Host, sentAt time.Time, out *peerpb.PullReply) {
 	c.mu.Lock()
 	switch {
 	case !out.Stale:
-		c.fresh.confirm(asked, c.hostCount())
+		c.freshness.confirm(sentAt, c.hostCount())
 	case out.Complete > 0:
-		c.fresh.confirmStale(from.ID, asked)
+		c.freshness.confirmStale(from.ID, sentAt)
 	}
 	for l, age := range out.PlatformAgeUs {
 		if age >= 0 {
-			c.lastHeard.record(l, asked.Add(-time.Duration(age)*time.Microsecond))
+			c.platformAnswers.record(l, sentAt.Add(-time.Duration(age)*time.Microsecond))
 		}
 	}
 	c.mu.Unlock()
-	c.noteFreshness()
+	c.reportFreshness()
 }
--- a/internal/catalog/restore.go
+++ b/internal/catalog/restore.go
@@ -14,46 +14,48 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// The platform may come back from an older copy, without changes that operators were told are accepted. Hosts that have heard
-// of them keep them in force, and write them again on what the copy holds.
+// The platform may be restored from an older copy and then lack changes that were reported as accepted to operators. Hosts
+// that have applied such changes keep them in force, and write them again on top of the objects in the copy.
 
-// lostWithin is how old a change may be that the platform lost: more than the age of a copy. An older object that the
-// platform lacks was removed.
-const lostWithin = time.Minute
+// maxLostChangeAge is the greatest age of a change that the platform can have lost; it exceeds the age of a copy. An older
+// object that the platform lacks was deleted.
+const maxLostChangeAge = time.Minute
 
-// mayBeLost reports whether the platform may have lost the entry's object when it came to the era of a revision.
-func (e *entry) mayBeLost(at uint64, now time.Time) bool {
-	isEarlier := revision.FromOrdinal(e.object.Revision).Era < revision.FromOrdinal(at).Era
-	return isEarlier && !e.object.Deleted && now.Sub(e.heard) < lostWithin
+// mayBeLost reports whether the platform, which is at platformRevision, may have lost the entry's object in a restore: the
+// object is of an earlier era and this host received it less than maxLostChangeAge ago.
+func (e *entry) mayBeLost(platformRevision uint64, now time.Time) bool {
+	isEarlier := revision.FromOrdinal(e.object.Revision).Era < revision.FromOrdinal(platformRevision).Era
+	return isEarlier && !e.object.Deleted && now.Sub(e.receivedAt) < maxLostChangeAge
 }
 
-// succeeds reports whether the entry holds a change that was made on the state of the object that the platform tells in a
-// later era. A change made there on another state stands. Objects remember their last changes, and no more than those are
-// written again.
-func (e *entry) succeeds(o objstore.Object, now time.Time) bool {
+// isSuccessorOf reports whether the entry is a lost change that was made after the state o, which the platform returns in a
+// later era. If o is not among the changes that the entry's object lists as previous, o stays in force: it was written after
+// the restore, or is older than the maxPreviousChanges listed.
+func (e *entry) isSuccessorOf(o objstore.Object, now time.Time) bool {
 	if e == nil || o.Deleted || !e.mayBeLost(o.Revision, now) {
 		return false
 	}
-	return slices.Contains(changeOf(e.object).Previous, changeOf(o).ID) // empty: as it was before its first change
+	return slices.Contains(changeOf(e.object).Previous, changeOf(o).ID) // an empty id means that o was not written by a change
 }
 
-// keptOver returns the entry with its content kept, over a version of the object that the platform holds at a revision.
-func (e *entry) keptOver(version, at uint64) *entry {
-	kept := *e
-	kept.object.Version, kept.object.Revision = version, at
-	kept.lost = true
-	return &kept
+// rebasedOn returns a copy of the entry with the version and revision of the platform's object, so that the content can be
+// written again on top of it.
+func (e *entry) rebasedOn(version, revision uint64) *entry {
+	rebased := *e
+	rebased.object.Version, rebased.object.Revision = version, revision
+	rebased.needsRewrite = true
+	return &rebased
 }
 
-// wakeRewriting lets rewriteLoop look for lost changes.
-func (c *Catalog) wakeRewriting() {
+// signalRewrite makes rewriteLoop check for lost changes.
+func (c *Catalog) signalRewrite() {
 	select {
-	case c.lost <- struct{}{}:
+	case c.rewriteSignal <- struct{}{}:
 	default:
 	}
 }
 
-// rewriteLoop writes lost changes again, and tries again while the platform does not answer.
+// rewriteLoop writes lost changes again, and retries with backoff while that fails.
 func (c *Catalog) rewriteLoop(ctx context.Context) {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = minRetryDelay, maxRetryDelay
@@ -61,59 +63,59 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.lost:
+		case <-c.rewriteSignal:
 		}
 		if c.rewriteAll(ctx) {
 			delay.Reset()
 			continue
 		}
 		await.Sleep(ctx, delay.NextBackOff())
-		c.wakeRewriting()
+		c.signalRewrite()
 	}
 }
 
-// rewriteAll writes all lost changes again, and reports whether none is left.
+// rewriteAll writes all lost changes again. It stops at the first that fails, and reports whether none is left.
 func (c *Catalog) rewriteAll(ctx context.Context) bool {
 	for _, e := range c.state.Load().entries {
-		if e.lost && !c.rewrite(ctx, e) {
+		if e.needsRewrite && !c.rewrite(ctx, e) {
 			return false
 		}
 	}
 	return true
 }
 
-// rewrite writes one lost change again, and reports whether that is settled: it was written, or another write came first. The
-// next watch tells which.
+// rewrite writes one lost change again, and reports whether it needs no retry: it was written, or another write came first.
+// The next watch returns the current object in both cases.
 func (c *Catalog) rewrite(ctx context.Context, e *entry) bool {
 	o := e.object
 	_, err := c.store.Put(ctx, o.Kind, o.Name, o.Version, o.Value)
 	var conflict *objstore.Conflict
-	stands := errors.As(err, &conflict) // another write: that of another host that held the same change, or a change of the copy
-	superseded := stands && changeOf(conflict.Current).ID != changeOf(o).ID
+	conflicted := errors.As(err, &conflict) // another host wrote the same change, or the object was changed after the restore
+	superseded := conflicted && changeOf(conflict.Current).ID != changeOf(o).ID
 	line := c.log.Event(evWrittenAgain).Str("kind", o.Kind).Str("object", o.Name).Str("change", changeOf(o).ID).
 		Stringer("revision", revision.FromOrdinal(o.Revision)).Bool("superseded", superseded)
-	if err != nil && !stands {
+	if err != nil && !conflicted {
 		line.Str("error", err.Error()).Msg("")
 		return false
 	}
 	line.Str("error", "").Msg("")
-	c.settle(e)
+	c.markRewritten(e)
 	return true
 }
 
-// settle notes that an entry is not to be written again.
-func (c *Catalog) settle(e *entry) {
+// markRewritten clears needsRewrite of an entry, unless the entry has been replaced meanwhile.
+func (c *Catalog) markRewritten(e *entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state.Load()
 	k := keyOf(e.object)
 	if s.entries[k] != e {
-		return // the platform has told of it since
+		return // a newer version was received since
 	}
-	settled := *e
-	settled.lost = false
+	rewritten := *e
+	rewritten.needsRewrite = false
 	next := *s
 	next.entries = maps.Clone(s.entries)
-	next.entries[k] = &settled
+	next.entries[k] = &rewritten
 	c.state.Store(&next)
 }
--- a/internal/catalog/result.go
+++ b/internal/catalog/result.go
@@ -6,7 +6,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// Verb is what a change does to a service.
+// Verb is the operation of a change on a service.
 type Verb string
 
 // Verbs.
@@ -16,57 +16,58 @@
 	Drop   Verb = "drop"
 )
 
-// Author is who makes a change, and why.
+// Author is the operator who makes a change, and the reason.
 type Author struct {
 	Operator string
 	Reason   string
 }
 
-// Request is a change of one service that an operator asks for.
+// Request is an operator's request to change one service.
 type Request struct {
 	Verb    Verb
-	Service Service // as it shall be; a drop needs the name alone
-	Version uint64  // that the operator read; not used by a create
-	DryRun  bool    // only tell what would happen
+	Service Service // the new value; a drop needs only the name
+	Version uint64  // version that the operator read; ignored by a create
+	DryRun  bool    // validate and return the result without writing
 	Author
 }
 
-// Status is what became of a change.
+// Status is the outcome of a change.
 type Status string
 
 // Statuses.
 const (
-	Accepted Status = "accepted" // it is in the platform
-	Refused  Status = "refused"  // it is not, and will not be
-	Unknown  Status = "unknown"  // the platform has not answered
-	Possible Status = "possible" // a dry run that found nothing against it
+	Accepted Status = "accepted" // the change was written to the platform
+	Refused  Status = "refused"  // the change was not written and will not be
+	Unknown  Status = "unknown"  // the platform did not respond, so the change may or may not be written
+	Possible Status = "possible" // a dry run found no reason to refuse the change
 )
 
-// Result tells truly what became of a change.
+// Result is the outcome of a change. It never states an outcome that is not
+// certain: if it can't be determined, Status is Unknown.
 type Result struct {
 	Status   Status      `json:"status"`
 	Kind     string      `json:"kind"`
 	Name     string      `json:"name"`
 	ChangeID string      `json:"change_id"`
 	Version  uint64      `json:"version,omitempty"`  // of the object, if accepted
-	Revision uint64      `json:"revision,omitempty"` // ordinal of that at which it was accepted; 0: accepted, but later changes hide the revision
-	Problems []string    `json:"problems,omitempty"` // why it was refused, or what is not known
-	Lost     *LostRace   `json:"lost,omitempty"`     // to whom, if another change came first
-	Changes  []FieldDiff `json:"changes,omitempty"`  // of a dry run: what it would change
+	Revision uint64      `json:"revision,omitempty"` // ordinal of the revision at which it was accepted; 0 if accepted but the revision is unknown, since later changes followed
+	Problems []string    `json:"problems,omitempty"` // why it was refused, or why the outcome is unknown
+	Lost     *LostRace   `json:"lost,omitempty"`     // set if another change came first
+	Changes  []FieldDiff `json:"changes,omitempty"`  // of a dry run: fields that the change would modify
 }
 
-// LostRace tells who won against a change, and what differs.
+// LostRace describes the change that came first and the differences from it.
 type LostRace struct {
-	Version uint64      `json:"version"` // of the current object; 0: there is no such object
+	Version uint64      `json:"version"` // of the current object; 0: it does not exist
 	Winner  Change      `json:"winner"`  // the change that wrote the current object
-	Changed time.Time   `json:"changed"` // when, by the platform's clock
-	Differs []FieldDiff `json:"differs"` // fields in which the winner and the refused change differ
+	Changed time.Time   `json:"changed"` // when the object was last changed, by the platform's clock
+	Differs []FieldDiff `json:"differs"` // fields in which the current object and the refused change differ
 }
 
 func (r Result) refused(problems ...error) Result {
 	r.Status = Refused
 	for _, p := range problems {
-		r.Problems = append(r.Problems, messages(p)...)
+		r.Problems = append(r.Problems, errorMessages(p)...)
 	}
 	return r
 }
@@ -82,8 +83,8 @@
 	return r
 }
 
-// lost refuses the change because of the current object.
-func (r Result) lost(current objstore.Object, wanted []byte) Result {
+// withLostRace returns a refused result that describes the current object.
+func (r Result) withLostRace(current objstore.Object, wanted []byte) Result {
 	r.Status = Refused
 	r.Lost = &LostRace{
 		Version: current.Version, Winner: changeOf(current), Changed: current.Changed,
@@ -92,15 +93,16 @@
 	return r
 }
 
-// messages takes joined errors apart.
-func messages(err error) []string {
+// errorMessages returns the messages of the errors that err joins, or that of
+// err itself.
+func errorMessages(err error) []string {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
 		return []string{err.Error()}
 	}
 	var all []string
 	for _, e := range joined.Unwrap() {
-		all = append(all, messages(e)...)
+		all = append(all, errorMessages(e)...)
 	}
 	return all
 }
--- a/internal/catalog/serve.go
+++ b/internal/catalog/serve.go
@@ -9,29 +9,29 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// pageBytes is the size at which a page ends. The object that reaches it is
-// sent whole, so a page has at most this and the largest object, below the
-// bound of a drpc message.
+// pageBytes is the size of the values after which a page ends. The object that
+// reaches it is still included, so the largest page is pageBytes plus the largest
+// object, which is below the size limit of a drpc message.
 const pageBytes = 1 << 20
 
-// Pull answers a peer with the changes after its revision.
+// Pull returns to a peer the changes after its revision.
 func (c *Catalog) Pull(_ context.Context, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	s := c.state.Load()
 	out := s.page(in.AfterRevision, max(in.AfterRevision, in.Cursor))
 	now := c.clock.Now()
 	c.mu.Lock()
-	out.Stale = c.fresh.stale(now)
-	out.PlatformAgeUs = c.lastHeard.ages(now)
+	out.Stale = c.freshness.stale(now)
+	out.PlatformAgeUs = c.platformAnswers.ages(now)
 	c.mu.Unlock()
-	c.metrics.served.Add(float64(proto.Size(out)))
+	c.metrics.servedBytes.Add(float64(proto.Size(out)))
 	return out, nil
 }
 
-// page returns the changes after the cursor, oldest first. Changes of one
-// revision are on one page, so that the cursor can tell pages apart. A peer
-// whose last change lies before the floor may hold an object whose deletion is
-// no longer known here; besides the changes it gets the names of all objects
-// that did not change, so that it can delete what is not named.
+// page returns the changes after the cursor, oldest first. All changes of one
+// revision are on the same page, since the cursor of the next page is a revision.
+// A peer whose last change is before the floor may have an object whose deletion
+// this host no longer keeps. The first page for such a peer also contains the names of all
+// existing objects that did not change, so that the peer can delete all others.
 func (s *state) page(after, cursor uint64) *peerpb.PullReply {
 	out := &peerpb.PullReply{Revision: s.revision, Complete: s.complete, Floor: s.floor}
 	size := 0
@@ -50,13 +50,14 @@
 	}
 	out.Full = after < s.floor
 	if out.Full && after == cursor {
-		out.Held = s.held(after)
+		out.Held = s.unchangedNames(after)
 	}
 	return out
 }
 
-// held names the objects that stand and did not change after the revision.
-func (s *state) held(revision uint64) []*peerpb.Object {
+// unchangedNames returns the kinds and names of the existing objects that did
+// not change after the revision.
+func (s *state) unchangedNames(revision uint64) []*peerpb.Object {
 	var names []*peerpb.Object
 	for k, e := range s.entries {
 		if e.object.Revision <= revision && !e.object.Deleted {
@@ -66,10 +67,10 @@
 	return names
 }
 
-// PeerPuller calls Configuration.Pull over drpc.
+// PeerPuller implements Puller over drpc.
 type PeerPuller struct{ dialer peer.Dialer }
 
-// NewPeerPuller returns a Puller over the connections of the dialer.
+// NewPeerPuller returns a PeerPuller that uses the connections of the dialer.
 func NewPeerPuller(d peer.Dialer) PeerPuller { return PeerPuller{dialer: d} }
 
 // Pull implements Puller.
--- a/internal/catalog/settle.go
+++ b/internal/catalog/settle.go
@@ -15,17 +15,17 @@
 // write is one conditional write of an operator's change.
 type write struct {
 	kind, name string
-	version    uint64 // at which the object must stand
+	version    uint64 // current version that the write requires
 	value      []byte
-	id         string // of the change, also in the value
+	changeID   string // also contained in the value
 }
 
-// put makes the write and settles an answer that is lost. The write may be
-// repeated: it takes effect at most once, since its first effect changes the
-// version that it asks for.
+// put makes the write. If the response is lost, it reads the object back and, if
+// that still has the old version, retries. A retry is safe: the write takes
+// effect at most once, since that changes the version that it requires.
 func (e *Editor) put(ctx context.Context, w write, r Result) Result {
 	delay := newSettleDelay()
-	sent := false // a write without answer may still take effect
+	answerLost := false // an earlier attempt may still take effect
 	for {
 		o, err := e.store.Put(ctx, w.kind, w.name, w.version, w.value)
 		if err == nil {
@@ -33,11 +33,11 @@
 		}
 		var conflict *objstore.Conflict
 		if errors.As(err, &conflict) {
-			return w.judge(conflict.Current, sent, r)
+			return w.resolve(conflict.Current, answerLost, r)
 		}
 		var unanswered *objstore.Unanswered
-		sent = sent || errors.As(err, &unanswered)
-		if !sent {
+		answerLost = answerLost || errors.As(err, &unanswered)
+		if !answerLost {
 			return r.refused(Error.New("nothing was written: %w", err))
 		}
 		current, settled, cause := e.readBack(ctx, w, delay)
@@ -45,14 +45,14 @@
 			return r.unknown(err)
 		}
 		if settled {
-			return w.judge(current, sent, r)
+			return w.resolve(current, answerLost, r)
 		}
 	}
 }
 
-// readBack waits and reads the object until the platform answers. settled is
-// false if the object still stands at the version that the write asks for, so
-// that the write has not taken effect yet.
+// readBack reads the object, with a delay before each attempt, until the
+// platform responds. settled is false if the object still has the version that
+// the write requires, so that the write has not taken effect yet.
 func (e *Editor) readBack(ctx context.Context, w write, delay *backoff.ExponentialBackOff) (current objstore.Object, settled bool, err error) {
 	for {
 		await.Sleep(ctx, delay.NextBackOff())
@@ -66,31 +66,31 @@
 	}
 }
 
-// judge tells what became of the write from the current object, which is no
-// longer at the version that the write asked for. sent means that an answer was
-// lost before, so the write itself may have moved the object on.
-func (w write) judge(current objstore.Object, sent bool, r Result) Result {
+// resolve determines the result of the write from the current object, whose
+// version is no longer the one that the write requires. answerLost means that a
+// response was lost before, so the write itself may have changed the version.
+func (w write) resolve(current objstore.Object, answerLost bool, r Result) Result {
 	ids := append([]string{changeOf(current).ID}, changeOf(current).Previous...)
-	newer := slices.Index(ids, w.id) // changes made since
+	newer := slices.Index(ids, w.changeID) // number of changes after this one
 	switch {
 	case newer == 0:
 		return r.accepted(current)
 	case newer > 0:
 		r.Status, r.Version = Accepted, current.Version-uint64(newer)
 		return r
-	case sent && !w.remembered(current, len(ids)):
+	case answerLost && !w.wouldBeListed(current, len(ids)):
 		return r.unknown(Error.New("%s %q has changed too often since, it stands at version %d", w.kind, w.name, current.Version))
 	}
-	return r.lost(current, w.value).refused(Error.New("%s %q stands at version %d, not %d", w.kind, w.name, current.Version, w.version))
+	return r.withLostRace(current, w.value).refused(Error.New("%s %q stands at version %d, not %d", w.kind, w.name, current.Version, w.version))
 }
 
-// remembered reports whether an object that remembers n changes would show
-// the write's, had it been made.
-func (w write) remembered(current objstore.Object, n int) bool {
+// wouldBeListed reports whether an object that lists its last n changes would
+// list the write's change if that had been made.
+func (w write) wouldBeListed(current objstore.Object, n int) bool {
 	return current.Version > w.version && current.Version-w.version <= uint64(n)
 }
 
-// newSettleDelay returns the delays between the calls that settle a lost answer.
+// newSettleDelay returns the backoff between the reads after a lost response.
 func newSettleDelay() *backoff.ExponentialBackOff {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -429,9 +429,9 @@
 	start := time.Now()
 	f.confirm(start, 2)
 	later := start.Add(time.Minute)
-	c := &Catalog{fresh: f, metrics: newMetrics(nil), log: event.Discard()}
-	c.heardPeer(member.Host{ID: "a"}, later, &peerpb.PullReply{Stale: true})
+	c := &Catalog{freshness: f, metrics: newMetrics(nil), log: event.Discard()}
+	c.recordPeerAnswer(member.Host{ID: "a"}, later, &peerpb.PullReply{Stale: true})
 	is.True(f.stale(later))
-	c.heardPeer(member.Host{ID: "a"}, later, &peerpb.PullReply{Stale: true, Complete: 1})
+	c.recordPeerAnswer(member.Host{ID: "a"}, later, &peerpb.PullReply{Stale: true, Complete: 1})
 	is.True(!f.stale(later))
 }
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -9,40 +9,40 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// maxDeletions is how many deletions are kept for peers that have not heard
-// of them.
+// maxDeletions is the number of deletions kept for peers that have not received
+// them.
 const maxDeletions = 1024
 
-// state is the configuration at one moment. It never changes; apply returns
-// the next one.
+// state is the configuration of a host at one moment. It is immutable; apply
+// returns the next one.
 //
-// Every change up to revision complete has been applied. Nothing at or before
-// it is ever taken again, which is why an object can't go back: an answer that
-// comes late, whoever sent it, holds nothing that is not in here already.
+// Every change up to revision complete has been applied. A change at or before
+// complete is never applied again, so no object can return to an older version:
+// a late response, whoever sent it, contains nothing that is not applied already.
 type state struct {
-	revision uint64 // newest change applied; what the host reports
-	complete uint64 // at least revision; grows also when nothing has changed
-	floor    uint64 // every deletion after it is among the entries
+	revision uint64 // newest change applied; reported to other hosts
+	complete uint64 // at least revision; also grows when no object of the configuration has changed
+	floor    uint64 // all deletions after this revision are in entries; earlier ones may have been discarded
 	entries  map[key]*entry
 	view     *view
 }
 
 func emptyState() *state { return &state{view: &view{snapshots: map[string][]Snapshot{}}} }
 
-// batch is a set of changes from the platform or a peer.
+// batch is a set of changes received from the platform or a peer.
 type batch struct {
-	after    uint64 // it holds every change after this revision; 0 for a list
-	revision uint64 // newest change known to the sender
-	complete uint64 // up to this revision
-	floor    uint64 // the sender knows every deletion after this revision
-	full     bool   // objects neither in objects nor in held, unchanged since after, are gone
-	objects  []objstore.Object
-	held     []key
-	at       time.Time // by the host's clock
+	after      uint64 // the batch contains all changes after this revision; 0 for a list
+	revision   uint64 // newest change known to the sender
+	complete   uint64 // the batch contains all changes up to this revision
+	floor      uint64 // the sender keeps all deletions after this revision
+	full       bool   // the batch names all existing objects: one that is neither in objects nor in unchanged was deleted
+	objects    []objstore.Object
+	unchanged  []key
+	receivedAt time.Time // by this host's clock
 }
 
-// apply returns the state with the batch applied and the entries that it
-// changed. A batch that holds nothing new leaves the state as it is.
+// apply returns the state with the batch applied, and the entries that changed.
+// For a batch that is not newer than the state it returns the state itself.
 func (s *state) apply(b batch) (*state, []*entry, error) {
 	if b.complete <= s.complete {
 		return s, nil, nil
@@ -59,9 +59,9 @@
 	if next.entries == nil {
 		next.entries = map[key]*entry{}
 	}
-	changed := next.put(b, s.complete)
+	changed := next.putObjects(b, s.complete)
 	if b.full {
-		changed = append(changed, next.removeAllBut(b)...)
+		changed = append(changed, next.deleteUnnamed(b)...)
 	}
 	if b.full {
 		next.floor = max(s.floor, b.floor)
@@ -71,22 +71,22 @@
 		return next, nil, nil
 	}
 	next.forgetDeletions()
-	next.view = s.view.with(changed)
+	next.view = s.view.withChanges(changed)
 	return next, changed, nil
 }
 
-// put takes the objects that changed after the given revision. An answer may
-// hold several changes of one object, in any order.
-func (s *state) put(b batch, after uint64) []*entry {
+// putObjects stores the objects of the batch that changed after the given
+// revision. A batch may contain several changes of one object, in any order.
+func (s *state) putObjects(b batch, after uint64) []*entry {
 	var changed []*entry
 	for _, o := range b.objects {
-		held := s.entries[keyOf(o)]
-		if o.Revision <= after || held != nil && o.Revision <= held.object.Revision {
+		current := s.entries[keyOf(o)]
+		if o.Revision <= after || current != nil && o.Revision <= current.object.Revision {
 			continue
 		}
-		e := newEntry(o, held, b.at)
-		if held.succeeds(o, b.at) {
-			e = held.keptOver(o.Version, o.Revision)
+		e := newEntry(o, current, b.receivedAt)
+		if current.isSuccessorOf(o, b.receivedAt) {
+			e = current.rebasedOn(o.Version, o.Revision)
 		}
 		s.entries[keyOf(o)] = e
 		s.revision = max(s.revision, o.Revision)
@@ -95,15 +95,15 @@
 	return changed
 }
 
-// removeAllBut deletes what the batch, which names all objects, does not
-// name, but for what the platform may have lost. The revision of the deletion is not known; that of the batch is the
-// latest that it can be.
-func (s *state) removeAllBut(b batch) []*entry {
+// deleteUnnamed deletes the objects that a full batch does not name, except
+// those that the platform may have lost, which are to be written again. The revision of a
+// deletion is unknown; the batch's complete revision, the latest possible one, is used.
+func (s *state) deleteUnnamed(b batch) []*entry {
 	named := map[key]bool{}
 	for _, o := range b.objects {
 		named[keyOf(o)] = true
 	}
-	for _, k := range b.held {
+	for _, k := range b.unchanged {
 		named[k] = true
 	}
 	var removed []*entry
@@ -111,22 +111,22 @@
 		if named[k] || e.object.Deleted {
 			continue
 		}
-		if e.mayBeLost(b.complete, b.at) {
-			s.entries[k] = e.keptOver(0, b.complete)
+		if e.mayBeLost(b.complete, b.receivedAt) {
+			s.entries[k] = e.rebasedOn(0, b.complete)
 			s.revision = b.complete
 			removed = append(removed, s.entries[k])
 			continue
 		}
-		gone := objstore.Object{Kind: k.kind, Name: k.name, Version: e.object.Version, Revision: b.complete, Deleted: true}
-		s.entries[k] = &entry{object: gone}
+		deletion := objstore.Object{Kind: k.kind, Name: k.name, Version: e.object.Version, Revision: b.complete, Deleted: true}
+		s.entries[k] = &entry{object: deletion}
 		s.revision = b.complete
 		removed = append(removed, s.entries[k])
 	}
 	return removed
 }
 
-// forgetDeletions drops the oldest deletions above the bound and raises the
-// floor over them.
+// forgetDeletions discards the oldest deletions beyond maxDeletions and raises
+// the floor accordingly.
 func (s *state) forgetDeletions() {
 	var deletions []*entry
 	for _, e := range s.entries {
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -92,7 +92,7 @@
 func (m *machine) pull(t *rapid.T) {
 	to, from := m.host(t), m.host(t)
 	b := batch{after: m.hosts[to].complete}
-	b.add(m.hosts[from].page(b.after, b.after))
+	b.addPage(m.hosts[from].page(b.after, b.after))
 	m.late = append(m.late, answer{to, b})
 }
 
@@ -181,7 +181,7 @@
 	peer, _, err := emptyState().apply(batch{complete: 2, floor: 2, full: true})
 	is.NoErr(err)
 	var pulled batch
-	pulled.add(peer.page(0, 0))
+	pulled.addPage(peer.page(0, 0))
 	created := objstore.Object{Kind: objstore.KindService, Name: "a", Revision: 1, Value: encode(testService("a"))}
 	s, _, err := emptyState().apply(batch{complete: 1, objects: []objstore.Object{created}})
 	is.NoErr(err)
@@ -209,7 +209,7 @@
 	got, pages, cursor := batch{}, 0, uint64(0)
 	for more := true; more; pages++ {
 		out := from.page(0, cursor)
-		got.add(out)
+		got.addPage(out)
 		cursor, more = out.Objects[len(out.Objects)-1].Revision, out.More
 	}
 	is.True(pages > 2)
@@ -233,7 +233,7 @@
 		var changed []*entry
 		s, changed, err = s.apply(object(uint64(i+2), value))
 		is.NoErr(err)
-		is.True(changed[0].problem != nil)
+		is.True(changed[0].readErr != nil)
 		is.Equal(s.revision, uint64(i+2))
 		is.Equal(len(s.view.services[0].Targets), 3) // the last good version
 	}
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -12,13 +12,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-const maxName = 63
+const maxNameLength = 63
 
-// namePattern keeps names usable in paths, labels and statements; without a
-// dot, so that the name of a snapshot's object can be taken apart.
+// namePattern keeps names usable in paths, labels and statements. It excludes
+// dots, which separate the workload from the id in the name of a snapshot's object.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// problems collects everything that is wrong with an object.
+// problems collects the validation errors of an object.
 type problems []error
 
 func (p *problems) add(format string, args ...any) { *p = append(*p, fmt.Errorf(format, args...)) }
@@ -30,12 +30,12 @@
 }
 
 func (p *problems) name(field, name string) {
-	ok := len(name) <= maxName && namePattern.MatchString(name)
-	p.unless(ok, "%s: %q is not a name: want 1 to %d of a-z, 0-9 and inner hyphens", field, name, maxName)
+	ok := len(name) <= maxNameLength && namePattern.MatchString(name)
+	p.unless(ok, "%s: %q is not a name: want 1 to %d of a-z, 0-9 and inner hyphens", field, name, maxNameLength)
 }
 
 // ValidateService reports every problem of a service, joined, or nil. Zero
-// rules are valid, since defaults stand in for them.
+// rules are valid, since they are replaced by defaults.
 func ValidateService(s Service) error {
 	var p problems
 	p.name("name", s.Name)
@@ -49,17 +49,17 @@
 		seen[t.ID] = true
 		p.target(fmt.Sprintf("targets[%d]", i), t)
 	}
-	p.rules(s.Rules.filled())
+	p.rules(s.Rules.withDefaults())
 	return errors.Join(p...)
 }
 
-func (p *problems) target(at string, t Target) {
-	p.unless(t.ID != "", "%s.id: is missing", at)
+func (p *problems) target(path string, t Target) {
+	p.unless(t.ID != "", "%s.id: is missing", path)
 	_, _, err := net.SplitHostPort(t.Address)
-	p.unless(err == nil, "%s.address: %q is not host:port", at, t.Address)
-	p.unless(t.FailureDomain != "", "%s.failure_domain: is missing", at)
-	p.unless(t.Slots > 0, "%s.slots: %d is less than 1", at, t.Slots)
-	p.unless(t.Connections > 0, "%s.connections: %d is less than 1", at, t.Connections)
+	p.unless(err == nil, "%s.address: %q is not host:port", path, t.Address)
+	p.unless(t.FailureDomain != "", "%s.failure_domain: is missing", path)
+	p.unless(t.Slots > 0, "%s.slots: %d is less than 1", path, t.Slots)
+	p.unless(t.Connections > 0, "%s.connections: %d is less than 1", path, t.Connections)
 }
 
 func (p *problems) rules(r Rules) {
@@ -85,9 +85,9 @@
 	p.unless(v > 0 && v < 1, "%s: %g is not between 0 and 1", field, v)
 }
 
-// ValidateSnapshot reports every problem of a snapshot, joined, or nil. The
-// services are those in force; every holder of a shard must be a target of
-// its service.
+// ValidateSnapshot reports every problem of a snapshot, joined, or nil. services
+// are those in force; every target id in a shard map must be a target of its
+// service.
 func ValidateSnapshot(s Snapshot, services []Service) error {
 	var p problems
 	p.snapshot(s)
@@ -125,7 +125,7 @@
 	return err
 }
 
-// snapshot checks what can be seen in the snapshot alone.
+// snapshot checks the snapshot by itself, without the services in force.
 func (p *problems) snapshot(s Snapshot) {
 	p.name("workload", s.Workload)
 	p.unless(s.ID > 0, "id: want more than 0")
--- a/internal/catalog/validate_test.go
+++ b/internal/catalog/validate_test.go
@@ -14,7 +14,7 @@
 	s.Name, s.Urgency = "No Name", "soon"
 	s.Targets[0].Address, s.Targets[1].Slots, s.Targets[2].ID = "nowhere", 0, s.Targets[1].ID
 	s.Rules.HedgeQuantile, s.Rules.LatencyRatio, s.Rules.QueueWait = 1, 2, -1
-	got := messages(ValidateService(s))
+	got := errorMessages(ValidateService(s))
 	is.Equal(len(got), 8)
 
 	a := testService("a")
@@ -23,7 +23,7 @@
 	bad := testSnapshot(0, 3, a, testService("b"))
 	bad.Services["a"].Shards[0] = nil
 	bad.Services["a"].Shards[1][0] = "stranger"
-	got = messages(ValidateSnapshot(bad, []Service{a, testService("c")}))
+	got = errorMessages(ValidateSnapshot(bad, []Service{a, testService("c")}))
 	want := []string{"id: want more than 0", "no target holds it", "not a target", "there is no such service", "is missing, though"}
 	is.Equal(len(got), len(want))
 	for _, w := range want {
@@ -33,8 +33,8 @@
 
 func TestDefaultsFillZeroRules(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Rules{}.filled(), DefaultRules())
-	is.Equal(Rules{HedgeBudget: -1}.filled().HedgeBudget, -1.0)
+	is.Equal(Rules{}.withDefaults(), DefaultRules())
+	is.Equal(Rules{HedgeBudget: -1}.withDefaults().HedgeBudget, -1.0)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(strings.Split(Config{}.Validate().Error(), "\n")), 7)
 }
--- a/internal/catalog/watch.go
+++ b/internal/catalog/watch.go
@@ -16,11 +16,11 @@
 	sourcePlatform = "platform"
 	sourcePeer     = "peer"
 
-	roleInterval     = 250 * time.Millisecond // between looks at whether to watch
-	minRetryDelay    = 100 * time.Millisecond
-	maxRetryDelay    = 2 * time.Second
-	peersFirst       = time.Second     // that a starting watcher leaves to its peers
-	othersPeersFirst = 3 * time.Second // that any other starting host does
+	roleCheckInterval   = 250 * time.Millisecond // interval at which a host that does not watch checks whether it should
+	minRetryDelay       = 100 * time.Millisecond
+	maxRetryDelay       = 2 * time.Second
+	watcherListDelay    = time.Second     // time for which a starting watcher without configuration waits for its peers before it lists
+	nonWatcherListDelay = 3 * time.Second // the same for any other starting host
 )
 
 // watchLoop follows the platform while this host is one of the watchers.
@@ -28,9 +28,9 @@
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = minRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
-		c.noteFreshness()
+		c.reportFreshness()
 		if !c.shouldWatch() {
-			await.Sleep(ctx, roleInterval)
+			await.Sleep(ctx, roleCheckInterval)
 			continue
 		}
 		if err := c.follow(ctx); err != nil {
@@ -41,10 +41,11 @@
 	}
 }
 
-// follow takes the next changes from the platform: all objects if this host
-// has none yet, or if the platform has forgotten changes since.
+// follow receives and applies the next changes from the platform. It lists all
+// objects if this host has none yet, or if the platform no longer keeps all
+// changes since the last one.
 func (c *Catalog) follow(ctx context.Context) error {
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	after := revision.FromOrdinal(c.state.Load().complete)
 	if after.IsZero() {
 		return c.list(ctx)
@@ -59,70 +60,72 @@
 	if err := c.applyBatch(batch{after: after.Ordinal(), complete: l.At().Ordinal(), objects: withOrdinals(l.Objects)}, sourcePlatform); err != nil {
 		return err
 	}
-	c.heardPlatform(asked)
+	c.recordPlatformAnswer(sentAt)
 	return nil
 }
 
 func (c *Catalog) list(ctx context.Context) error {
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	l, err := c.store.List(ctx, kinds...)
 	if err != nil {
 		return Error.New("list: %w", err)
 	}
-	if held := revision.FromOrdinal(c.state.Load().complete); l.At().Before(held) {
-		c.log.Event(evPlatformBehind).Stringer("revision", held).Stringer("platform_revision", l.At()).Msg("")
-		return Error.New("list: the platform is at revision %s, this host at %s", l.At(), held)
+	if applied := revision.FromOrdinal(c.state.Load().complete); l.At().Before(applied) {
+		c.log.Event(evPlatformBehind).Stringer("revision", applied).Stringer("platform_revision", l.At()).Msg("")
+		return Error.New("list: the platform is at revision %s, which is older than %s on this host", l.At(), applied)
 	}
 	at := l.At().Ordinal()
 	if err := c.applyBatch(batch{complete: at, floor: at, full: true, objects: withOrdinals(l.Objects)}, sourcePlatform); err != nil {
 		return err
 	}
-	c.heardPlatform(asked)
+	c.recordPlatformAnswer(sentAt)
 	if l.Revision == 0 {
 		return errEmptyPlatform
 	}
 	return nil
 }
 
-// shouldWatch decides whether this host is a watcher now. It is if its rank
-// among the hosts of its failure domain says so; or if no peer has
-// confirmed its configuration for half of the time after which it is stale,
-// since then the platform is all that is left.
+// shouldWatch reports whether this host has to watch the platform now. It has to
+// if its rank among the hosts of its failure domain requires it, or if its
+// configuration has not been confirmed for half of StaleAfter, since pulls from
+// peers then evidently fail.
 func (c *Catalog) shouldWatch() bool {
 	self, hosts := c.members.Self(), c.members.Hosts()
 	rank := watchRank(self, hosts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	should := c.watcherAt(rank, now)
+	should := c.isWatcher(rank, now)
 	if c.state.Load().complete == 0 {
-		should = len(hosts) < 2 || now.Sub(c.started) >= c.leftToPeers(rank)
+		should = len(hosts) < 2 || now.Sub(c.startedAt) >= c.firstListDelay(rank)
 	}
 	if should != c.watching {
-		c.noteWatching(should, rank)
+		c.setWatching(should, rank)
 	}
 	return should
 }
 
-// watcherAt decides for a host that has a configuration; c.mu is held.
-func (c *Catalog) watcherAt(rank int, now time.Time) bool {
+// isWatcher decides for a host that has a configuration; c.mu must be held.
+func (c *Catalog) isWatcher(rank int, now time.Time) bool {
 	l := levelOf(rank, c.cfg.WatchersPerDomain)
-	if c.lastHeard.mustWatch(l, now, c.started, c.cfg.TakeoverAfter.Std()) {
+	if c.platformAnswers.mustWatch(l, now, c.startedAt, c.cfg.TakeoverAfter.Std()) {
 		return true
 	}
-	return now.Sub(c.fresh.confirmed) > c.cfg.StaleAfter.Std()/2
+	return now.Sub(c.freshness.confirmedAt) > c.cfg.StaleAfter.Std()/2
 }
 
-// leftToPeers is the time in which a host without configuration waits for
-// that of its peers, so that a fleet that starts doesn't list all at once.
-func (c *Catalog) leftToPeers(rank int) time.Duration {
+// firstListDelay is how long a host without configuration waits for its peers
+// before it lists the platform, so that a starting fleet doesn't list it all at once.
+func (c *Catalog) firstListDelay(rank int) time.Duration {
 	if rank < c.cfg.WatchersPerDomain {
-		return peersFirst
+		return watcherListDelay
 	}
-	return othersPeersFirst
+	return nonWatcherListDelay
 }
 
-func (c *Catalog) noteWatching(watching bool, rank int) {
+// setWatching updates, reports in the metrics and logs whether this host
+// watches the platform; c.mu must be held.
+func (c *Catalog) setWatching(watching bool, rank int) {
 	c.watching = watching
 	if watching {
 		c.metrics.watching.Set(1)
--- a/internal/catalog/watchers.go
+++ b/internal/catalog/watchers.go
@@ -8,14 +8,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// levels is how many levels of watchers a failure domain has. Those of level 0
-// watch always; those of a higher level stand in when no watcher of a lower
-// one hears the platform. Each level has as many hosts as all below it.
-const levels = 4
+// watcherLevels is the number of levels of watchers in a failure domain. Hosts of
+// level 0 always watch; those of a higher level take over when no watcher of a
+// lower level gets responses from the platform. Each level has as many hosts as
+// all lower levels together.
+const watcherLevels = 4
 
-// watchRank returns the place of the host among the usable hosts of its failure
-// domain in the order of watchers, from 0. The order is that of a hash of the
-// host id (rendezvous hashing), so a host that comes or goes moves no other.
+// watchRank returns the rank of the host among the usable hosts of its failure
+// domain, from 0; hosts of low rank watch. The order is that of a hash of the
+// host id (rendezvous hashing), so a host that joins or leaves does not change
+// the relative order of the others.
 func watchRank(self member.Host, hosts []member.Host) int {
 	own, rank := watchScore(self), 0
 	for _, h := range hosts {
@@ -31,40 +33,40 @@
 
 func watchScore(h member.Host) uint64 { return xxhash.Sum64String("watch/" + h.ID) }
 
-// levelOf returns the level of the host with the given rank in the order of
-// watchers, where n hosts are of level 0; levels if it is of none.
+// levelOf returns the watcher level of the host with the given rank, where n
+// hosts are of level 0; it returns watcherLevels if the host is of no level.
 func levelOf(rank, n int) int {
 	l := 0
-	for ; l < levels && rank >= n; l++ {
+	for ; l < watcherLevels && rank >= n; l++ {
 		n *= 2
 	}
 	return l
 }
 
-// lastHeard is when the platform was last heard, as far as known here, by the
-// level of the watchers that heard it; zero: never. An answer counts from the
-// moment at which it was asked for.
+// answerTimes is the time of the newest known response of the platform to
+// watchers of each level; zero: none. The time is that at which the request was
+// sent.
 //
-// A host that stands in looks at the answers to lower levels only. If those to
-// itself counted, it would stop as soon as it succeeds.
-type lastHeard [levels]time.Time
+// A host that has taken over considers only the responses to lower levels. If it
+// counted those to itself, it would stop watching as soon as it succeeds.
+type answerTimes [watcherLevels]time.Time
 
-// record notes an answer to a watcher of the level.
-func (h *lastHeard) record(level int, at time.Time) {
-	if level < levels && at.After(h[level]) {
+// record records a response to a watcher of the level.
+func (h *answerTimes) record(level int, at time.Time) {
+	if level < watcherLevels && at.After(h[level]) {
 		h[level] = at
 	}
 }
 
 // mustWatch reports whether a host of the level has to watch: no watcher of a
-// lower level has heard the platform for the span, times the level so that
-// the levels set in one after another. started counts while none has heard it
-// at all.
-func (h *lastHeard) mustWatch(level int, now, started time.Time, span time.Duration) bool {
+// lower level has received a response for more than level*takeoverAfter, so that
+// the levels take over one after another. While no response is known, the time
+// counts from started.
+func (h *answerTimes) mustWatch(level int, now, started time.Time, takeoverAfter time.Duration) bool {
 	if level == 0 {
 		return true
 	}
-	if level >= levels {
+	if level >= watcherLevels {
 		return false
 	}
 	newest := started
@@ -73,12 +75,12 @@
 			newest = at
 		}
 	}
-	return now.Sub(newest) > time.Duration(level)*span
+	return now.Sub(newest) > time.Duration(level)*takeoverAfter
 }
 
-// ages returns the ages of the answers in microseconds, -1 where there is none.
-func (h *lastHeard) ages(now time.Time) []int64 {
-	ages := make([]int64, levels)
+// ages returns the ages of the responses in microseconds, -1 where there is none.
+func (h *answerTimes) ages(now time.Time) []int64 {
+	ages := make([]int64, watcherLevels)
 	for l, at := range h {
 		ages[l] = -1
 		if !at.IsZero() {
--- a/internal/catalog/watchers_test.go
+++ b/internal/catalog/watchers_test.go
@@ -34,14 +34,14 @@
 
 func TestLevelsStandInOneAfterAnother(t *testing.T) {
 	is := is.New(t)
-	is.Equal([]int{levelOf(1, 2), levelOf(2, 2), levelOf(3, 2), levelOf(4, 2), levelOf(8, 2), levelOf(16, 2)}, []int{0, 1, 1, 2, 3, levels})
+	is.Equal([]int{levelOf(1, 2), levelOf(2, 2), levelOf(3, 2), levelOf(4, 2), levelOf(8, 2), levelOf(16, 2)}, []int{0, 1, 1, 2, 3, watcherLevels})
 
 	const span = 15 * time.Second
 	start := time.Now()
-	var h lastHeard
+	var h answerTimes
 	needs := func(after time.Duration) []bool {
 		var all []bool
-		for l := range levels + 1 {
+		for l := range watcherLevels + 1 {
 			all = append(all, h.mustWatch(l, start.Add(after), start, span))
 		}
 		return all
--- a/internal/objstore/config.go
+++ b/internal/objstore/config.go
@@ -8,15 +8,15 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config tells where the platform is and how much of it one host may use.
+// Config holds the addresses of the platform and the limits of one host's calls to it.
 type Config struct {
-	// Addresses are host:port of the platform's API. The client stays with one
-	// and turns to the next when it can't connect.
+	// Addresses are host:port of the platform's API. The client uses one of them
+	// until it can't connect, then the next one.
 	Addresses []string `json:"addresses"`
-	// Timeout bounds one call; a watch takes this long on top of its wait.
+	// Timeout bounds one call; for a watch its wait is added.
 	Timeout unit.Duration `json:"timeout"`
-	// CallsPerSecond and Burst are the token bucket that all calls of the host
-	// pass, waiting watches included.
+	// CallsPerSecond and Burst configure the token bucket that limits all calls of
+	// the host, watches included.
 	CallsPerSecond float64 `json:"calls_per_second"`
 	Burst          int     `json:"burst"`
 }
@@ -29,7 +29,7 @@
 	maxTimeout            = time.Minute
 )
 
-// DefaultConfig returns the settings of a small site, without addresses.
+// DefaultConfig returns settings that suit a small site, without addresses.
 func DefaultConfig() Config {
 	return Config{
 		Timeout:        unit.Duration(defaultTimeout),
--- a/internal/objstore/envelope.go
+++ b/internal/objstore/envelope.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// envelope is the spec of an object of the product's own kinds. The platform
-// keeps a revision of each record but neither a version that counts its changes
-// nor times, so they lie with the value.
+// envelope is the spec of a record that a Client wrote. The platform keeps a
+// revision for each record, but neither a version that counts its changes nor
+// timestamps, so they are stored beside the value.
 type envelope struct {
 	Meta  *envelopeMeta   `json:"rhubarbwood"`
 	Value json.RawMessage `json:"value"`
@@ -19,8 +19,8 @@
 	Changed time.Time `json:"changed"` // by the platform's clock
 }
 
-// Open returns the object that a record holds. A record that was not written
-// by a Client, such as one made by hand, is at version 1 and has no times.
+// Open decodes the object of a record. A record that was not written by a
+// Client, such as one written manually, has version 1 and no timestamps.
 func Open(kind string, r Record) (Object, error) {
 	o := Object{Kind: kind, Name: r.Name, Revision: r.Revision.Number, Era: r.Revision.Era, Deleted: r.Deleted}
 	if r.Problem != nil {
@@ -39,6 +39,8 @@
 	return o.withoutDeletedValue(), nil
 }
 
+// withoutDeletedValue clears the value of a deleted object and counts the
+// deletion as a version of its own.
 func (o Object) withoutDeletedValue() Object {
 	if o.Deleted {
 		o.Version++
@@ -47,7 +49,7 @@
 	return o
 }
 
-// seal returns the spec that holds the object's value, version and times.
+// seal encodes the object's value, version and timestamps as a record's spec.
 func (o Object) seal() (json.RawMessage, error) {
 	value := o.Value
 	if len(value) == 0 {
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -15,7 +15,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Verbs, as the metrics name them.
+// Verbs, as in the label "verb" of the metrics.
 const (
 	verbGet    = "get"
 	verbList   = "list"
@@ -25,48 +25,48 @@
 	verbHosts  = "hosts"
 )
 
-// Governed keeps the calls of one host within its rate and its timeout, counts
-// them, and logs when the platform begins or ceases to answer. It never repeats
-// a call, since only the caller knows whether that is safe.
+// Governed implements Records with the rate limit and the timeout of one host.
+// It counts the calls, and logs when the platform becomes reachable or unreachable.
+// It never retries a call, since only the caller knows whether that is safe.
 type Governed struct {
-	cfg        Config
-	records    Records
-	bucket     *rate.Limiter
-	unreadable *rate.Limiter // lines about records that can't be read
-	up         atomic.Bool
-	eraMu      sync.Mutex
-	eraTold    bool   // an answer has come, so that a rise of the era is a restore
-	era        uint64 // newest that was logged
-	// answered is set by the first answer. started is this host's clock when
-	// the records were opened; see Now.
-	answered atomic.Bool
-	started  time.Time
-	clock    *clock.Clock
-	began    time.Time // when they were opened, by clock
-	log      *event.Log
-	metrics  *metrics
+	cfg               Config
+	records           Records
+	limiter           *rate.Limiter
+	unreadableLimiter *rate.Limiter // log lines about records that can't be decoded
+	reachable         atomic.Bool
+	eraMu             sync.Mutex
+	eraKnown          bool   // a response has been received, so a change of the era means a restore
+	era               uint64 // last logged era
+	// answered is set by the first response. openedWallTime is the time of day
+	// when the records were opened; see Now.
+	answered       atomic.Bool
+	openedWallTime time.Time
+	clock          *clock.Clock
+	openedAt       time.Time // reading of clock when the records were opened
+	log            *event.Log
+	metrics        *metrics
 }
 
 var _ Records = (*Governed)(nil)
 
-// Bounds of the lines about records that can't be read, a second and at once: one that stays is
-// met again with each list.
+// Rate and burst of the log lines about records that can't be decoded. Such a record is
+// encountered again in each list until it is removed.
 const (
-	unreadableLines = 1
-	unreadableBurst = 20
+	unreadableLogsPerSecond = 1
+	unreadableLogBurst      = 20
 )
 
-// Govern returns records under the limits of valid settings.
+// Govern wraps records with the limits of cfg, which must be valid.
 func Govern(cfg Config, records Records, log *event.Log, reg prometheus.Registerer) *Governed {
 	return &Governed{
-		cfg: cfg, records: records, started: time.Now(), began: time.Now(), log: log, metrics: newMetrics(reg),
-		bucket: rate.NewLimiter(rate.Limit(cfg.CallsPerSecond), cfg.Burst), unreadable: rate.NewLimiter(unreadableLines, unreadableBurst),
+		cfg: cfg, records: records, openedWallTime: time.Now(), openedAt: time.Now(), log: log, metrics: newMetrics(reg),
+		limiter: rate.NewLimiter(rate.Limit(cfg.CallsPerSecond), cfg.Burst), unreadableLimiter: rate.NewLimiter(unreadableLogsPerSecond, unreadableLogBurst),
 	}
 }
 
-// GoBy makes Now count the time in which the machine is suspended. It is to be called before the
-// records are used.
-func (g *Governed) GoBy(c *clock.Clock) { g.clock, g.began = c, c.Now() }
+// GoBy sets the clock by which Now advances, so that time during which the machine is suspended
+// counts. It must be called before the records are used.
+func (g *Governed) GoBy(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
 
 // Get implements Records.
 func (g *Governed) Get(ctx context.Context, kind, name string) (r Record, err error) {
@@ -83,30 +83,30 @@
 		p, err = g.records.List(ctx, kind, after)
 		return err
 	})
-	g.noteUnreadable(kind, p)
+	g.reportUnreadable(kind, p)
 	return p, err
 }
 
-// noteUnreadable counts and logs the records of a page that can't be read.
-func (g *Governed) noteUnreadable(kind string, p RecordPage) {
+// reportUnreadable counts and logs the records of a page that can't be decoded.
+func (g *Governed) reportUnreadable(kind string, p RecordPage) {
 	for _, r := range p.Records {
 		if r.Problem == nil {
 			continue
 		}
 		g.metrics.unreadable.WithLabelValues(kind).Inc()
-		if g.unreadable.Allow() {
+		if g.unreadableLimiter.Allow() {
 			g.log.Event(evUnreadable).Str("kind", kind).Str("record", r.Name).Err(r.Problem).Msg("")
 		}
 	}
 }
 
-// Watch implements Records. The timeout comes on top of the wait.
+// Watch implements Records. The timeout is added to the wait.
 func (g *Governed) Watch(ctx context.Context, kind string, after revision.Revision, wait time.Duration) (p RecordPage, err error) {
 	err = g.call(ctx, verbWatch, wait, func(ctx context.Context) (err error) {
 		p, err = g.records.Watch(ctx, kind, after, wait)
 		return err
 	})
-	g.noteUnreadable(kind, p)
+	g.reportUnreadable(kind, p)
 	return p, err
 }
 
@@ -144,9 +144,9 @@
 	return hosts, err
 }
 
-// Now implements Records. Where the platform's answers tell no time, it is this
-// host's clock as it stood when the records were opened, carried on by one that no step
-// of the time of day moves.
+// Now implements Records. If the platform's responses carry no time, it returns this
+// host's time of day when the records were opened plus the time elapsed since, by a clock that
+// steps of the time of day do not affect.
 func (g *Governed) Now() (time.Time, bool) {
 	if now, ok := g.records.Now(); ok {
 		return now, true
@@ -154,7 +154,7 @@
 	if !g.answered.Load() {
 		return time.Time{}, false
 	}
-	return g.started.Add(g.clock.Since(g.began)), true
+	return g.openedWallTime.Add(g.clock.Since(g.openedAt)), true
 }
 
 // Era implements Records.
@@ -163,8 +163,8 @@
 // Close implements Records.
 func (g *Governed) Close() { g.records.Close() }
 
-// call makes one call within the token bucket and the timeout; wait is added
-// to the timeout.
+// call makes one call, subject to the rate limit and the timeout; wait is
+// added to the timeout.
 func (g *Governed) call(ctx context.Context, verb string, wait time.Duration, do func(context.Context) error) error {
 	start := time.Now()
 	limited, cancel := context.WithTimeout(ctx, g.cfg.Timeout.Std()+wait)
@@ -179,33 +179,33 @@
 	return err
 }
 
-// takeToken waits for a token of the bucket; it fails at once when none would
-// come in time.
+// takeToken waits for a token of the bucket. It fails at once if none will be
+// available before the deadline of ctx.
 func (g *Governed) takeToken(ctx context.Context, verb string) error {
-	if err := g.bucket.Wait(ctx); err != nil {
+	if err := g.limiter.Wait(ctx); err != nil {
 		return &Unavailable{Cause: Error.New("%s: wait for a token of %g calls a second: %w", verb, g.cfg.CallsPerSecond, err)}
 	}
 	return nil
 }
 
-// logReachability logs when the platform begins or ceases to answer. A call
-// that the caller gave up tells nothing about that.
+// logReachability logs when the platform becomes reachable or unreachable. A
+// failed call that the caller had cancelled is ignored.
 func (g *Governed) logReachability(ctx context.Context, verb string, err error) {
 	switch resultOf(err) {
 	case resultUnavailable, resultUnanswered:
-		if ctx.Err() == nil && g.up.CompareAndSwap(true, false) {
+		if ctx.Err() == nil && g.reachable.CompareAndSwap(true, false) {
 			g.log.Event(evUnreachable).Str("verb", verb).Str("error", err.Error()).Msg("")
 		}
 	default:
 		g.answered.Store(true)
-		if g.up.CompareAndSwap(false, true) {
+		if g.reachable.CompareAndSwap(false, true) {
 			g.log.Event(evReachable).Str("verb", verb).Msg("")
 		}
 	}
 }
 
-// logEra logs the era of the platform as of the first answer, and when it has risen. The first may be
-// 0, or be told by none.
+// logEra logs the era of the platform after the first response, and each change of it. The first
+// era may be 0, also because the platform reports none.
 func (g *Governed) logEra(verb string) {
 	if !g.answered.Load() {
 		return
@@ -213,14 +213,14 @@
 	g.eraMu.Lock()
 	defer g.eraMu.Unlock()
 	era, before := g.records.Era(), g.era
-	if g.eraTold && era == before {
+	if g.eraKnown && era == before {
 		return
 	}
 	g.metrics.era.Set(float64(era))
-	if g.eraTold {
+	if g.eraKnown {
 		g.log.Event(evRestored).Uint64("before", before).Uint64("era", era).Str("verb", verb).Msg("")
 	} else {
-		g.log.Event(evEraKnown).Uint64("era", era).Msg("")
+		g.log.Event(evEra).Uint64("era", era).Msg("")
 	}
-	g.era, g.eraTold = era, true
+	g.era, g.eraKnown = era, true
 }
--- a/internal/objstore/metrics.go
+++ b/internal/objstore/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Results of calls, as the metrics name them.
+// Results of calls, as in the label "result" of the metrics.
 const (
 	resultOK          = "ok"
 	resultConflict    = "conflict"
@@ -53,7 +53,7 @@
 	m.seconds.WithLabelValues(verb).Observe(took.Seconds())
 }
 
-// resultOf names the result of a call by its error.
+// resultOf maps the error of a call to its result label.
 func resultOf(err error) string {
 	var conflict *Conflict
 	var refused *RecordConflict
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -10,44 +10,44 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Client is one host's client of the platform, with faults of its own. It
-// implements objstore.Store.
+// Client is one host's client of the platform, with its own fault injection.
+// It implements objstore.Store.
 type Client struct {
 	p *Platform
 
 	mu           sync.Mutex
 	down         bool
 	latency      time.Duration
-	loseAnswers  int // of the next writes
-	loseRequests int // of the next writes
-	holdWrites   int
+	loseAnswers  int // number of next writes whose response is lost
+	loseRequests int // number of next writes whose request is lost
+	holdWrites   int // number of next writes that are applied by Release
 	now          time.Time
 }
 
 var _ objstore.Store = (*Client)(nil)
 
-// Outage cuts this client off from the platform, or connects it again.
+// Outage disconnects this client from the platform, or reconnects it.
 func (c *Client) Outage(down bool) {
 	c.set(func() { c.down = down })
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.p.wake()
+	c.p.signalWatches()
 }
 
-// LoseNextAnswers lets the next n writes take effect and fail with
+// LoseNextAnswers makes the next n writes take effect but fail with
 // *objstore.Unanswered.
 func (c *Client) LoseNextAnswers(n int) { c.set(func() { c.loseAnswers = n }) }
 
-// LoseNextRequests lets the next n writes fail with *objstore.Unanswered
+// LoseNextRequests makes the next n writes fail with *objstore.Unanswered
 // without effect.
 func (c *Client) LoseNextRequests(n int) { c.set(func() { c.loseRequests = n }) }
 
-// HoldNextWrites lets the next n writes fail with *objstore.Unanswered and
-// take effect when Platform.Release is called.
+// HoldNextWrites makes the next n writes fail with *objstore.Unanswered and
+// take effect only when Platform.Release is called.
 func (c *Client) HoldNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
 
-// SetLatency makes each call but a watch take d before it takes effect. A
-// call whose context ends first fails with *objstore.Unanswered, without effect.
+// SetLatency delays each call but a watch by d before it takes effect. A call
+// whose context ends first fails with *objstore.Unanswered, without effect.
 func (c *Client) SetLatency(d time.Duration) { c.set(func() { c.latency = d }) }
 
 // Get implements objstore.Store.
@@ -57,7 +57,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.tick()
+	c.readClock()
 	o, ok := c.p.objects[key{kind, name}]
 	if !ok {
 		return objstore.Object{}, objstore.ErrNotFound
@@ -73,7 +73,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.tick()
+	c.readClock()
 	return c.p.list(kinds...), nil
 }
 
@@ -124,7 +124,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.tick()
+	c.readClock()
 	return slices.Clone(c.p.hosts), nil
 }
 
@@ -141,13 +141,13 @@
 	change()
 }
 
-// begin counts the call, lets the latency pass and fails if the client is
-// cut off.
+// begin counts the call, waits for the latency and fails if the platform is
+// unreachable for this client.
 func (c *Client) begin(ctx context.Context, verb string) error {
 	c.p.mu.Lock()
-	c.p.calls[verb]++
+	c.p.callCounts[verb]++
 	c.p.mu.Unlock()
-	if c.cut() || ctx.Err() != nil {
+	if c.unreachable() || ctx.Err() != nil {
 		return &objstore.Unavailable{Cause: errDown}
 	}
 	c.mu.Lock()
@@ -163,14 +163,14 @@
 	case <-ctx.Done():
 		return &objstore.Unanswered{Cause: ctx.Err()}
 	}
-	if c.cut() {
+	if c.unreachable() {
 		return &objstore.Unanswered{Cause: errDown}
 	}
 	return nil
 }
 
-// cut reports whether this client or the whole platform is down.
-func (c *Client) cut() bool {
+// unreachable reports whether this client is disconnected or the platform is down.
+func (c *Client) unreachable() bool {
 	c.mu.Lock()
 	down := c.down
 	c.mu.Unlock()
@@ -179,8 +179,8 @@
 	return down || c.p.down
 }
 
-// tick reads the platform's clock, as each answer does; p.mu is held.
-func (c *Client) tick() {
+// readClock advances c.now to the platform's clock, as each response does; p.mu must be held.
+func (c *Client) readClock() {
 	now := c.p.clock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,23 +197,23 @@
 	defer c.p.mu.Unlock()
 	lost := &objstore.Unanswered{Cause: errDown}
 	switch {
-	case c.take(&c.loseRequests):
+	case c.consumeFault(&c.loseRequests):
 		return objstore.Object{}, lost
-	case c.take(&c.holdWrites):
+	case c.consumeFault(&c.holdWrites):
 		kept := slices.Clone(value)
-		c.p.held = append(c.p.held, func() { _, _ = c.p.write(k, version, kept, deleted) })
+		c.p.heldWrites = append(c.p.heldWrites, func() { _, _ = c.p.write(k, version, kept, deleted) })
 		return objstore.Object{}, lost
 	}
 	o, err := c.p.write(k, version, value, deleted)
-	if c.take(&c.loseAnswers) {
+	if c.consumeFault(&c.loseAnswers) {
 		return objstore.Object{}, lost
 	}
-	c.tick()
+	c.readClock()
 	return o, err
 }
 
-// take uses up one of the faults counted in n.
-func (c *Client) take(n *int) bool {
+// consumeFault decrements the fault counter n and reports whether it was above 0.
+func (c *Client) consumeFault(n *int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if *n == 0 {
@@ -223,9 +223,9 @@
 	return true
 }
 
-// changed returns the changes after a revision and what signals the next one.
+// changed returns the changes after a revision, and a channel that is closed at the next change.
 func (c *Client) changed(after revision.Revision, kinds []string) (objstore.Listing, <-chan struct{}, error) {
-	if c.cut() {
+	if c.unreachable() {
 		return objstore.Listing{}, nil, &objstore.Unanswered{Cause: errDown}
 	}
 	c.p.mu.Lock()
@@ -233,12 +233,12 @@
 	if after.Era != c.p.era || after.Number < c.p.compacted || after.Number > c.p.revision {
 		return objstore.Listing{}, nil, objstore.ErrCompacted
 	}
-	c.tick()
+	c.readClock()
 	l := objstore.Listing{Revision: c.p.revision, Era: c.p.era}
 	for _, o := range c.p.changes {
 		if o.Revision > after.Number && slices.Contains(kinds, o.Kind) {
 			l.Objects = append(l.Objects, o)
 		}
 	}
-	return l, c.p.signal, nil
+	return l, c.p.changeSignal, nil
 }
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -1,7 +1,8 @@
-// Package platformtest is an in-memory platform for tests. It opens no socket
-// and starts no goroutine, so it works inside a testing/synctest bubble and
-// gives the same answers on each run. One Platform stands for the store; each
-// host under test has a Client of its own, which can be cut off alone.
+// Package objstoretest provides an in-memory fake of the platform for tests,
+// with fault injection. It opens no socket and starts no goroutine, so it is
+// deterministic and works inside a testing/synctest bubble. One Platform is the
+// store; each host under test has its own Client, which can be disconnected
+// separately. It implements objstore.Store; it has no HTTP API. Start reading at Platform.
 package objstoretest
 
 import (
@@ -15,48 +16,48 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// errDown is the cause of each failure that the fake makes.
+// errDown is the cause of each injected failure.
 var errDown = errors.New("cut off by the test")
 
 type key struct{ kind, name string }
 
 // Platform is the store behind the clients.
 type Platform struct {
-	mu        sync.Mutex
-	objects   map[key]objstore.Object
-	changes   []objstore.Object // every change after compacted, oldest first
-	revision  uint64
-	era       uint64 // 0 until the first Reset
-	compacted uint64
-	signal    chan struct{} // closed and replaced at each change, outage and recovery
-	down      bool
-	held      []func()
-	hosts     []objstore.LiveHost
-	clock     func() time.Time
-	calls     map[string]int
+	mu           sync.Mutex
+	objects      map[key]objstore.Object
+	changes      []objstore.Object // changes after revision compacted, oldest first
+	revision     uint64
+	era          uint64 // 0 until the first Reset
+	compacted    uint64
+	changeSignal chan struct{} // closed and replaced at each change, outage and recovery
+	down         bool
+	heldWrites   []func()
+	hosts        []objstore.LiveHost
+	clock        func() time.Time
+	callCounts   map[string]int
 }
 
 // New returns an empty platform whose clock is time.Now, which is the virtual
 // clock inside a synctest bubble.
 func New() *Platform {
 	return &Platform{
-		objects: map[key]objstore.Object{},
-		signal:  make(chan struct{}),
-		clock:   time.Now,
-		calls:   map[string]int{},
+		objects:      map[key]objstore.Object{},
+		changeSignal: make(chan struct{}),
+		clock:        time.Now,
+		callCounts:   map[string]int{},
 	}
 }
 
 // Client returns a new client of the platform, without faults.
 func (p *Platform) Client() *Client { return &Client{p: p} }
 
-// Outage takes the platform down for every client, or up again. Calls fail
-// with *objstore.Unavailable; watches that wait fail with *objstore.Unanswered.
+// Outage takes the platform down for every client, or up again. During an
+// outage calls fail with *objstore.Unavailable; pending watches fail with *objstore.Unanswered.
 func (p *Platform) Outage(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.signalWatches()
 }
 
 // SetClock replaces the platform's clock.
@@ -73,57 +74,57 @@
 	p.hosts = slices.Clone(hosts)
 }
 
-// Compact forgets the changes up to the newest one, so that a watch from an
+// Compact discards the changes up to the newest one, so that a watch from an
 // older revision fails with objstore.ErrCompacted.
 func (p *Platform) Compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.compacted, p.changes = p.revision, nil
-	p.wake()
+	p.signalWatches()
 }
 
-// Reset takes the platform back to its beginning, without objects and at
-// revision 0, as a restore of an empty backup would. The era rises by one.
+// Reset restores the platform to an empty store at revision 0, as a restore
+// of an empty backup would. The era increases by one.
 func (p *Platform) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.objects)
 	p.revision, p.compacted, p.changes = 0, 0, nil
 	p.era++
-	p.wake()
+	p.signalWatches()
 }
 
-// Copy is the platform as it stood at a moment.
+// Copy is a backup of the platform's objects and revision.
 type Copy struct {
 	objects  map[key]objstore.Object
 	revision uint64
 }
 
-// Copy returns the platform as it stands.
+// Copy returns a backup of the platform's current state.
 func (p *Platform) Copy() Copy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Copy{maps.Clone(p.objects), p.revision}
 }
 
-// Restore takes the platform back to a copy. Later writes are lost, and their revisions are given
-// out again. The era rises by one.
+// Restore resets the platform to a copy. Writes made after the copy are lost, and their revisions
+// are assigned again. The era increases by one.
 func (p *Platform) Restore(c Copy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects, p.revision = maps.Clone(c.objects), c.revision
 	p.compacted, p.changes = p.revision, nil
 	p.era++
-	p.wake()
+	p.signalWatches()
 }
 
-// Release applies, in their order, the writes held by HoldNextWrites. A write
-// whose condition no longer holds is dropped.
+// Release applies the writes delayed by HoldNextWrites, in their order. A write
+// whose condition is no longer met is dropped.
 func (p *Platform) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := p.held
-	p.held = nil
+	held := p.heldWrites
+	p.heldWrites = nil
 	for _, apply := range held {
 		apply()
 	}
@@ -136,7 +137,7 @@
 	defer p.mu.Unlock()
 	n := 0
 	for _, v := range verbs {
-		n += p.calls[v]
+		n += p.callCounts[v]
 	}
 	return n
 }
@@ -155,13 +156,13 @@
 	return p.list(kind).Objects
 }
 
-// wake lets the waiting watches look again; p.mu is held.
-func (p *Platform) wake() {
-	close(p.signal)
-	p.signal = make(chan struct{})
+// signalWatches makes pending watches check for changes again; p.mu must be held.
+func (p *Platform) signalWatches() {
+	close(p.changeSignal)
+	p.changeSignal = make(chan struct{})
 }
 
-// list returns the objects of the kinds, sorted by kind and name; p.mu is held.
+// list returns the objects of the kinds, sorted by kind and name; p.mu must be held.
 func (p *Platform) list(kinds ...string) objstore.Listing {
 	l := objstore.Listing{Revision: p.revision, Era: p.era}
 	for _, o := range p.objects {
@@ -176,8 +177,8 @@
 	return l
 }
 
-// write applies a conditional write. The version of a name that was deleted
-// starts again from 1.
+// write applies a conditional write; p.mu must be held. After a deletion the
+// versions of a name start again from 1.
 func (p *Platform) write(k key, version uint64, value []byte, deleted bool) (objstore.Object, error) {
 	current, ok := p.objects[k]
 	if !ok {
@@ -203,6 +204,6 @@
 		delete(p.objects, k)
 	}
 	p.changes = append(p.changes, next)
-	p.wake()
+	p.signalWatches()
 	return next, nil
 }
--- a/internal/objstore/records.go
+++ b/internal/objstore/records.go
@@ -10,27 +10,27 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Record is one object as the platform keeps it.
+// Record is one object as the platform stores it.
 type Record struct {
 	Name     string
-	Revision revision.Revision // of the store, at the record's last change; Number 0: there is none
+	Revision revision.Revision // of the store, at the record's last change; Number 0: the record does not exist
 	Spec     json.RawMessage
-	Deleted  bool // in the answer to a watch: the record is gone
-	Deleting bool // the record goes once its finalizers are gone
-	// Problem is why the record can't be read; nothing but its name is known then, and that
+	Deleted  bool // in the result of a watch: the record was deleted
+	Deleting bool // the record will be deleted once its finalizers are removed
+	// Problem is why the record can't be decoded, or nil. If it is set, only Name is valid, and
 	// may be empty.
 	Problem error
 }
 
-// RecordPage is a part of a listing, or the changes that a watch found. Other writers may
-// have left records in it that can't be read; they cost none of the others.
+// RecordPage is one page of a listing, or the changes that a watch returned. A record of
+// another program that can't be decoded has Problem set and does not affect the others.
 type RecordPage struct {
 	Records  []Record
-	Revision revision.Revision // of the store, to watch from next
-	More     bool              // further records follow, after the name of the last one
+	Revision revision.Revision // of the store, from which the next watch starts
+	More     bool              // there is a next page; it starts after After()
 }
 
-// After returns the name after which the next page begins: the last one that can be read.
+// After returns the name after which the next page starts: the last one on this page that is not empty.
 func (p RecordPage) After() string {
 	for _, r := range slices.Backward(p.Records) {
 		if r.Name != "" {
@@ -40,47 +40,48 @@
 	return ""
 }
 
-// Records is the platform's object API as it is on the wire: each call is one
-// call of the API. Errors are ErrNotFound, ErrCompacted, *RecordConflict,
+// Records is the platform's object API: each call is one request to the API.
+// Errors are ErrNotFound, ErrCompacted, *RecordConflict,
 // *Unavailable or *Unanswered.
 type Records interface {
 	Get(ctx context.Context, kind, name string) (Record, error)
-	// List returns the records of a kind, by name, that follow the name after.
+	// List returns a page of the records of a kind, sorted by name, that follow the name after.
 	List(ctx context.Context, kind, after string) (RecordPage, error)
-	// Watch waits for changes of a kind after the revision, until wait has
-	// passed; then it returns none. It fails with ErrCompacted after a revision of
-	// another era than the platform's, too.
+	// Watch blocks until records of the kind change after the revision, or until
+	// wait has elapsed; then it returns none. It also fails with ErrCompacted if the
+	// revision is of another era than the platform's.
 	Watch(ctx context.Context, kind string, after revision.Revision, wait time.Duration) (RecordPage, error)
-	// Create writes a record that must not exist.
+	// Create writes a record that must not exist yet.
 	Create(ctx context.Context, kind, name string, spec json.RawMessage) (Record, error)
-	// Replace writes a record that must stand at the revision.
+	// Replace writes a record whose current revision must be the given one.
 	Replace(ctx context.Context, kind, name string, revision uint64, spec json.RawMessage) (Record, error)
-	// Delete removes a record that must stand at the revision.
+	// Delete removes a record whose current revision must be the given one.
 	Delete(ctx context.Context, kind, name string, revision uint64) error
-	// Hosts returns what the platform lists of targets.
+	// Hosts returns the platform's list of hosts.
 	Hosts(ctx context.Context) ([]LiveHost, error)
-	// Now returns the platform's clock as of its newest answer, and false
+	// Now returns the platform's clock as of its newest response, and false
 	// before the first one.
 	Now() (time.Time, bool)
-	// Era counts the times that the platform came back from an older copy, as of its newest
-	// answer; 0 if none has told it.
+	// Era counts how often the platform was restored from an older copy, as of its newest
+	// response; it is 0 if no response has reported an era.
 	Era() uint64
-	// Close closes the idle connections.
+	// Close closes idle connections.
 	Close()
 }
 
-// RecordConflict means that a conditional write was refused: it was not
-// applied. Current is the record that stands, with revision 0 if there is none.
+// RecordConflict means that a conditional write was rejected and not applied.
+// Current is the stored record, with revision 0 if it does not exist.
 type RecordConflict struct{ Current Record }
 
-// Error names the record and its revision.
+// Error names the record and its current revision.
 func (c *RecordConflict) Error() string {
 	return fmt.Sprintf("record %s stands at revision %d", c.Current.Name, c.Current.Revision)
 }
 
-// ListAll returns all records of a kind, page by page. The revision is that of the first page:
-// what changed while the others were read is found by a watch. It fails with ErrCompacted if the
-// platform came back from an older copy meanwhile: pages of two copies make no list.
+// ListAll reads all pages of a kind and returns their records as one page. The revision is that
+// of the first page, so that a watch from there returns the changes made while the other pages were
+// read. It fails with ErrCompacted if the platform is restored from an older copy meanwhile, since
+// pages from before and after a restore are not consistent.
 func ListAll(ctx context.Context, records Records, kind string) (RecordPage, error) {
 	var all RecordPage
 	after := ""
