--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -20,9 +20,10 @@
 
 var measure = flag.Bool("measure", false, "print the measurements of docs/design/configuration.md")
 
-// stateOf returns a state with the given services, and with three snapshots
-// for each workload of at most 167 services, of three shards a service.
-func stateOf(services int) *state {
+// stateWith returns a state with the given number of services, in workloads of
+// at most 167 services. Each workload has three snapshots with three shards per
+// service.
+func stateWith(services int) *state {
 	const workload, snapshots, shards = 167, 3, 3
 	b := batch{full: true}
 	add := func(kind, name string, v any) {
@@ -57,7 +58,7 @@
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := stateOf(n)
+			s := stateWith(n)
 			value := encode(s.view.services[0])
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,7 +70,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -78,10 +79,10 @@
 }
 
 func BenchmarkMemory(b *testing.B) {
-	held := func(b *testing.B, build func() *state) {
-		before := heap()
+	measureHeap := func(b *testing.B, build func() *state) {
+		before := heapBytes()
 		s := build()
-		grown, values := heap()-before, 0
+		grown, values := heapBytes()-before, 0
 		for _, e := range s.entries {
 			values += len(e.object.Value)
 		}
@@ -92,11 +93,11 @@
 		b.ReportMetric(float64(values), "value-B")
 	}
 	for _, n := range sizes {
-		b.Run(fmt.Sprintf("services=%d", n), func(b *testing.B) { held(b, func() *state { return stateOf(n) }) })
+		b.Run(fmt.Sprintf("services=%d", n), func(b *testing.B) { measureHeap(b, func() *state { return stateWith(n) }) })
 	}
 	for _, shards := range []int{500, 5000, 20000} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			held(b, func() *state {
+			measureHeap(b, func() *state {
 				snap := testSnapshot(1, shards, testService("guest-portal-0001"))
 				o := objstore.Object{Kind: objstore.KindSnapshot, Name: snap.ObjectName(), Revision: 1, Value: encode(snap)}
 				s, _, _ := emptyState().apply(batch{complete: 1, full: true, objects: []objstore.Object{o}})
@@ -106,16 +107,16 @@
 	}
 }
 
-// BenchmarkPull pulls over drpc on loopback; wire-B is both directions,
-// without headers of TCP and IP.
+// BenchmarkPull pulls over drpc on loopback. wire-B counts both directions,
+// without TCP and IP headers.
 func BenchmarkPull(b *testing.B) {
 	reg := prometheus.NewRegistry()
 	metrics := peer.NewMetrics(reg)
 	server, pool := peer.NewServer("127.0.0.1:0", peer.WithMetrics(metrics)), peer.NewPool()
 	f := newFleet(b)
-	n := &node{f: f, client: f.platform.Client()}
+	n := &node{fleet: f, client: f.platform.Client()}
 	from := New(DefaultConfig(), n.client, n, n, n, event.Discard(), nil)
-	before := stateOf(1400)
+	before := stateWith(1400)
 	changed := before.entries[key{objstore.KindService, "guest-portal-0700"}].object
 	changed.Revision = before.complete + 1
 	s, _, err := before.apply(batch{after: before.complete, complete: changed.Revision, objects: []objstore.Object{changed}})
@@ -176,8 +177,9 @@
 	return sum
 }
 
-// TestMeasureSpread prints, for fleets of several sizes, when a change was in
-// force everywhere (calls take no time) and the calls that it and quiet cost.
+// TestMeasureSpread prints for fleets of several sizes: the calls per host when
+// nothing changes, the time until a change is in force on all hosts (calls take
+// no time), and the additional pulls that a change causes.
 func TestMeasureSpread(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run with -measure")
@@ -187,14 +189,14 @@
 		inFleet(t, hosts, 5, func(_ *is.I, f *fleet) {
 			reads := f.platform.Calls("watch")
 			pulls := f.pulls.Load()
-			f.pass(time.Minute)
+			f.advance(time.Minute)
 			quietReads, quietPulls := f.platform.Calls("watch")-reads, f.pulls.Load()-pulls
 			pulls = f.pulls.Load()
 			var slowest time.Duration
 			for range changes {
-				slowest = max(slowest, f.spread())
+				slowest = max(slowest, f.propagationTime())
 			}
-			extra := float64(f.pulls.Load()-pulls)/changes - float64(quietPulls)/60*spreadBound.Seconds()
+			extra := float64(f.pulls.Load()-pulls)/changes - float64(quietPulls)/60*maxPropagationTime.Seconds()
 			perMinute := float64(hosts) * time.Minute.Seconds()
 			t.Logf("hosts %d: platform reads %.1f/s, pulls %.2f/s a host; a change is in force everywhere after at most %s and costs %.2f pulls a host",
 				hosts, float64(quietReads)/60, float64(quietPulls)/perMinute, slowest, extra/float64(hosts))
@@ -202,13 +204,14 @@
 	}
 }
 
-// spread makes a change and returns when it was in force everywhere.
-func (f *fleet) spread() time.Duration {
+// propagationTime makes a change and returns the time until it is in force on
+// all hosts.
+func (f *fleet) propagationTime() time.Duration {
 	revision, start, took := f.write(testService("a")), time.Now(), time.Duration(0)
-	for time.Since(start) < spreadBound {
+	for time.Since(start) < maxPropagationTime {
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
-		if took == 0 && f.inForce(revision) == len(f.nodes) {
+		if took == 0 && f.countInForce(revision) == len(f.nodes) {
 			took = time.Since(start)
 		}
 	}
--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -18,37 +18,37 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// heldView is a View of a configuration given by the test.
-type heldView struct{ *view }
+// fixedView is a View of a fixed configuration.
+type fixedView struct{ *view }
 
-func (v heldView) Service(name string) (Service, bool)  { return v.service(name) }
-func (v heldView) Services() []Service                  { return v.services }
-func (v heldView) Workload(name string) []Service       { return v.workloads[name] }
-func (v heldView) Snapshots(workload string) []Snapshot { return v.snapshots[workload] }
-func (v heldView) Revision() uint64                     { return 0 }
+func (v fixedView) Service(name string) (Service, bool)  { return v.service(name) }
+func (v fixedView) Services() []Service                  { return v.services }
+func (v fixedView) Workload(name string) []Service       { return v.workloads[name] }
+func (v fixedView) Snapshots(workload string) []Snapshot { return v.snapshots[workload] }
+func (v fixedView) Revision() uint64                     { return 0 }
 
 func newEditor(c *objstoretest.Client, v *view) *Editor {
-	return &Editor{cfg: DefaultConfig(), store: c, view: heldView{v}, log: event.Discard(), changes: newMetrics(nil).changes}
+	return &Editor{cfg: DefaultConfig(), store: c, view: fixedView{v}, log: event.Discard(), changes: newMetrics(nil).changes}
 }
 
-// console is an operator with a client that takes faults.
-type console struct {
+// operatorClient is an operator's editor and its client, in which faults can be injected.
+type operatorClient struct {
 	client *objstoretest.Client
 	editor *Editor
 }
 
-func newConsole(p *objstoretest.Platform) console {
+func newOperatorClient(p *objstoretest.Platform) operatorClient {
 	c := p.Client()
-	return console{c, newEditor(c, &view{})}
+	return operatorClient{c, newEditor(c, &view{})}
 }
 
-// fault is what happens to an operator's next calls.
+// fault is a fault of an operator's next calls.
 type fault struct {
 	kind  string
 	calls int
 }
 
-func (c console) apply(f fault) {
+func (c operatorClient) injectFault(f fault) {
 	switch f.kind {
 	case "answers lost":
 		c.client.LoseNextAnswers(f.calls)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (c console) heal() {
+func (c operatorClient) clearFaults() {
 	c.client.LoseNextAnswers(0)
 	c.client.LoseNextRequests(0)
 	c.client.HoldNextWrites(0)
@@ -71,19 +71,19 @@
 	c.client.Outage(false)
 }
 
-// round is one request of each operator, all made at once.
+// round is one request per operator, all made concurrently.
 type round struct {
 	faults       []fault
-	requests     []Request // whose version is set when they are made
-	releaseEarly bool      // late writes take effect while the operators wait
-	releaseLate  bool
+	requests     []Request // versions are set when the requests are made
+	releaseEarly bool      // late writes take effect while the operators wait for their results
+	releaseLate  bool      // late writes take effect after the operators have their results
 }
 
-const operators = 3
+const operatorCount = 3
 
 func drawRound(t *rapid.T) round {
 	r := round{releaseEarly: rapid.Bool().Draw(t, "release early"), releaseLate: rapid.Bool().Draw(t, "release late")}
-	for range operators {
+	for range operatorCount {
 		r.faults = append(r.faults, fault{
 			rapid.SampledFrom([]string{"none", "answers lost", "requests lost", "late", "slow", "down"}).Draw(t, "fault"),
 			rapid.IntRange(1, 3).Draw(t, "calls"),
@@ -95,15 +95,15 @@
 	return r
 }
 
-// run makes the requests of a round and returns what the operators were told.
-func (r round) run(ctx context.Context, p *objstoretest.Platform, consoles []console) []Result {
-	results := make([]Result, operators)
+// run makes the requests of a round and returns the results that the operators received.
+func (r round) run(ctx context.Context, p *objstoretest.Platform, clients []operatorClient) []Result {
+	results := make([]Result, operatorCount)
 	var wg sync.WaitGroup
-	for i, c := range consoles {
+	for i, c := range clients {
 		for _, o := range p.Objects(objstore.KindService) {
 			r.requests[i].Version = o.Version
 		}
-		c.apply(r.faults[i])
+		c.injectFault(r.faults[i])
 		wg.Go(func() { results[i] = c.editor.Change(ctx, r.requests[i]) })
 	}
 	if r.releaseEarly {
@@ -111,8 +111,8 @@
 		p.Release()
 	}
 	wg.Wait()
-	for _, c := range consoles {
-		c.heal()
+	for _, c := range clients {
+		c.clearFaults()
 	}
 	if r.releaseLate {
 		p.Release()
@@ -120,8 +120,8 @@
 	return results
 }
 
-// written returns the writes of the platform's history by change id.
-func written(ctx context.Context, p *objstoretest.Platform) map[string][]objstore.Object {
+// writesByChangeID returns all writes in the platform's history by change id.
+func writesByChangeID(ctx context.Context, p *objstoretest.Platform) map[string][]objstore.Object {
 	by := map[string][]objstore.Object{}
 	l, err := p.Client().Watch(ctx, revision.Revision{}, 0, kinds...)
 	if err != nil {
@@ -134,30 +134,31 @@
 	return by
 }
 
-// judge holds what an operator was told to what happened.
-func judge(r Result, req Request, writes []objstore.Object) error {
+// checkResult compares the result that an operator received with the writes that took effect.
+func checkResult(r Result, req Request, writes []objstore.Object) error {
 	switch {
 	case len(writes) > 1:
-		return fmt.Errorf("%s was made %d times", r.ChangeID, len(writes))
+		return fmt.Errorf("change %s was written %d times", r.ChangeID, len(writes))
 	case r.Status == Refused && len(writes) != 0:
-		return fmt.Errorf("told refused, but it was made: %+v", r)
+		return fmt.Errorf("result is refused, but the change was written: %+v", r)
 	case r.Status == Accepted && len(writes) != 1:
-		return fmt.Errorf("told accepted, but it was not made: %+v", r)
+		return fmt.Errorf("result is accepted, but the change was not written: %+v", r)
 	case r.Status != Accepted:
 		return nil
 	}
 	o := writes[0]
 	switch {
 	case o.Version != r.Version || r.Revision != 0 && o.Revision != r.Revision:
-		return fmt.Errorf("told version %d revision %d, made at %d and %d", r.Version, r.Revision, o.Version, o.Revision)
+		return fmt.Errorf("result has version %d revision %d, the change was written at %d and %d", r.Version, r.Revision, o.Version, o.Revision)
 	case req.Verb != Create && o.Version != req.Version+1:
-		return fmt.Errorf("made over version %d, the operator read %d", o.Version-1, req.Version)
+		return fmt.Errorf("change was written over version %d, but the operator read %d", o.Version-1, req.Version)
 	}
 	return nil
 }
 
-// TestOperatorsAreToldTheTruth lets three operators race on one service while
-// requests and answers are lost, late and slow.
+// TestOperatorsAreToldTheTruth guards against wrong results: three operators
+// change one service concurrently while requests and responses are lost, late or
+// slow, and each result must agree with the writes that took effect.
 func TestOperatorsAreToldTheTruth(t *testing.T) {
 	seen := map[Status]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -165,16 +166,16 @@
 		var problems error
 		synctest.Test(t, func(t *testing.T) {
 			p := objstoretest.New()
-			consoles := []console{newConsole(p), newConsole(p), newConsole(p)}
+			clients := []operatorClient{newOperatorClient(p), newOperatorClient(p), newOperatorClient(p)}
 			var results []Result
 			for _, r := range rounds {
-				results = append(results, r.run(t.Context(), p, consoles)...)
+				results = append(results, r.run(t.Context(), p, clients)...)
 			}
 			p.Release()
-			by := written(t.Context(), p)
+			by := writesByChangeID(t.Context(), p)
 			for i, r := range results {
 				seen[r.Status]++
-				problems = errors.Join(problems, judge(r, rounds[i/operators].requests[i%operators], by[r.ChangeID]))
+				problems = errors.Join(problems, checkResult(r, rounds[i/operatorCount].requests[i%operatorCount], by[r.ChangeID]))
 			}
 		})
 		if problems != nil {
@@ -186,11 +187,11 @@
 	}
 }
 
-// atConsole runs a test with a platform that holds service "a" at version 1.
-func atConsole(t *testing.T, test func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console)) {
+// withService runs a test on a platform that has service "a" at version 1.
+func withService(t *testing.T, test func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := objstoretest.New()
-		c := newConsole(p)
+		c := newOperatorClient(p)
 		is := is.New(t)
 		r := c.editor.Change(t.Context(), Request{Verb: Create, Service: testService("a"), Author: Author{Operator: "first"}})
 		is.Equal(r.Status, Accepted)
@@ -206,7 +207,7 @@
 }
 
 func TestLostAnswerOfAnAcceptedChange(t *testing.T) {
-	atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 		c.client.LoseNextAnswers(1)
 		r := c.editor.Change(ctx, alter(1, 3, "second"))
 		is.Equal(r.Status, Accepted)
@@ -215,20 +216,21 @@
 	})
 }
 
-// TestLostAnswerOfAChangeThatOthersFollowed lets others change the service
-// before the operator can read back.
+// TestLostAnswerOfAChangeThatOthersFollowed loses the response to a change, and
+// other operators change the service before it is read back. The change is
+// recognized as long as the object still lists its id.
 func TestLostAnswerOfAChangeThatOthersFollowed(t *testing.T) {
-	for others, want := range map[int]Status{1: Accepted, maxPreviousChanges: Accepted, maxPreviousChanges + 1: Unknown} {
-		atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+	for changesBetween, want := range map[int]Status{1: Accepted, maxPreviousChanges: Accepted, maxPreviousChanges + 1: Unknown} {
+		withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 			c.client.LoseNextAnswers(1)
 			time.AfterFunc(time.Millisecond, func() {
-				for i := range others {
-					_ = newConsole(p).editor.Change(ctx, alter(uint64(i+2), i, "other"))
+				for i := range changesBetween {
+					_ = newOperatorClient(p).editor.Change(ctx, alter(uint64(i+2), i, "other"))
 				}
 			})
 			r := c.editor.Change(ctx, alter(1, 3, "second"))
 			is.Equal(r.Status, want)
-			is.Equal(p.Revision(), uint64(2+others))
+			is.Equal(p.Revision(), uint64(2+changesBetween))
 			if want == Accepted {
 				is.Equal(r.Version, uint64(2))
 			}
@@ -236,8 +238,8 @@
 	}
 }
 
-func TestLostRaceTellsWhoWonAndWhatDiffers(t *testing.T) {
-	atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+func TestLostRaceNamesTheWinnerAndTheDifferences(t *testing.T) {
+	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 		won := c.editor.Change(ctx, alter(1, 3, "winner"))
 		is.Equal(won.Status, Accepted)
 		lost := c.editor.Change(ctx, alter(1, 4, "loser"))
@@ -249,8 +251,8 @@
 	})
 }
 
-func TestPlatformThatFallsSilentLeavesAChangeUnknown(t *testing.T) {
-	atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+func TestUnresponsivePlatformLeavesAChangeUnknown(t *testing.T) {
+	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 		c.client.Outage(true)
 		is.Equal(c.editor.Change(ctx, alter(1, 3, "x")).Status, Refused) // it was not sent
 		c.client.Outage(false)
@@ -263,18 +265,18 @@
 		is.Equal(r.Status, Unknown)
 		is.True(time.Since(start) <= DefaultConfig().ChangeTimeout.Std())
 		p.Release()
-		c.heal()
+		c.clearFaults()
 		s, err := c.editor.Read(ctx, "a")
 		is.NoErr(err)
-		is.Equal(s.Service.Change.ID, r.ChangeID) // it was made, and its id tells
+		is.Equal(s.Service.Change.ID, r.ChangeID) // the change was made, as its id in the object proves
 	})
 }
 
 func TestDropKeepsVersionsGrowing(t *testing.T) {
-	atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 		drop := Request{Verb: Drop, Service: Service{Name: "a"}, Version: 1}
 		is.Equal(c.editor.Change(ctx, drop).Version, uint64(2))
-		is.Equal(c.editor.Change(ctx, alter(2, 3, "x")).Status, Refused) // there is none
+		is.Equal(c.editor.Change(ctx, alter(2, 3, "x")).Status, Refused) // the service is dropped
 		s, _, err := emptyState().apply(batch{complete: p.Revision(), full: true, objects: p.Objects(objstore.KindService)})
 		is.NoErr(err)
 		is.Equal(len(s.view.services), 0)
@@ -284,7 +286,7 @@
 }
 
 func TestDryRunChangesNothing(t *testing.T) {
-	atConsole(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c console) {
+	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
 		req := alter(1, 3, "x")
 		req.DryRun = true
 		r := c.editor.Change(ctx, req)
@@ -296,10 +298,10 @@
 	})
 }
 
-func TestReadTellsWhatIsMissing(t *testing.T) {
+func TestReadOfAMissingServiceFails(t *testing.T) {
 	is := is.New(t)
 	p := objstoretest.New()
-	_, err := newConsole(p).editor.Read(t.Context(), "a")
+	_, err := newOperatorClient(p).editor.Read(t.Context(), "a")
 	is.True(errors.Is(err, objstore.ErrNotFound))
 	is.Equal(fmt.Sprint(errorMessages(err)), "["+err.Error()+"]")
 }
--- a/internal/catalog/fakes_test.go
+++ b/internal/catalog/fakes_test.go
@@ -34,37 +34,37 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a few hosts with their catalogs. Calls between them take no time
-// and fail between hosts that are cut from each other.
+// fleet is a set of hosts with their catalogs. Calls between them take no time
+// and fail between hosts that are disconnected from each other.
 type fleet struct {
-	reportNothing bool         // the membership tells no revision
-	machine       *clock.Clock // of the hosts that are added; nil: never suspended
+	omitRevisions bool         // the membership reports no revisions
+	hostClock     *clock.Clock // clock of the hosts added next; nil: never suspended
 	t             testing.TB
 	platform      *objstoretest.Platform
 	mu            sync.Mutex
 	nodes         []*node
-	apart         func(a, b string) bool // nil: all hosts reach each other
+	disconnected  func(a, b string) bool // nil: all hosts are connected
 	pulls         atomic.Int64
 }
 
 type node struct {
-	f       *fleet
-	host    member.Host
-	client  *objstoretest.Client
-	catalog *Catalog
-	lowest  uint64 // revision seen last, to notice a step back
+	fleet        *fleet
+	host         member.Host
+	client       *objstoretest.Client
+	catalog      *Catalog
+	lastRevision uint64 // revision at the last check; it must not decrease
 }
 
 func newFleet(t testing.TB) *fleet {
 	return &fleet{t: t, platform: objstoretest.New()}
 }
 
-// add starts a host. Its place in the failure domains follows its number.
+// add starts a host in the failure domain.
 func (f *fleet) add(id string, domain string) *node {
-	n := &node{f: f, client: f.platform.Client()}
+	n := &node{fleet: f, client: f.platform.Client()}
 	n.host = member.Host{ID: id, FailureDomain: domain, Peer: id, Incarnation: 1, State: member.Alive}
 	n.catalog = New(DefaultConfig(), n.client, n, n, n, event.Discard(), prometheus.NewRegistry())
-	n.catalog.GoBy(f.machine)
+	n.catalog.GoBy(f.hostClock)
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
@@ -79,68 +79,68 @@
 }
 
 func (f *fleet) stop() {
-	for _, n := range f.all() {
+	for _, n := range f.allNodes() {
 		if err := n.catalog.Stop(context.Background()); err != nil {
 			f.t.Error(err)
 		}
 	}
 }
 
-func (f *fleet) all() []*node {
+func (f *fleet) allNodes() []*node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.nodes)
 }
 
-// isolate cuts the named hosts from all others, but not from one another.
+// isolate disconnects the named hosts from all others, but not from one another.
 func (f *fleet) isolate(ids ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apart = func(a, b string) bool { return slices.Contains(ids, a) != slices.Contains(ids, b) }
+	f.disconnected = func(a, b string) bool { return slices.Contains(ids, a) != slices.Contains(ids, b) }
 }
 
-// scatter cuts every host from every other one.
-func (f *fleet) scatter() {
+// isolateAll disconnects every host from every other one.
+func (f *fleet) isolateAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apart = func(a, b string) bool { return a != b }
+	f.disconnected = func(a, b string) bool { return a != b }
 }
 
-func (f *fleet) join() {
+func (f *fleet) reconnect() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apart = nil
+	f.disconnected = nil
 }
 
-// check fails the test if a host went back since the last check.
-func (f *fleet) check() {
-	for _, n := range f.all() {
+// checkRevisions fails the test if a host's revision decreased since the last check.
+func (f *fleet) checkRevisions() {
+	for _, n := range f.allNodes() {
 		r := n.catalog.Revision()
-		if r < n.lowest {
-			f.t.Fatalf("%s went back from revision %d to %d", n.host.ID, n.lowest, r)
+		if r < n.lastRevision {
+			f.t.Fatalf("revision of %s decreased from %d to %d", n.host.ID, n.lastRevision, r)
 		}
-		n.lowest = r
+		n.lastRevision = r
 	}
 }
 
-// pass lets virtual time pass, with checks in between.
-func (f *fleet) pass(d time.Duration) {
+// advance lets virtual time elapse, and checks the revisions at each step.
+func (f *fleet) advance(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
 		time.Sleep(min(d, step))
 		synctest.Wait()
-		f.check()
+		f.checkRevisions()
 	}
 }
 
-// Self, Hosts and Generation make a node its own member.View.
+// Self, Hosts, Count and Generation implement member.View, so that a node is its own membership.
 func (n *node) Self() member.Host { return n.host }
 
 func (n *node) Hosts() []member.Host {
 	var hosts []member.Host
-	for _, other := range n.f.all() {
+	for _, other := range n.fleet.allNodes() {
 		h := other.host
-		if !n.f.reportNothing {
+		if !n.fleet.omitRevisions {
 			h.Revision = other.catalog.Revision()
 		}
 		hosts = append(hosts, h)
@@ -152,42 +152,42 @@
 
 func (n *node) Generation() uint64 { return 0 }
 
-// Announce hints at the next three hosts that can be reached.
+// Announce sends a hint to up to three random peers that are reachable.
 func (n *node) Announce() {
 	self := n.host
 	self.Revision = n.catalog.Revision()
 	peers := n.catalog.randomPeers(3)
 	for _, p := range peers {
-		if other := n.reach(p.Peer); other != nil {
+		if other := n.reachableNode(p.Peer); other != nil {
 			other.catalog.Hint(self)
 		}
 	}
 }
 
-var errCut = errors.New("cut off by the test")
+var errDisconnected = errors.New("disconnected by the test")
 
 // Pull calls the catalog of another host.
 func (n *node) Pull(ctx context.Context, address string, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
-	n.f.pulls.Add(1)
-	other := n.reach(address)
+	n.fleet.pulls.Add(1)
+	other := n.reachableNode(address)
 	if other == nil {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	return other.catalog.Pull(ctx, in)
 }
 
-func (n *node) reach(id string) *node {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	if n.f.apart != nil && n.f.apart(n.host.ID, id) {
+func (n *node) reachableNode(id string) *node {
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	if n.fleet.disconnected != nil && n.fleet.disconnected(n.host.ID, id) {
 		return nil
 	}
-	i := slices.IndexFunc(n.f.nodes, func(o *node) bool { return o.host.ID == id })
+	i := slices.IndexFunc(n.fleet.nodes, func(o *node) bool { return o.host.ID == id })
 	if i < 0 {
 		return nil
 	}
-	return n.f.nodes[i]
+	return n.fleet.nodes[i]
 }
 
 // testService returns a valid service with three targets.
@@ -224,7 +224,7 @@
 	return b
 }
 
-// write writes a service past all conditions and returns its revision.
+// write writes a service whatever its current version is, and returns the revision.
 func (f *fleet) write(s Service) uint64 {
 	f.t.Helper()
 	c := f.platform.Client()
@@ -234,7 +234,7 @@
 	}
 	o, err = c.Put(f.t.Context(), objstore.KindService, s.Name, o.Version, encode(s))
 	if conflict := (*objstore.Conflict)(nil); errors.As(err, &conflict) {
-		return f.write(s) // a host has written it again meanwhile
+		return f.write(s) // a host wrote a lost change again meanwhile
 	}
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/catalog/publish.go
+++ b/internal/catalog/publish.go
@@ -68,8 +68,8 @@
 }
 
 // deleteSnapshot deletes the object. If the response is lost, it reads the
-// object back. A snapshot is never changed, so if it no longer exists it was
-// deleted, by this call or by another one.
+// object back and retries while it exists. A snapshot is never changed, so one
+// that no longer exists was deleted, by this call or by another one.
 func (e *Editor) deleteSnapshot(ctx context.Context, o objstore.Object, r Result) Result {
 	delay := newSettleDelay()
 	w := write{kind: o.Kind, name: o.Name, version: o.Version}
--- a/internal/catalog/publish_test.go
+++ b/internal/catalog/publish_test.go
@@ -15,7 +15,7 @@
 		is := is.New(t)
 		p := objstoretest.New()
 		a := testService("a")
-		held := func(snapshots ...Snapshot) *view {
+		viewWith := func(snapshots ...Snapshot) *view {
 			entries := []*entry{{object: objstore.Object{Kind: objstore.KindService, Name: "a"}, service: &a}}
 			for _, s := range snapshots {
 				o := objstore.Object{Kind: objstore.KindSnapshot, Name: s.ObjectName()}
@@ -26,18 +26,18 @@
 		c := p.Client()
 		one, two := testSnapshot(1, 6, a), testSnapshot(2, 6, a)
 		c.LoseNextAnswers(1)
-		r := newEditor(c, held()).PublishSnapshot(t.Context(), one, Author{}, false)
+		r := newEditor(c, viewWith()).PublishSnapshot(t.Context(), one, Author{}, false)
 		is.Equal(r.Status, Accepted)
 		is.Equal(r.Revision, uint64(1))
-		is.Equal(newEditor(c, held(one)).PublishSnapshot(t.Context(), one, Author{}, false).Status, Refused) // ids grow
-		is.Equal(newEditor(c, held()).PublishSnapshot(t.Context(), one, Author{}, false).Lost.Winner.ID, r.ChangeID)
+		is.Equal(newEditor(c, viewWith(one)).PublishSnapshot(t.Context(), one, Author{}, false).Status, Refused) // the id must be above the newest one
+		is.Equal(newEditor(c, viewWith()).PublishSnapshot(t.Context(), one, Author{}, false).Lost.Winner.ID, r.ChangeID)
 
-		editor := newEditor(c, held(one, two))
+		editor := newEditor(c, viewWith(one, two))
 		is.Equal(editor.RetireSnapshot(t.Context(), "portal", 2, Author{}, false).Status, Refused) // the newest
 		c.LoseNextAnswers(1)
 		r = editor.RetireSnapshot(t.Context(), "portal", 1, Author{}, false)
 		is.Equal(r.Status, Accepted)
 		is.Equal(r.Revision, uint64(2))
-		is.Equal(editor.RetireSnapshot(t.Context(), "portal", 1, Author{}, false).Status, Refused) // gone already
+		is.Equal(editor.RetireSnapshot(t.Context(), "portal", 1, Author{}, false).Status, Refused) // already deleted
 	})
 }
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	spreadBound = 4 * time.Second // in which an accepted change is in force everywhere
-	settled     = 10 * time.Second
+	maxPropagationTime = 4 * time.Second  // from the write of a change until it is in force on all hosts
+	settleTime         = 10 * time.Second // after which a fleet has adapted to a start, a fault or its repair
 )
 
-// inForce returns how many hosts have the revision.
-func (f *fleet) inForce(revision uint64) int {
+// countInForce returns the number of hosts that have the revision or a newer one.
+func (f *fleet) countInForce(revision uint64) int {
 	on := 0
-	for _, n := range f.all() {
+	for _, n := range f.allNodes() {
 		if n.catalog.Revision() >= revision {
 			on++
 		}
@@ -35,10 +35,10 @@
 	return on
 }
 
-// stale returns how many hosts refuse callers.
-func (f *fleet) stale() int {
+// countStale returns the number of stale hosts, which refuse callers.
+func (f *fleet) countStale() int {
 	stale := 0
-	for _, n := range f.all() {
+	for _, n := range f.allNodes() {
 		if n.catalog.Stale() {
 			stale++
 		}
@@ -46,17 +46,17 @@
 	return stale
 }
 
-// inFleet runs a test over a fleet that has settled on one service.
+// inFleet runs a test on a fleet in which one service is in force on all hosts.
 func inFleet(t *testing.T, hosts, domains int, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.write(testService("a"))
 		f.addAll(hosts, domains)
 		defer f.stop()
-		f.pass(settled)
+		f.advance(settleTime)
 		is := is.New(t)
-		is.Equal(f.inForce(1), hosts)
-		is.Equal(f.stale(), 0)
+		is.Equal(f.countInForce(1), hosts)
+		is.Equal(f.countStale(), 0)
 		test(is, f)
 	})
 }
@@ -67,69 +67,71 @@
 			inFleet(t, size.hosts, size.domains, func(is *is.I, f *fleet) {
 				for range 5 {
 					revision := f.write(testService("a"))
-					f.pass(spreadBound)
-					is.Equal(f.inForce(revision), size.hosts)
+					f.advance(maxPropagationTime)
+					is.Equal(f.countInForce(revision), size.hosts)
 				}
 			})
 		})
 	}
 }
 
-// TestFewHostsWatch counts the calls that 60 hosts make in a minute of quiet,
-// and which hosts take over when the watchers of a failure domain are gone.
+// TestFewHostsWatch counts the calls that 60 hosts make in a minute without
+// changes, and checks that other hosts take over when the watchers of a failure
+// domain can't reach the platform.
 func TestFewHostsWatch(t *testing.T) {
 	inFleet(t, 60, 5, func(is *is.I, f *fleet) {
 		before := f.platform.Calls("watch")
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		watches := f.platform.Calls("watch") - before
 		perWatcher := int(time.Minute / DefaultConfig().WatchWait.Std())
 		is.True(watches <= 10*(perWatcher+1))
 		is.True(watches >= 10*(perWatcher-1))
-		is.True(f.platform.Calls("list") <= 10) // of a fleet that started at once
+		is.True(f.platform.Calls("list") <= 10) // although all hosts started at the same time
 
-		for _, n := range f.all() {
+		for _, n := range f.allNodes() {
 			if watchRank(n.host, n.Hosts()) < DefaultConfig().WatchersPerDomain {
-				n.client.Outage(true) // the watchers lose the platform, but not their peers
+				n.client.Outage(true) // the watchers still reach their peers
 			}
 		}
-		f.pass(2 * DefaultConfig().TakeoverAfter.Std())
-		for range 10 { // others stand in, and go on doing so
+		f.advance(2 * DefaultConfig().TakeoverAfter.Std())
+		for range 10 { // others take over and continue to watch
 			revision := f.write(testService("a"))
-			f.pass(spreadBound)
-			is.Equal(f.inForce(revision), 60)
+			f.advance(maxPropagationTime)
+			is.Equal(f.countInForce(revision), 60)
 		}
 	})
 }
 
-// TestEmptyPlatformIsListedSeldom starts a fleet before its first service.
+// TestEmptyPlatformIsListedSeldom starts a fleet before the first service is
+// written. Without a revision to watch from, hosts have to list again and again.
 func TestEmptyPlatformIsListedSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t)
 		f.addAll(12, 3)
 		defer f.stop()
-		f.pass(time.Minute)
-		is.Equal(f.stale(), 0)
+		f.advance(time.Minute)
+		is.Equal(f.countStale(), 0)
 		is.True(f.platform.Calls("list") <= 12*60)
 		revision := f.write(testService("a"))
-		f.pass(spreadBound)
-		is.Equal(f.inForce(revision), 12)
+		f.advance(maxPropagationTime)
+		is.Equal(f.countInForce(revision), 12)
 	})
 }
 
 func TestOutageOfThePlatform(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		cut := f.nodes[3]
-		cut.client.Outage(true) // it has only its peers
+		cut.client.Outage(true) // it still reaches its peers
 		revision := f.write(testService("b"))
-		f.pass(spreadBound)
-		is.Equal(f.inForce(revision), 12)
+		f.advance(maxPropagationTime)
+		is.Equal(f.countInForce(revision), 12)
 
 		f.platform.Outage(true)
-		f.pass(5 * time.Minute)
-		is.Equal(f.stale(), 0) // the peers hear each other
+		f.advance(5 * time.Minute)
+		is.Equal(f.countStale(), 0) // the peers confirm each other
 		started := f.add("host-12", "domain-0")
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		is.Equal(started.catalog.Revision(), revision)
 		is.True(!started.catalog.Stale())
 		_, ok := started.catalog.Service("b")
@@ -138,39 +140,41 @@
 		f.platform.Outage(false)
 		f.platform.Compact()
 		revision = f.write(testService("c"))
-		f.pass(spreadBound)
-		is.Equal(f.inForce(revision), 13)
+		f.advance(maxPropagationTime)
+		is.Equal(f.countInForce(revision), 13)
 	})
 }
 
-// TestInForceAsksHostsThatReportLate has a membership that reports no revision
-// at all: the hosts are asked themselves, and one that is cut off is missing.
-func TestInForceAsksHostsThatReportLate(t *testing.T) {
+// TestInForceQueriesHostsWithoutReportedRevision has a membership that reports
+// no revisions: the hosts are queried directly, and one that is disconnected is
+// reported as missing.
+func TestInForceQueriesHostsWithoutReportedRevision(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
-		f.reportNothing = true
+		f.omitRevisions = true
 		revision := f.write(testService("a"))
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).On, 12)
 		f.isolate(f.nodes[5].host.ID)
 		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).Missing, []string{f.nodes[5].host.ID})
 	})
 }
 
-// A host that was suspended is stale at once, and fresh again once a question that it asked after it
-// woke is answered.
+// TestHostThatWasSuspendedIsStaleAndRecovers suspends a machine for longer than
+// StaleAfter. The host is stale immediately, and fresh again after the response
+// to a request that it sent after it resumed.
 func TestHostThatWasSuspendedIsStaleAndRecovers(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		machine, suspend := clock.Virtual()
-		f.machine = machine
-		woken := f.add("host-12", "domain-0")
-		f.machine = nil
-		f.pass(spreadBound)
-		is.True(!woken.catalog.Stale())
+		f.hostClock = machine
+		resumed := f.add("host-12", "domain-0")
+		f.hostClock = nil
+		f.advance(maxPropagationTime)
+		is.True(!resumed.catalog.Stale())
 		suspend(DefaultConfig().StaleAfter.Std() + time.Millisecond)
-		is.True(woken.catalog.Stale())
-		is.Equal(f.stale(), 1)
-		f.pass(2 * DefaultConfig().PullInterval.Std())
-		is.Equal(f.stale(), 0)
+		is.True(resumed.catalog.Stale())
+		is.Equal(f.countStale(), 1)
+		f.advance(2 * DefaultConfig().PullInterval.Std())
+		is.Equal(f.countStale(), 0)
 	})
 }
 
@@ -180,122 +184,125 @@
 		f.isolate(alone.host.ID)
 		alone.client.Outage(true)
 		revision := f.write(testService("a"))
-		f.pass(DefaultConfig().StaleAfter.Std() + time.Millisecond)
+		f.advance(DefaultConfig().StaleAfter.Std() + time.Millisecond)
 		is.True(alone.catalog.Stale())
-		is.Equal(f.stale(), 1)
-		is.Equal(f.inForce(revision), 11)
+		is.Equal(f.countStale(), 1)
+		is.Equal(f.countInForce(revision), 11)
 		report := f.nodes[0].catalog.InForce(context.Background(), revision)
 		is.Equal(report.Of, 12)
 		is.Equal(report.On, 11)
 		is.Equal(report.Missing, []string{alone.host.ID})
 		is.True(report.Revisions[alone.host.ID] < revision)
 
-		alone.client.Outage(false) // the platform alone is enough
-		f.pass(spreadBound)
+		alone.client.Outage(false) // access to the platform alone is sufficient
+		f.advance(maxPropagationTime)
 		is.True(!alone.catalog.Stale())
-		is.Equal(f.inForce(revision), 12)
+		is.Equal(f.countInForce(revision), 12)
 	})
 }
 
-// TestNetworkFailureDuringOutage takes the platform down and every host from
-// every other. All are stale; once most of them hear each other again, they
-// go on without the platform, but a few of them alone do not.
+// TestNetworkFailureDuringOutage takes the platform down and disconnects every
+// host from every other. All become stale. Once more than half of them are
+// connected again they recover without the platform; a minority does not.
 func TestNetworkFailureDuringOutage(t *testing.T) {
 	inFleet(t, 9, 3, func(is *is.I, f *fleet) {
 		f.platform.Outage(true)
-		f.scatter()
-		f.pass(settled)
-		is.Equal(f.stale(), 9)
+		f.isolateAll()
+		f.advance(settleTime)
+		is.Equal(f.countStale(), 9)
 
 		few := []string{f.nodes[0].host.ID, f.nodes[4].host.ID}
 		f.mu.Lock()
-		f.apart = func(a, b string) bool { return a != few[0] && a != few[1] || b != few[0] && b != few[1] }
+		f.disconnected = func(a, b string) bool { return a != few[0] && a != few[1] || b != few[0] && b != few[1] }
 		f.mu.Unlock()
-		f.pass(settled)
-		is.Equal(f.stale(), 9)
+		f.advance(settleTime)
+		is.Equal(f.countStale(), 9)
 
 		f.isolate(few...)
-		f.pass(settled)
-		is.Equal(f.stale(), 2) // the few
+		f.advance(settleTime)
+		is.Equal(f.countStale(), 2) // the minority
 
-		f.join()
-		f.pass(settled)
-		is.Equal(f.stale(), 0)
+		f.reconnect()
+		f.advance(settleTime)
+		is.Equal(f.countStale(), 0)
 	})
 }
 
-// slow gives answers that arrive after the host was stopped for an hour.
-type slow struct {
+// delayed returns responses as if the host had been stopped for an hour after
+// they were sent.
+type delayed struct {
 	Puller
 	objstore.Store
 }
 
-func (s slow) Pull(ctx context.Context, address string, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
+func (s delayed) Pull(ctx context.Context, address string, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	out, err := s.Puller.Pull(ctx, address, in)
 	time.Sleep(time.Hour)
 	return out, err
 }
 
-func (s slow) Watch(ctx context.Context, after revision.Revision, wait time.Duration, kinds ...string) (objstore.Listing, error) {
+func (s delayed) Watch(ctx context.Context, after revision.Revision, wait time.Duration, kinds ...string) (objstore.Listing, error) {
 	l, err := s.Store.Watch(ctx, after, wait, kinds...)
 	time.Sleep(time.Hour)
 	return l, err
 }
 
-// TestWokenHostIsStaleUntilItHears stops a host while answers are under way.
-// What it finds in its sockets when it wakes is old and doesn't count.
+// TestWokenHostIsStaleUntilItHears stops a host while responses are in transit.
+// Responses that it reads from its sockets when it resumes belong to old requests
+// and must not make it fresh.
 func TestWokenHostIsStaleUntilItHears(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		n, peer := f.nodes[0], f.nodes[1]
 		ctx := f.t.Context()
-		is.NoErr(n.catalog.Stop(ctx)) // its loops; the calls below are its only ones
+		is.NoErr(n.catalog.Stop(ctx)) // stops its loops, so that the calls below are its only ones
 		n.catalog.pull(ctx, peer.host)
 		is.True(!n.catalog.Stale())
 
-		n.catalog.puller = slow{Puller: n}
+		n.catalog.puller = delayed{Puller: n}
 		n.catalog.pull(ctx, peer.host)
 		is.True(n.catalog.Stale())
 
-		n.catalog.store = slow{Store: n.client}
+		n.catalog.store = delayed{Store: n.client}
 		is.NoErr(n.catalog.follow(ctx))
 		is.True(n.catalog.Stale())
 
 		n.catalog.puller = n
 		revision := f.write(testService("a"))
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		n.catalog.pull(ctx, peer.host)
 		is.True(!n.catalog.Stale())
 		is.Equal(n.catalog.Revision(), revision)
 	})
 }
 
-// TestPlatformThatWentBack restores an older platform under a running fleet.
+// TestPlatformThatWentBack restores an empty platform under a running fleet: no
+// host may return to an older revision.
 func TestPlatformThatWentBack(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		revision := f.write(testService("b"))
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		f.platform.Reset()
 		f.write(testService("a"))
-		f.pass(settled)
-		is.Equal(f.inForce(revision), 3) // fleet.check has seen none go back
+		f.advance(settleTime)
+		is.Equal(f.countInForce(revision), 3) // checkRevisions has seen no decrease
 	})
 }
 
-// A change that is accepted after the platform came back from an older copy is in force on every host, whatever revision
-// it gets: below, at, or past that which hosts hold.
+// TestChangeAfterThePlatformWentBackIsInForce makes changes after the platform was restored from an older copy. They must be
+// in force on every host, whether their revision numbers are below, at, or above those that the hosts have.
 func TestChangeAfterThePlatformWentBackIsInForce(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		f.write(testService("b"))
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		older := f.platform.Copy()
 		for _, name := range []string{"c", "d", "e"} {
 			f.write(testService(name))
 		}
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		f.platform.Restore(older)
 		for i := range 6 {
 			f.write(testService(fmt.Sprintf("new%d", i)))
-			f.pass(spreadBound)
+			f.advance(maxPropagationTime)
 			for _, n := range f.nodes {
 				_, known := n.catalog.Service(fmt.Sprintf("new%d", i))
 				is.True(known)
@@ -304,26 +311,26 @@
 	})
 }
 
-// What the platform lost of changes that were accepted stays in force, and is written again: hosts that hear only the
-// platform find it.
+// TestAcceptedChangesOutliveAnOlderCopy restores a copy that lacks accepted changes. They must stay in force and be written
+// again, so that a host that starts later and reads only the platform receives them.
 func TestAcceptedChangesOutliveAnOlderCopy(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		operator := NewEditor(f.nodes[0].catalog)
 		created, altered := testService("created"), testService("a")
-		older := f.platform.Copy() // in which a was written by no operator
+		older := f.platform.Copy() // in this copy service a was not written by a change
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Create, Service: created}).Status, Accepted)
 		for version := range uint64(3) {
 			altered.Targets[0].Slots++
 			r := operator.Change(f.t.Context(), Request{Verb: Alter, Service: altered, Version: 1 + version})
 			is.Equal(r.Status, Accepted)
 		}
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		f.platform.Restore(older)
-		f.pass(200 * time.Millisecond)
-		f.platform.Restore(older) // once more, before or after it was written again
-		f.pass(spreadBound)
+		f.advance(200 * time.Millisecond)
+		f.platform.Restore(older) // a second restore, before or after the changes were written again
+		f.advance(maxPropagationTime)
 		f.add("starts", "domain-0")
-		f.pass(settled)
+		f.advance(settleTime)
 		for _, n := range f.nodes {
 			_, known := n.catalog.Service("created")
 			is.True(known)
@@ -334,62 +341,64 @@
 	})
 }
 
-// A change that an operator makes before a lost one is written again counts: it was made on what the platform held.
+// TestChangeOfTheOlderCopyStands makes a change after a restore, before a lost change is written again. The new change must
+// stay in force, since it was made on the state that the platform had.
 func TestChangeOfTheOlderCopyStands(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
-		operator := f.operator(is)
+		operator := f.newOperator(is)
 		older := f.platform.Copy()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
-		f.pass(spreadBound)
-		f.reachPlatform(false)
-		f.scatter()
+		f.advance(maxPropagationTime)
+		f.connectPlatform(false)
+		f.isolateAll()
 		f.platform.Restore(older)
-		unaware := f.add("unaware", "domain-0") // of the change that was lost
-		f.pass(spreadBound)
+		unaware := f.add("unaware", "domain-0") // it never received the lost change
+		f.advance(maxPropagationTime)
 		is.Equal(NewEditor(unaware.catalog).Change(f.t.Context(), Request{Verb: Alter, Service: made, Version: 2}).Status, Accepted)
-		f.reachPlatform(true)
-		f.join()
-		f.pass(settled)
-		is.Equal(f.slots(is, "a"), made.Targets[0].Slots)
+		f.connectPlatform(true)
+		f.reconnect()
+		f.advance(settleTime)
+		is.Equal(f.targetSlots(is, "a"), made.Targets[0].Slots)
 	})
 }
 
-// An operator whose change races with the one that is written again is told what came of it.
+// TestChangeThatRacesALostOneIsToldTruly makes a change while a lost one is being written again. The operator's result must
+// agree with the change that is in force in the end.
 func TestChangeThatRacesALostOneIsToldTruly(t *testing.T) {
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
-		operator := f.operator(is)
+		operator := f.newOperator(is)
 		older := f.platform.Copy()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
-		f.pass(spreadBound)
+		f.advance(maxPropagationTime)
 		f.platform.Restore(older)
 		result := operator.Change(f.t.Context(), Request{Verb: Alter, Service: made, Version: 2})
-		f.pass(settled)
+		f.advance(settleTime)
 		switch result.Status {
 		case Accepted:
-			is.Equal(f.slots(is, "a"), made.Targets[0].Slots)
+			is.Equal(f.targetSlots(is, "a"), made.Targets[0].Slots)
 		case Refused:
-			is.Equal(f.slots(is, "a"), lost.Targets[0].Slots)
+			is.Equal(f.targetSlots(is, "a"), lost.Targets[0].Slots)
 		default:
-			f.t.Fatalf("the operator was told %v", result)
+			f.t.Fatalf("unexpected result: %v", result)
 		}
 	})
 }
 
-// reachPlatform lets all hosts reach the platform, or none.
-func (f *fleet) reachPlatform(reach bool) {
-	for _, n := range f.all() {
+// connectPlatform connects all hosts to the platform, or disconnects them.
+func (f *fleet) connectPlatform(reach bool) {
+	for _, n := range f.allNodes() {
 		n.client.Outage(!reach)
 	}
 }
 
-// slots returns those of the first target of a service, which all hosts hold alike.
-func (f *fleet) slots(is *is.I, service string) int {
+// targetSlots returns the slots of the service's first target, which must be the same on all hosts.
+func (f *fleet) targetSlots(is *is.I, service string) int {
 	first, _ := f.nodes[0].catalog.Service(service)
-	for _, n := range f.all() {
+	for _, n := range f.allNodes() {
 		s, known := n.catalog.Service(service)
 		is.True(known)
 		is.Equal(s.Targets[0].Slots, first.Targets[0].Slots)
@@ -397,19 +406,19 @@
 	return first.Targets[0].Slots
 }
 
-// operator returns an editor at one of the hosts, after a first change of service a.
-func (f *fleet) operator(is *is.I) *Editor {
+// newOperator returns an editor on the first host, after a first change of service a.
+func (f *fleet) newOperator(is *is.I) *Editor {
 	e := NewEditor(f.nodes[0].catalog)
 	is.Equal(e.Change(f.t.Context(), Request{Verb: Alter, Service: testService("a"), Version: 1}).Status, Accepted)
-	f.pass(spreadBound)
+	f.advance(maxPropagationTime)
 	return e
 }
 
-// TestPullOverDRPC pulls between two hosts over real connections.
+// TestPullOverDRPC pulls over a real connection.
 func TestPullOverDRPC(t *testing.T) {
 	is := is.New(t)
-	n := &node{f: newFleet(t), host: member.Host{ID: "asking"}}
-	from := New(DefaultConfig(), n.f.platform.Client(), n, n, n, event.Discard(), nil)
+	n := &node{fleet: newFleet(t), host: member.Host{ID: "asking"}}
+	from := New(DefaultConfig(), n.fleet.platform.Client(), n, n, n, event.Discard(), nil)
 	n.catalog = from
 	is.NoErr(from.applyBatch(batch{complete: 7, revision: 5}, sourcePlatform))
 	server, pool := peer.NewServer("127.0.0.1:0"), peer.NewPool()
@@ -417,13 +426,13 @@
 	is.NoErr(server.Start(t.Context()))
 	defer func() { _ = errors.Join(pool.Stop(context.Background()), server.Stop(context.Background())) }()
 
-	asking := New(DefaultConfig(), n.f.platform.Client(), n, NewPeerPuller(pool), n, event.Discard(), nil)
-	asking.pull(t.Context(), member.Host{ID: "answering", Peer: server.Addr()})
-	is.Equal(asking.Revision(), uint64(5))
-	is.True(asking.Stale()) // the answering host has heard nobody itself
+	puller := New(DefaultConfig(), n.fleet.platform.Client(), n, NewPeerPuller(pool), n, event.Discard(), nil)
+	puller.pull(t.Context(), member.Host{ID: "answering", Peer: server.Addr()})
+	is.Equal(puller.Revision(), uint64(5))
+	is.True(puller.Stale()) // the responding host is stale itself
 }
 
-func TestStalePeerWithoutConfigurationCountsForNothing(t *testing.T) {
+func TestStalePeerWithoutConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newFreshness(time.Second)
 	start := time.Now()
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -12,123 +12,126 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// machine is a platform's history and a few hosts that learn of it by answers
-// that may come late and in any order.
-type machine struct {
-	history []objstore.Object // change i has revision i+1
+// propagationModel is a platform's history and a few hosts that receive it in
+// responses, which may be delayed and reordered.
+type propagationModel struct {
+	history []objstore.Object // element i has revision i+1
 	hosts   []*state
-	late    []answer
+	pending []response
 }
 
-type answer struct {
-	to int
-	b  batch
+type response struct {
+	to    int
+	batch batch
 }
 
 const (
-	machineHosts = 3
-	machineNames = 3
+	modelHosts = 3
+	modelNames = 3
 )
 
-func newMachine() *machine {
-	m := &machine{}
-	for range machineHosts {
+func newPropagationModel() *propagationModel {
+	m := &propagationModel{}
+	for range modelHosts {
 		m.hosts = append(m.hosts, emptyState())
 	}
 	return m
 }
 
-// at returns the objects that stood at a revision, by name.
-func (m *machine) at(revision uint64) map[string]uint64 {
-	stood := map[string]uint64{}
+// objectsAt returns the revisions of the objects that existed at a revision, by name.
+func (m *propagationModel) objectsAt(revision uint64) map[string]uint64 {
+	existing := map[string]uint64{}
 	for _, o := range m.history[:revision] {
-		stood[o.Name] = o.Revision
+		existing[o.Name] = o.Revision
 		if o.Deleted {
-			delete(stood, o.Name)
+			delete(existing, o.Name)
 		}
 	}
-	return stood
+	return existing
 }
 
-func (m *machine) change(t *rapid.T) {
+func (m *propagationModel) change(t *rapid.T) {
 	revision := uint64(len(m.history) + 1)
-	s := testService(fmt.Sprint(rapid.IntRange(0, machineNames-1).Draw(t, "name")))
+	s := testService(fmt.Sprint(rapid.IntRange(0, modelNames-1).Draw(t, "name")))
 	s.Rules.Relays = int(revision)
 	o := objstore.Object{Kind: objstore.KindService, Name: s.Name, Revision: revision, Value: encode(s)}
 	if s.Name == "2" {
 		snap := testSnapshot(1, int(revision), s)
 		o.Kind, o.Name, o.Value = objstore.KindSnapshot, snap.ObjectName(), encode(snap)
 	}
-	_, stands := m.at(revision - 1)[o.Name]
-	o.Deleted = stands && rapid.Bool().Draw(t, "delete")
+	_, exists := m.objectsAt(revision - 1)[o.Name]
+	o.Deleted = exists && rapid.Bool().Draw(t, "delete")
 	m.history = append(m.history, o)
 }
 
-func (m *machine) host(t *rapid.T) int { return rapid.IntRange(0, machineHosts-1).Draw(t, "host") }
+func (m *propagationModel) drawHost(t *rapid.T) int {
+	return rapid.IntRange(0, modelHosts-1).Draw(t, "host")
+}
 
-// watch answers with every change after the host's last one, as of now, in
-// any order.
-func (m *machine) watch(t *rapid.T) {
-	h := m.host(t)
+// watch makes a response with every change after the host's last one, in any order.
+func (m *propagationModel) watch(t *rapid.T) {
+	h := m.drawHost(t)
 	after, now := m.hosts[h].complete, uint64(len(m.history))
 	objects := rapid.Permutation(m.history[after:now]).Draw(t, "order")
-	m.late = append(m.late, answer{h, batch{after: after, complete: now, objects: objects}})
+	m.pending = append(m.pending, response{h, batch{after: after, complete: now, objects: objects}})
 }
 
-// list answers with what stands now.
-func (m *machine) list(t *rapid.T) {
-	m.late = append(m.late, answer{m.host(t), m.listAt(uint64(len(m.history)))})
+// list makes a response with all objects that exist now.
+func (m *propagationModel) list(t *rapid.T) {
+	m.pending = append(m.pending, response{m.drawHost(t), m.listAt(uint64(len(m.history)))})
 }
 
-func (m *machine) listAt(revision uint64) batch {
+func (m *propagationModel) listAt(revision uint64) batch {
 	b := batch{complete: revision, floor: revision, full: true}
-	for _, r := range m.at(revision) {
+	for _, r := range m.objectsAt(revision) {
 		b.objects = append(b.objects, m.history[r-1])
 	}
 	return b
 }
 
-// pull answers with one host's changes for another.
-func (m *machine) pull(t *rapid.T) {
-	to, from := m.host(t), m.host(t)
+// pull makes a response with one host's changes for another host.
+func (m *propagationModel) pull(t *rapid.T) {
+	to, from := m.drawHost(t), m.drawHost(t)
 	b := batch{after: m.hosts[to].complete}
 	b.addPage(m.hosts[from].page(b.after, b.after))
-	m.late = append(m.late, answer{to, b})
+	m.pending = append(m.pending, response{to, b})
 }
 
-// deliver lets any of the answers under way arrive, or be lost.
-func (m *machine) deliver(t *rapid.T) {
-	if len(m.late) == 0 {
+// deliver applies a random one of the pending responses. It drops the response
+// if the host has restarted since its request and lacks earlier changes.
+func (m *propagationModel) deliver(t *rapid.T) {
+	if len(m.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.late)-1).Draw(t, "answer")
-	a := m.late[i]
-	m.late = slices.Delete(m.late, i, i+1)
+	i := rapid.IntRange(0, len(m.pending)-1).Draw(t, "answer")
+	a := m.pending[i]
+	m.pending = slices.Delete(m.pending, i, i+1)
 	before := m.hosts[a.to]
-	next, _, err := before.apply(a.b)
-	if err != nil { // of a host that restarted since it asked
+	next, _, err := before.apply(a.batch)
+	if err != nil { // the host restarted after it sent the request
 		return
 	}
-	m.notBack(t, before, next)
+	m.checkMonotonic(t, before, next)
 	m.hosts[a.to] = next
 }
 
-func (m *machine) notBack(t *rapid.T, before, next *state) {
+func (m *propagationModel) checkMonotonic(t *rapid.T, before, next *state) {
 	if next.revision < before.revision || next.complete < before.complete {
-		t.Fatalf("went back from revision %d (%d) to %d (%d)", before.revision, before.complete, next.revision, next.complete)
+		t.Fatalf("revision (complete) decreased from %d (%d) to %d (%d)", before.revision, before.complete, next.revision, next.complete)
 	}
 	for k, e := range before.entries {
 		if now := next.entries[k]; now != nil && now.object.Revision < e.object.Revision {
-			t.Fatalf("%s went back from revision %d to %d", k.name, e.object.Revision, now.object.Revision)
+			t.Fatalf("revision of %s decreased from %d to %d", k.name, e.object.Revision, now.object.Revision)
 		}
 	}
 }
 
-func (m *machine) restart(t *rapid.T) { m.hosts[m.host(t)] = emptyState() }
+func (m *propagationModel) restart(t *rapid.T) { m.hosts[m.drawHost(t)] = emptyState() }
 
-// forget lets a host drop the deletions that it knows, as it does above a bound.
-func (m *machine) forget(t *rapid.T) {
-	h := m.host(t)
+// forgetDeletions makes a host discard all deletions, as it does with the oldest
+// ones beyond maxDeletions.
+func (m *propagationModel) forgetDeletions(t *rapid.T) {
+	h := m.drawHost(t)
 	next := *m.hosts[h]
 	next.entries = maps.Clone(next.entries)
 	maps.DeleteFunc(next.entries, func(_ key, e *entry) bool {
@@ -140,9 +143,9 @@
 	m.hosts[h] = &next
 }
 
-// check holds every host to the platform's history: it has exactly what stood
-// at the revision up to which it says that it is complete.
-func (m *machine) check(t *rapid.T) {
+// check compares every host with the platform's history: it must have exactly
+// the objects that existed at the revision up to which it is complete.
+func (m *propagationModel) check(t *rapid.T) {
 	for i, s := range m.hosts {
 		held := map[string]uint64{}
 		for k, e := range s.entries {
@@ -150,33 +153,34 @@
 				held[k.name] = e.object.Revision
 			}
 		}
-		if want := m.at(s.complete); !maps.Equal(held, want) {
-			t.Fatalf("host %d holds %v, at revision %d stood %v", i, held, s.complete, want)
+		if want := m.objectsAt(s.complete); !maps.Equal(held, want) {
+			t.Fatalf("host %d has %v, but at revision %d the objects were %v", i, held, s.complete, want)
 		}
 		built, _, _ := emptyState().apply(m.listAt(s.complete))
 		if got, want := fmt.Sprintf("%+v", s.view), fmt.Sprintf("%+v", built.view); got != want {
-			t.Fatalf("host %d shows %s, built anew it is %s", i, got, want)
+			t.Fatalf("view of host %d is %s, but rebuilt from a list it is %s", i, got, want)
 		}
 	}
 }
 
 func TestHostHoldsWhatStoodAtItsRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine()
+		m := newPropagationModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"change": m.change, "change more": m.change,
 			"watch": m.watch, "list": m.list, "pull": m.pull, "pull more": m.pull,
 			"deliver": m.deliver, "deliver more": m.deliver, "deliver even more": m.deliver,
-			"restart": m.restart, "forget": m.forget,
+			"restart": m.restart, "forget": m.forgetDeletions,
 			"": m.check,
 		})
 	})
 }
 
-// TestPullMeetsAChangeOnItsWay is a run that spin found: a host with nothing
-// asks a peer that has forgotten a deletion, and takes the deleted object from
-// the platform before the peer's answer arrives.
-func TestPullMeetsAChangeOnItsWay(t *testing.T) {
+// TestDelayedPullDeletesAnObjectReceivedMeanwhile guards against a deleted
+// object that stays in force. An empty host requests a pull from a peer that has
+// discarded a deletion, and receives the deleted object from the platform before
+// the peer's response arrives. The model checker found this sequence.
+func TestDelayedPullDeletesAnObjectReceivedMeanwhile(t *testing.T) {
 	is := is.New(t)
 	peer, _, err := emptyState().apply(batch{complete: 2, floor: 2, full: true})
 	is.NoErr(err)
@@ -191,8 +195,8 @@
 	is.Equal(len(s.view.services), 0)
 }
 
-// TestPagesMakeOneAnswer pulls a state larger than a page.
-func TestPagesMakeOneAnswer(t *testing.T) {
+// TestPagesOfAPullMakeOneBatch pulls a state that is larger than a page.
+func TestPagesOfAPullMakeOneBatch(t *testing.T) {
 	is := is.New(t)
 	from := emptyState()
 	b := batch{complete: 40}
@@ -219,7 +223,7 @@
 	is.Equal(to.revision, uint64(40))
 }
 
-func TestUnreadableObjectIsKeptOut(t *testing.T) {
+func TestInvalidObjectIsNotApplied(t *testing.T) {
 	is := is.New(t)
 	object := func(revision uint64, value []byte) batch {
 		o := objstore.Object{Kind: objstore.KindService, Name: "a", Version: revision, Revision: revision, Value: value}
@@ -235,7 +239,7 @@
 		is.NoErr(err)
 		is.True(changed[0].readErr != nil)
 		is.Equal(s.revision, uint64(i+2))
-		is.Equal(len(s.view.services[0].Targets), 3) // the last good version
+		is.Equal(len(s.view.services[0].Targets), 3) // of the last valid version
 	}
 	fresh, _, err := emptyState().apply(object(1, []byte("{")))
 	is.NoErr(err)
--- a/internal/catalog/validate_test.go
+++ b/internal/catalog/validate_test.go
@@ -39,7 +39,7 @@
 	is.Equal(len(strings.Split(Config{}.Validate().Error(), "\n")), 7)
 }
 
-// TestDiffNamesExactlyWhatChanged alters one field of a service at a time.
+// TestDiffNamesExactlyWhatChanged changes one field of a service at a time.
 func TestDiffNamesExactlyWhatChanged(t *testing.T) {
 	is := is.New(t)
 	base := testService("a")
@@ -48,7 +48,7 @@
 		"rules.relays":        func(s *Service) { s.Rules.Relays = 3 },
 		"targets[a-t1].slots": func(s *Service) { s.Targets[1].Slots = 9 },
 		"targets[a-t2]":       func(s *Service) { s.Targets = s.Targets[:2] },
-		"":                    func(s *Service) { s.Change.ID = "other" }, // who wrote it differs always
+		"":                    func(s *Service) { s.Change.ID = "other" }, // the change itself is excluded from the comparison
 	}
 	for path, change := range changes {
 		s := testService("a")
--- a/internal/objstore/client_test.go
+++ b/internal/objstore/client_test.go
@@ -29,10 +29,10 @@
 	is.Equal(o.Revision, uint64(3))
 	is.Equal(string(o.Value), `{"n":2}`)
 	is.Equal(o.Changed.Sub(o.Created), time.Minute)
-	is.True(!slices.Contains(f.calls, "get")) // the revision was remembered
+	is.True(!slices.Contains(f.calls, "get")) // the revision was cached
 }
 
-func TestWriteOfAVersionNotSeenReadsItFirst(t *testing.T) {
+func TestWriteOfAnUncachedVersionReadsItFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	_, err := New(f).Put(t.Context(), "k", "a", 0, []byte(`1`))
@@ -44,7 +44,7 @@
 	is.True(slices.Contains(f.calls, "get"))
 }
 
-func TestRefusedWritesTellWhatStands(t *testing.T) {
+func TestConflictContainsTheCurrentObject(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	c := New(f)
@@ -58,7 +58,7 @@
 
 	_, err = New(f).Put(t.Context(), "k", "a", 1, []byte(`2`))
 	is.NoErr(err)
-	_, err = c.Put(t.Context(), "k", "a", 1, []byte(`3`)) // by a revision remembered too long
+	_, err = c.Put(t.Context(), "k", "a", 1, []byte(`3`)) // its cached revision is outdated
 	is.True(errors.As(err, &conflict))
 	is.Equal(conflict.Current.Version, uint64(2))
 
@@ -67,7 +67,7 @@
 	is.Equal(conflict.Current.Version, uint64(0))
 }
 
-func TestRemovedObjects(t *testing.T) {
+func TestDeletedObjects(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	c := New(f)
@@ -86,7 +86,7 @@
 func TestListsAndWatchesOfSeveralKinds(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	f.page = 1
+	f.pageSize = 1
 	c := New(f)
 	for _, name := range []string{"a", "b", "c"} {
 		_, err := c.Put(t.Context(), "k", name, 0, []byte(`1`))
@@ -104,8 +104,9 @@
 	is.Equal(l.Revision, uint64(4))
 }
 
-// The platform comes back from an older copy between the kinds of one list: kinds of two copies make no list.
-func TestListOverARestoreIsReadAgain(t *testing.T) {
+// TestListDuringARestoreFails restores the platform from an older copy after the first of two kinds was listed. The kinds
+// are not consistent then, so the list must fail.
+func TestListDuringARestoreFails(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
 	c := New(f)
@@ -113,10 +114,10 @@
 		_, err := c.Put(t.Context(), kind, "a", 0, []byte(`1`))
 		is.NoErr(err)
 	}
-	f.listed = func() { f.era++ }
+	f.afterList = func() { f.era++ }
 	_, err := c.List(t.Context(), "k", "j")
 	is.True(errors.Is(err, ErrCompacted))
-	f.listed = nil
+	f.afterList = nil
 	l, err := c.List(t.Context(), "k", "j")
 	is.NoErr(err)
 	is.Equal(l.At().Era, f.era)
@@ -144,8 +145,8 @@
 	is.Equal(len(f.calls), 0)
 }
 
-// A revision of an earlier era may have been given out again, to another state of the object: a write that went by it
-// would overwrite that unseen.
+// TestConditionalWriteDoesNotGoByARevisionOfAnEarlierEra guards against a lost update: after a restore the platform may
+// assign a cached revision again, to another state of the object. A write conditional on it would overwrite that state.
 func TestConditionalWriteDoesNotGoByARevisionOfAnEarlierEra(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
@@ -154,9 +155,9 @@
 	o, err := c.Put(t.Context(), "k", "a", 0, []byte(`"first"`))
 	is.NoErr(err)
 
-	*f = *newFake() // the platform came back from a copy without the object
+	*f = *newFake() // the platform was restored from a copy without the object
 	f.era = 2
-	_, err = other.Put(t.Context(), "k", "a", 0, []byte(`"other"`)) // the same version at the same number
+	_, err = other.Put(t.Context(), "k", "a", 0, []byte(`"other"`)) // the same version at the same revision number
 	is.NoErr(err)
 	_, err = other.Put(t.Context(), "k", "a", 1, []byte(`"newer"`))
 	is.NoErr(err)
--- a/internal/objstore/fuzz_test.go
+++ b/internal/objstore/fuzz_test.go
@@ -6,7 +6,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// Whatever a record holds, it is an object with a version, or an error.
+// FuzzOpen checks that any record decodes to an object with the name, kind and revision of the record, or to an error, and
+// that a deleted object has no value.
 func FuzzOpen(f *testing.F) {
 	for _, spec := range []string{
 		`{"rhubarbwood":{"version":3,"created":"2026-01-01T00:00:00Z"},"value":{"a":1}}`, `{"rhubarbwood":7}`, `{"value":1}`, `null`, ``, `{`,
@@ -19,7 +20,7 @@
 			t.Fatalf("opened %+v", o)
 		}
 		if err == nil && deleted && o.Value != nil {
-			t.Fatalf("an object that is gone has value %s", o.Value)
+			t.Fatalf("deleted object has value %s", o.Value)
 		}
 	})
 }
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -20,18 +20,18 @@
 	"rhubarbwood.example/rhubarbwood/internal/revision"
 )
 
-// fakeRecords is a platform in memory. Its next write fails with err if that is
-// set; it is then not applied.
+// fakeRecords implements Records in memory. If nextErr is set, the next call
+// fails with it; a write is then not applied.
 type fakeRecords struct {
-	records  map[objectKey]Record
-	changes  []keyedRecord
-	revision uint64
-	err      error
-	calls    []string
-	page     int // records in a page; 0: all
-	now      time.Time
-	era      uint64
-	listed   func() // after each list; nil: nothing
+	records   map[objectKey]Record
+	changes   []keyedRecord
+	revision  uint64
+	nextErr   error
+	calls     []string
+	pageSize  int // records per page; 0: no limit
+	now       time.Time
+	era       uint64
+	afterList func() // called after each list, unless nil
 }
 
 type keyedRecord struct {
@@ -41,19 +41,19 @@
 
 func newFake() *fakeRecords { return &fakeRecords{records: map[objectKey]Record{}} }
 
-func (f *fakeRecords) at() revision.Revision {
+func (f *fakeRecords) currentRevision() revision.Revision {
 	return revision.Revision{Era: f.era, Number: f.revision}
 }
 
-func (f *fakeRecords) fail(call string) error {
+func (f *fakeRecords) recordCall(call string) error {
 	f.calls = append(f.calls, call)
-	err := f.err
-	f.err = nil
+	err := f.nextErr
+	f.nextErr = nil
 	return err
 }
 
 func (f *fakeRecords) Get(_ context.Context, kind, name string) (Record, error) {
-	if err := f.fail("get"); err != nil {
+	if err := f.recordCall("get"); err != nil {
 		return Record{}, err
 	}
 	r, ok := f.records[objectKey{kind, name}]
@@ -64,11 +64,11 @@
 }
 
 func (f *fakeRecords) List(_ context.Context, kind, after string) (RecordPage, error) {
-	p := RecordPage{Revision: f.at()}
-	if f.listed != nil {
-		defer f.listed()
+	p := RecordPage{Revision: f.currentRevision()}
+	if f.afterList != nil {
+		defer f.afterList()
 	}
-	if err := f.fail("list"); err != nil {
+	if err := f.recordCall("list"); err != nil {
 		return p, err
 	}
 	for _, name := range []string{"a", "b", "c"} {
@@ -76,7 +76,7 @@
 		if !ok || name <= after {
 			continue
 		}
-		if f.page > 0 && len(p.Records) == f.page {
+		if f.pageSize > 0 && len(p.Records) == f.pageSize {
 			p.More = true
 			break
 		}
@@ -86,17 +86,17 @@
 }
 
 func (f *fakeRecords) Watch(_ context.Context, kind string, after revision.Revision, _ time.Duration) (RecordPage, error) {
-	p := RecordPage{Revision: f.at()}
+	p := RecordPage{Revision: f.currentRevision()}
 	for _, c := range f.changes {
 		if c.kind == kind && after.Before(c.record.Revision) {
 			p.Records = append(p.Records, c.record)
 		}
 	}
-	return p, f.fail("watch")
+	return p, f.recordCall("watch")
 }
 
 func (f *fakeRecords) Create(_ context.Context, kind, name string, spec json.RawMessage) (Record, error) {
-	if err := f.fail("create"); err != nil {
+	if err := f.recordCall("create"); err != nil {
 		return Record{}, err
 	}
 	if r, ok := f.records[objectKey{kind, name}]; ok {
@@ -106,7 +106,7 @@
 }
 
 func (f *fakeRecords) Replace(_ context.Context, kind, name string, revision uint64, spec json.RawMessage) (Record, error) {
-	if err := f.fail("replace"); err != nil {
+	if err := f.recordCall("replace"); err != nil {
 		return Record{}, err
 	}
 	if r := f.records[objectKey{kind, name}]; r.Revision.Number != revision {
@@ -116,7 +116,7 @@
 }
 
 func (f *fakeRecords) Delete(_ context.Context, kind, name string, revision uint64) error {
-	if err := f.fail("delete"); err != nil {
+	if err := f.recordCall("delete"); err != nil {
 		return err
 	}
 	r := f.records[objectKey{kind, name}]
@@ -124,7 +124,7 @@
 		return &RecordConflict{Current: r}
 	}
 	f.revision++
-	r.Revision, r.Deleted = f.at(), true
+	r.Revision, r.Deleted = f.currentRevision(), true
 	f.changes = append(f.changes, keyedRecord{kind, r})
 	delete(f.records, objectKey{kind, name})
 	return nil
@@ -132,13 +132,13 @@
 
 func (f *fakeRecords) set(kind, name string, spec json.RawMessage) Record {
 	f.revision++
-	r := Record{Name: name, Revision: f.at(), Spec: spec}
+	r := Record{Name: name, Revision: f.currentRevision(), Spec: spec}
 	f.records[objectKey{kind, name}] = r
 	f.changes = append(f.changes, keyedRecord{kind, r})
 	return r
 }
 
-func (f *fakeRecords) Hosts(context.Context) ([]LiveHost, error) { return nil, f.fail("hosts") }
+func (f *fakeRecords) Hosts(context.Context) ([]LiveHost, error) { return nil, f.recordCall("hosts") }
 func (f *fakeRecords) Now() (time.Time, bool)                    { return f.now, !f.now.IsZero() }
 func (f *fakeRecords) Era() uint64                               { return f.era }
 func (f *fakeRecords) Close()                                    {}
@@ -159,7 +159,7 @@
 		t.Run(want, func(t *testing.T) {
 			is := is.New(t)
 			f := newFake()
-			f.err = err
+			f.nextErr = err
 			g := govern(f)
 			_, got := g.Create(t.Context(), "k", "a", json.RawMessage(`{}`))
 			is.Equal(got, err)
@@ -168,7 +168,7 @@
 	}
 }
 
-// TestNoTokenIsUnavailable spends the bucket; the next call would wait for
+// TestNoTokenIsUnavailable empties the token bucket. The next call would wait for
 // longer than its timeout, so it fails at once and is not sent.
 func TestNoTokenIsUnavailable(t *testing.T) {
 	is := is.New(t)
@@ -183,9 +183,9 @@
 	is.Equal(len(f.calls), 1)
 }
 
-// A platform that answers but tells no time leaves this host's own clock; one
-// that has not answered leaves none.
-func TestTimeWhereThePlatformTellsNone(t *testing.T) {
+// TestNowWithoutAPlatformClock has a platform whose responses carry no time. Now
+// returns this host's clock after the first response, and nothing before.
+func TestNowWithoutAPlatformClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFake()
@@ -193,10 +193,10 @@
 		opened := time.Now()
 		_, ok := g.Now()
 		is.True(!ok)
-		f.err = &Unavailable{Cause: errors.New("refused")}
+		f.nextErr = &Unavailable{Cause: errors.New("refused")}
 		_, _ = g.List(t.Context(), "k", "")
 		_, ok = g.Now()
-		is.True(!ok) // nothing has answered yet
+		is.True(!ok) // no response yet
 		_, err := g.List(t.Context(), "k", "")
 		is.NoErr(err)
 		time.Sleep(time.Minute)
@@ -205,12 +205,12 @@
 		is.Equal(now.Sub(opened), time.Minute)
 		f.now = opened.Add(time.Hour)
 		now, _ = g.Now()
-		is.Equal(now, f.now) // the platform's goes before
+		is.Equal(now, f.now) // the platform's clock takes precedence
 	})
 }
 
-// A host that was suspended tells the time as if it had run on: a lease of somebody else has
-// ended by then.
+// TestTimeGoesOnWhileTheMachineIsSuspended checks that Now includes the time for which the machine was suspended. Otherwise a
+// resumed host would consider the expired leases of other hosts still valid.
 func TestTimeGoesOnWhileTheMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -252,6 +252,6 @@
 	}
 	is.Equal(strings.Count(out.String(), `"name":"platform_era"`), 1)
 	is.Equal(strings.Count(out.String(), `"name":"platform_restored"`), 3)
-	is.True(strings.Contains(out.String(), `"before":0,"era":1`)) // eras may begin with 0
+	is.True(strings.Contains(out.String(), `"before":0,"era":1`)) // a change from era 0 also counts as a restore
 	is.True(strings.Contains(out.String(), `"before":2,"era":4,"verb":"get"`))
 }
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -17,7 +17,7 @@
 )
 
 // errDown is the cause of each injected failure.
-var errDown = errors.New("cut off by the test")
+var errDown = errors.New("disconnected by the test")
 
 type key struct{ kind, name string }
 
--- a/internal/objstore/objstoretest/objstoretest_test.go
+++ b/internal/objstore/objstoretest/objstoretest_test.go
@@ -45,7 +45,7 @@
 	_, err = c.Get(t.Context(), "k", "b")
 	is.True(errors.As(err, &unavailable))
 	_, err = p.Client().Get(t.Context(), "k", "b")
-	is.NoErr(err) // others are not cut off
+	is.NoErr(err) // other clients are still connected
 }
 
 func TestWatchWakesAndTimesOut(t *testing.T) {
