--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -122,16 +122,16 @@
 
 // writesByChangeID returns all writes in the platform's history by change id.
 func writesByChangeID(ctx context.Context, p *objstoretest.Platform) map[string][]objstore.Object {
-	by := map[string][]objstore.Object{}
+	writes := map[string][]objstore.Object{}
 	l, err := p.Client().Watch(ctx, revision.Revision{}, 0, kinds...)
 	if err != nil {
 		panic(err)
 	}
 	for _, o := range l.Objects {
 		id := changeOf(o).ID
-		by[id] = append(by[id], o)
+		writes[id] = append(writes[id], o)
 	}
-	return by
+	return writes
 }
 
 // checkResult compares the result that an operator received with the writes that took effect.
@@ -172,10 +172,10 @@
 				results = append(results, r.run(t.Context(), p, clients)...)
 			}
 			p.Release()
-			by := writesByChangeID(t.Context(), p)
+			writes := writesByChangeID(t.Context(), p)
 			for i, r := range results {
 				seen[r.Status]++
-				problems = errors.Join(problems, checkResult(r, rounds[i/operatorCount].requests[i%operatorCount], by[r.ChangeID]))
+				problems = errors.Join(problems, checkResult(r, rounds[i/operatorCount].requests[i%operatorCount], writes[r.ChangeID]))
 			}
 		})
 		if problems != nil {
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -36,16 +36,16 @@
 // Validate reports every problem of the settings.
 func (c Config) Validate() error {
 	var p problems
-	p.unless(c.WatchersPerDomain > 0, "watchers_per_domain: want at least 1")
+	p.require(c.WatchersPerDomain > 0, "watchers_per_domain: want at least 1")
 	p.positive("watch_wait", c.WatchWait)
 	p.positive("takeover_after", c.TakeoverAfter)
 	p.positive("pull_interval", c.PullInterval)
 	p.positive("pull_timeout", c.PullTimeout)
 	p.positive("stale_after", c.StaleAfter)
 	p.positive("change_timeout", c.ChangeTimeout)
-	p.unless(c.StartWait >= 0, "start_wait: %s is negative", c.StartWait)
-	p.unless(2*c.WatchWait <= c.StaleAfter, "watch_wait: %s is more than half of stale_after, %s", c.WatchWait, c.StaleAfter)
-	p.unless(2*c.PullInterval <= c.StaleAfter, "pull_interval: %s is more than half of stale_after, %s", c.PullInterval, c.StaleAfter)
+	p.require(c.StartWait >= 0, "start_wait: %s is negative", c.StartWait)
+	p.require(2*c.WatchWait <= c.StaleAfter, "watch_wait: %s is more than half of stale_after, %s", c.WatchWait, c.StaleAfter)
+	p.require(2*c.PullInterval <= c.StaleAfter, "pull_interval: %s is more than half of stale_after, %s", c.PullInterval, c.StaleAfter)
 	if err := errors.Join(p...); err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -47,23 +47,23 @@
 	if reflect.DeepEqual(a, b) {
 		return nil
 	}
-	fa, okA := fieldsOf(a)
-	fb, okB := fieldsOf(b)
+	fieldsA, okA := fieldsOf(a)
+	fieldsB, okB := fieldsOf(b)
 	if !okA || !okB {
 		return []FieldDiff{{Path: path, Stands: jsonText(a), Wanted: jsonText(b)}}
 	}
-	names := sortedKeys(fa)
-	for name := range fb {
-		if _, ok := fa[name]; !ok {
+	names := sortedKeys(fieldsA)
+	for name := range fieldsB {
+		if _, ok := fieldsA[name]; !ok {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	var all []FieldDiff
+	var diffs []FieldDiff
 	for _, name := range names {
-		all = append(all, diffValues(join(path, name), fa[name], fb[name])...)
+		diffs = append(diffs, diffValues(join(path, name), fieldsA[name], fieldsB[name])...)
 	}
-	return all
+	return diffs
 }
 
 // fieldsOf returns the fields of a JSON object, or the items by id of a list of
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -50,8 +50,8 @@
 		}
 	}
 	for _, s := range old {
-		if now, ok := changed[s.Name]; ok {
-			appendLive(now)
+		if replacement, ok := changed[s.Name]; ok {
+			appendLive(replacement)
 			delete(changed, s.Name)
 			continue
 		}
--- a/internal/catalog/inforce.go
+++ b/internal/catalog/inforce.go
@@ -29,16 +29,16 @@
 func (c *Catalog) InForce(ctx context.Context, revision uint64) InForce {
 	hosts := slices.DeleteFunc(slices.Clone(c.members.Hosts()), func(h member.Host) bool { return !h.Usable() })
 	revisions := c.revisionsOf(ctx, hosts, revision)
-	f := InForce{Revision: revision, Of: len(hosts), Missing: []string{}, Revisions: make(map[string]uint64, len(hosts))}
+	report := InForce{Revision: revision, Of: len(hosts), Missing: []string{}, Revisions: make(map[string]uint64, len(hosts))}
 	for i, h := range hosts {
-		f.Revisions[h.ID] = revisions[i]
+		report.Revisions[h.ID] = revisions[i]
 		if revisions[i] < revision {
-			f.Missing = append(f.Missing, h.ID)
+			report.Missing = append(report.Missing, h.ID)
 			continue
 		}
-		f.On++
+		report.On++
 	}
-	return f
+	return report
 }
 
 // revisionsOf returns the revision of each host. Hosts whose revision in the
--- a/internal/catalog/object.go
+++ b/internal/catalog/object.go
@@ -94,22 +94,22 @@
 // intern makes equal target ids, and equal lists of a shard's targets, share
 // memory within a snapshot: a shard map has many shards and few targets.
 func intern(s Snapshot) {
-	ids := map[string]string{}
+	sharedIDs := map[string]string{}
 	for _, m := range s.Services {
-		lists := map[string][]string{}
-		for i, holders := range m.Shards {
+		sharedLists := map[string][]string{}
+		for i, targetIDs := range m.Shards {
 			joined := ""
-			for j, id := range holders {
-				if _, ok := ids[id]; !ok {
-					ids[id] = id
+			for j, id := range targetIDs {
+				if _, ok := sharedIDs[id]; !ok {
+					sharedIDs[id] = id
 				}
-				holders[j] = ids[id]
+				targetIDs[j] = sharedIDs[id]
 				joined += id + "\x00"
 			}
-			if _, ok := lists[joined]; !ok {
-				lists[joined] = holders
+			if _, ok := sharedLists[joined]; !ok {
+				sharedLists[joined] = targetIDs
 			}
-			m.Shards[i] = lists[joined]
+			m.Shards[i] = sharedLists[joined]
 		}
 	}
 }
--- a/internal/catalog/publish.go
+++ b/internal/catalog/publish.go
@@ -71,7 +71,7 @@
 // object back and retries while it exists. A snapshot is never changed, so one
 // that no longer exists was deleted, by this call or by another one.
 func (e *Editor) deleteSnapshot(ctx context.Context, o objstore.Object, r Result) Result {
-	delay := newSettleDelay()
+	delay := newReadBackDelay()
 	w := write{kind: o.Kind, name: o.Name, version: o.Version}
 	answerLost := false
 	for {
@@ -92,11 +92,11 @@
 		if !answerLost {
 			return r.refused(Error.New("nothing was deleted: %w", err))
 		}
-		current, settled, cause := e.readBack(ctx, w, delay)
+		current, versionChanged, cause := e.readBack(ctx, w, delay)
 		switch {
 		case cause != nil:
 			return r.unknown(err)
-		case settled && current.Version == 0:
+		case versionChanged && current.Version == 0:
 			return e.acceptDeletion(ctx, o, r)
 		}
 	}
--- a/internal/catalog/serve.go
+++ b/internal/catalog/serve.go
@@ -36,7 +36,7 @@
 	out := &peerpb.PullReply{Revision: s.revision, Complete: s.complete, Floor: s.floor}
 	size := 0
 	var last uint64
-	for _, e := range s.since(cursor) {
+	for _, e := range s.changedSince(cursor) {
 		if size >= pageBytes && e.object.Revision > last {
 			out.More = true
 			break
--- a/internal/catalog/settle.go
+++ b/internal/catalog/settle.go
@@ -24,7 +24,7 @@
 // that still has the old version, retries. A retry is safe: the write takes
 // effect at most once, since that changes the version that it requires.
 func (e *Editor) put(ctx context.Context, w write, r Result) Result {
-	delay := newSettleDelay()
+	delay := newReadBackDelay()
 	answerLost := false // an earlier attempt may still take effect
 	for {
 		o, err := e.store.Put(ctx, w.kind, w.name, w.version, w.value)
@@ -40,20 +40,20 @@
 		if !answerLost {
 			return r.refused(Error.New("nothing was written: %w", err))
 		}
-		current, settled, cause := e.readBack(ctx, w, delay)
+		current, versionChanged, cause := e.readBack(ctx, w, delay)
 		if cause != nil {
 			return r.unknown(err)
 		}
-		if settled {
+		if versionChanged {
 			return w.resolve(current, answerLost, r)
 		}
 	}
 }
 
 // readBack reads the object, with a delay before each attempt, until the
-// platform responds. settled is false if the object still has the version that
+// platform responds. versionChanged is false if the object still has the version that
 // the write requires, so that the write has not taken effect yet.
-func (e *Editor) readBack(ctx context.Context, w write, delay *backoff.ExponentialBackOff) (current objstore.Object, settled bool, err error) {
+func (e *Editor) readBack(ctx context.Context, w write, delay *backoff.ExponentialBackOff) (current objstore.Object, versionChanged bool, err error) {
 	for {
 		await.Sleep(ctx, delay.NextBackOff())
 		if ctx.Err() != nil {
@@ -90,8 +90,8 @@
 	return current.Version > w.version && current.Version-w.version <= uint64(n)
 }
 
-// newSettleDelay returns the backoff between the reads after a lost response.
-func newSettleDelay() *backoff.ExponentialBackOff {
+// newReadBackDelay returns the backoff between the reads after a lost response.
+func newReadBackDelay() *backoff.ExponentialBackOff {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = 20*time.Millisecond, 500*time.Millisecond
 	return delay
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -389,9 +389,9 @@
 }
 
 // connectPlatform connects all hosts to the platform, or disconnects them.
-func (f *fleet) connectPlatform(reach bool) {
+func (f *fleet) connectPlatform(connected bool) {
 	for _, n := range f.allNodes() {
-		n.client.Outage(!reach)
+		n.client.Outage(!connected)
 	}
 }
 
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// since returns the entries that changed after the revision, oldest first.
-func (s *state) since(revision uint64) []*entry {
+// changedSince returns the entries that changed after the revision, oldest first.
+func (s *state) changedSince(revision uint64) []*entry {
 	var changed []*entry
 	for _, e := range s.entries {
 		if e.object.Revision > revision {
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -147,14 +147,14 @@
 // the objects that existed at the revision up to which it is complete.
 func (m *propagationModel) check(t *rapid.T) {
 	for i, s := range m.hosts {
-		held := map[string]uint64{}
+		live := map[string]uint64{}
 		for k, e := range s.entries {
 			if !e.object.Deleted {
-				held[k.name] = e.object.Revision
+				live[k.name] = e.object.Revision
 			}
 		}
-		if want := m.objectsAt(s.complete); !maps.Equal(held, want) {
-			t.Fatalf("host %d has %v, but at revision %d the objects were %v", i, held, s.complete, want)
+		if want := m.objectsAt(s.complete); !maps.Equal(live, want) {
+			t.Fatalf("host %d has %v, but at revision %d the objects were %v", i, live, s.complete, want)
 		}
 		built, _, _ := emptyState().apply(m.listAt(s.complete))
 		if got, want := fmt.Sprintf("%+v", s.view), fmt.Sprintf("%+v", built.view); got != want {
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -23,7 +23,7 @@
 
 func (p *problems) add(format string, args ...any) { *p = append(*p, fmt.Errorf(format, args...)) }
 
-func (p *problems) unless(ok bool, format string, args ...any) {
+func (p *problems) require(ok bool, format string, args ...any) {
 	if !ok {
 		p.add(format, args...)
 	}
@@ -31,7 +31,7 @@
 
 func (p *problems) name(field, name string) {
 	ok := len(name) <= maxNameLength && namePattern.MatchString(name)
-	p.unless(ok, "%s: %q is not a name: want 1 to %d of a-z, 0-9 and inner hyphens", field, name, maxNameLength)
+	p.require(ok, "%s: %q is not a name: want 1 to %d of a-z, 0-9 and inner hyphens", field, name, maxNameLength)
 }
 
 // ValidateService reports every problem of a service, joined, or nil. Zero
@@ -41,11 +41,11 @@
 	p.name("name", s.Name)
 	p.name("workload", s.Workload)
 	urgent := s.Urgency == query.Interactive || s.Urgency == query.Deferrable
-	p.unless(urgent, "urgency: %q is neither %q nor %q", s.Urgency, query.Interactive, query.Deferrable)
-	p.unless(len(s.Targets) > 0, "targets: want at least one")
+	p.require(urgent, "urgency: %q is neither %q nor %q", s.Urgency, query.Interactive, query.Deferrable)
+	p.require(len(s.Targets) > 0, "targets: want at least one")
 	seen := map[string]bool{}
 	for i, t := range s.Targets {
-		p.unless(!seen[t.ID], "targets[%d].id: %q is there twice", i, t.ID)
+		p.require(!seen[t.ID], "targets[%d].id: %q is there twice", i, t.ID)
 		seen[t.ID] = true
 		p.target(fmt.Sprintf("targets[%d]", i), t)
 	}
@@ -54,35 +54,35 @@
 }
 
 func (p *problems) target(path string, t Target) {
-	p.unless(t.ID != "", "%s.id: is missing", path)
+	p.require(t.ID != "", "%s.id: is missing", path)
 	_, _, err := net.SplitHostPort(t.Address)
-	p.unless(err == nil, "%s.address: %q is not host:port", path, t.Address)
-	p.unless(t.FailureDomain != "", "%s.failure_domain: is missing", path)
-	p.unless(t.Slots > 0, "%s.slots: %d is less than 1", path, t.Slots)
-	p.unless(t.Connections > 0, "%s.connections: %d is less than 1", path, t.Connections)
+	p.require(err == nil, "%s.address: %q is not host:port", path, t.Address)
+	p.require(t.FailureDomain != "", "%s.failure_domain: is missing", path)
+	p.require(t.Slots > 0, "%s.slots: %d is less than 1", path, t.Slots)
+	p.require(t.Connections > 0, "%s.connections: %d is less than 1", path, t.Connections)
 }
 
 func (p *problems) rules(r Rules) {
 	known := r.Protocol == ProtocolHTTP1 || r.Protocol == ProtocolH2C
-	p.unless(known, "rules.protocol: %q is neither %q nor %q", r.Protocol, ProtocolHTTP1, ProtocolH2C)
-	p.unless(r.Relays >= 0, "rules.relays: %d is negative", r.Relays)
-	p.unless(r.ConnectionsPerRelay > 0, "rules.connections_per_relay: %d is negative", r.ConnectionsPerRelay)
+	p.require(known, "rules.protocol: %q is neither %q nor %q", r.Protocol, ProtocolHTTP1, ProtocolH2C)
+	p.require(r.Relays >= 0, "rules.relays: %d is negative", r.Relays)
+	p.require(r.ConnectionsPerRelay > 0, "rules.connections_per_relay: %d is negative", r.ConnectionsPerRelay)
 	p.positive("rules.default_budget", r.DefaultBudget)
 	p.positive("rules.queue_wait", r.QueueWait)
 	p.positive("rules.latency_objective", r.LatencyObjective)
-	p.unless(r.HedgeQuantile > 0 && r.HedgeQuantile < 1, "rules.hedge_quantile: %g is not between 0 and 1", r.HedgeQuantile)
-	p.unless(r.HedgeBudget <= 1, "rules.hedge_budget: %g is more than 1", r.HedgeBudget)
-	p.unless(r.RetryBudget <= 1, "rules.retry_budget: %g is more than 1", r.RetryBudget)
+	p.require(r.HedgeQuantile > 0 && r.HedgeQuantile < 1, "rules.hedge_quantile: %g is not between 0 and 1", r.HedgeQuantile)
+	p.require(r.HedgeBudget <= 1, "rules.hedge_budget: %g is more than 1", r.HedgeBudget)
+	p.require(r.RetryBudget <= 1, "rules.retry_budget: %g is more than 1", r.RetryBudget)
 	p.ratio("rules.latency_ratio", r.LatencyRatio)
 	p.ratio("rules.coverage_ratio", r.CoverageRatio)
 }
 
 func (p *problems) positive(field string, d unit.Duration) {
-	p.unless(d > 0, "%s: %s is not more than 0", field, d)
+	p.require(d > 0, "%s: %s is not more than 0", field, d)
 }
 
 func (p *problems) ratio(field string, v float64) {
-	p.unless(v > 0 && v < 1, "%s: %g is not between 0 and 1", field, v)
+	p.require(v > 0 && v < 1, "%s: %g is not between 0 and 1", field, v)
 }
 
 // ValidateSnapshot reports every problem of a snapshot, joined, or nil. services
@@ -103,12 +103,12 @@
 		case svc.Workload != s.Workload:
 			p.add("services.%s: belongs to workload %q", name, svc.Workload)
 		default:
-			p.holders(name, s.Services[name], svc.Targets)
+			p.shardTargets(name, s.Services[name], svc.Targets)
 		}
 	}
 	for _, svc := range services {
 		_, ok := s.Services[svc.Name]
-		p.unless(ok || svc.Workload != s.Workload, "services.%s: is missing, though it belongs to the workload", svc.Name)
+		p.require(ok || svc.Workload != s.Workload, "services.%s: is missing, though it belongs to the workload", svc.Name)
 	}
 	return errors.Join(p...)
 }
@@ -128,24 +128,24 @@
 // snapshot checks the snapshot by itself, without the services in force.
 func (p *problems) snapshot(s Snapshot) {
 	p.name("workload", s.Workload)
-	p.unless(s.ID > 0, "id: want more than 0")
-	p.unless(len(s.Services) > 0, "services: want at least one")
+	p.require(s.ID > 0, "id: want more than 0")
+	p.require(len(s.Services) > 0, "services: want at least one")
 	for _, name := range sortedKeys(s.Services) {
 		m := s.Services[name]
-		p.unless(m.IndexVersion != "", "services.%s.index_version: is missing", name)
-		p.unless(len(m.Shards) > 0, "services.%s.shards: want at least one", name)
-		for i, holders := range m.Shards {
-			p.unless(len(holders) > 0, "services.%s.shards[%d]: no target holds it", name, i)
+		p.require(m.IndexVersion != "", "services.%s.index_version: is missing", name)
+		p.require(len(m.Shards) > 0, "services.%s.shards: want at least one", name)
+		for i, targetIDs := range m.Shards {
+			p.require(len(targetIDs) > 0, "services.%s.shards[%d]: no target holds it", name, i)
 		}
 	}
 }
 
-func (p *problems) holders(service string, m ShardMap, targets []Target) {
-	for i, holders := range m.Shards {
-		for j, id := range holders {
+func (p *problems) shardTargets(service string, m ShardMap, targets []Target) {
+	for i, targetIDs := range m.Shards {
+		for j, id := range targetIDs {
 			known := slices.ContainsFunc(targets, func(t Target) bool { return t.ID == id })
-			p.unless(known, "services.%s.shards[%d]: %q is not a target of the service", service, i, id)
-			p.unless(!slices.Contains(holders[:j], id), "services.%s.shards[%d]: %q is there twice", service, i, id)
+			p.require(known, "services.%s.shards[%d]: %q is not a target of the service", service, i, id)
+			p.require(!slices.Contains(targetIDs[:j], id), "services.%s.shards[%d]: %q is there twice", service, i, id)
 		}
 	}
 }
