--- a/internal/claim/ask.go
+++ b/internal/claim/ask.go
@@ -11,42 +11,45 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// AttemptState is what a host knows of one of its attempts.
+// AttemptState is the state of an attempt as reported by the host that made it.
 type AttemptState struct {
-	Known  bool // the host holds the attempt; if not, it was started anew or has forgotten
+	Known  bool // false if the host has no such attempt: it restarted, or has evicted the attempt
 	Ended  bool // Reply is final
-	NotRun bool // it did not run and never will
+	NotRun bool // the attempt did not run and never will
 	Reply  query.Reservation
 }
 
-// Asker asks the host that a record names what became of its attempt. The
-// host waits for the attempt's end as long as the budget of ctx lasts.
-type Asker interface {
-	Ask(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error)
+// AttemptClient queries the host named in a record for the state of its
+// attempt. The host waits for the attempt to end for as long as the deadline of
+// ctx allows.
+type AttemptClient interface {
+	QueryAttempt(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error)
 }
 
-// PeerAsker is the Asker that calls hosts over drpc.
-type PeerAsker struct{ dialer peer.Dialer }
+// PeerAttemptClient is the AttemptClient that calls hosts over drpc.
+type PeerAttemptClient struct{ dialer peer.Dialer }
 
-// NewPeerAsker returns an Asker that calls hosts through the dialer.
-func NewPeerAsker(d peer.Dialer) *PeerAsker { return &PeerAsker{d} }
+// NewPeerAsker returns a PeerAttemptClient that connects to hosts through the
+// dialer.
+func NewPeerAsker(d peer.Dialer) *PeerAttemptClient { return &PeerAttemptClient{d} }
 
-// Ask implements Asker.
-func (p *PeerAsker) Ask(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error) {
+// QueryAttempt implements AttemptClient.
+func (p *PeerAttemptClient) QueryAttempt(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error) {
 	q := &peerpb.ClaimQuery{ReservationId: reservationID, AttemptId: attempt}
 	if deadline, ok := ctx.Deadline(); ok {
-		q.BudgetUs = (time.Until(deadline) - answerMargin).Microseconds()
+		q.BudgetUs = (time.Until(deadline) - responseMargin).Microseconds()
 	}
 	st, err := peerpb.NewDRPCClaimsClient(p.dialer.Conn(ctx, host.Peer)).Ask(ctx, q)
 	if err != nil {
-		return AttemptState{}, Error.New("ask host %s: %w", host.ID, err)
+		return AttemptState{}, Error.New("query attempt on host %s: %w", host.ID, err)
 	}
 	return AttemptState{
 		Known: st.GetKnown(), Ended: st.GetSettled(), NotRun: st.GetNeverSent(), Reply: fromReply(st.GetReply()),
 	}, nil
 }
 
-// Ask answers other hosts; it makes Claims a peerpb.DRPCClaimsServer.
+// Ask serves attempt queries of other hosts. It makes Claims a
+// peerpb.DRPCClaimsServer.
 func (c *Claims) Ask(ctx context.Context, q *peerpb.ClaimQuery) (*peerpb.ClaimState, error) {
 	id, err := parseID(q.GetReservationId())
 	if err != nil {
@@ -54,7 +57,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.GetBudgetUs())*time.Microsecond)
 	defer cancel()
-	st := c.state(ctx, id.String(), q.GetAttemptId())
+	st := c.attemptState(ctx, id.String(), q.GetAttemptId())
 	return &peerpb.ClaimState{
 		Known: st.Known, Settled: st.Ended, NeverSent: st.NotRun, Reply: toReply(st.Reply),
 	}, nil
--- a/internal/claim/ask_test.go
+++ b/internal/claim/ask_test.go
@@ -13,8 +13,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// One host asks another over a real connection.
-func TestAskOverPeers(t *testing.T) {
+// One host queries another over a real connection.
+func TestQueryAttemptOverPeers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	defer f.end()
@@ -29,25 +29,25 @@
 	to := member.Host{ID: "a", Peer: srv.Addr()}
 
 	id := mustID(newID(time.Now())).String()
-	a := c.mem.begin(id, Record{Attempt: "attempt"})
-	st, err := asker.Ask(t.Context(), to, id, "other")
+	a := c.mem.add(id, Record{Attempt: "attempt"})
+	st, err := asker.QueryAttempt(t.Context(), to, id, "other")
 	is.NoErr(err)
 	is.Equal(st, AttemptState{})
-	st, err = asker.Ask(t.Context(), to, newID(time.Now()), "attempt")
+	st, err = asker.QueryAttempt(t.Context(), to, newID(time.Now()), "attempt")
 	is.NoErr(err)
-	is.Equal(st, AttemptState{}) // another reservation
+	is.Equal(st, AttemptState{}) // the attempt of another reservation
 
 	spent, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	st, err = asker.Ask(spent, to, id, "attempt")
-	is.True(err != nil || (st.Known && !st.Ended)) // the budget ended first, on this side or on that
+	st, err = asker.QueryAttempt(spent, to, id, "attempt")
+	is.True(err != nil || (st.Known && !st.Ended)) // the budget ended first, on the client or on the server
 
 	reply := unsettled(time.Second)
 	reply.Outcome, reply.Granted, reply.Answer, reply.Target = outcome.Done, true, "yours", "t0"
-	c.mem.end(a, reply)
+	c.mem.markEnded(a, reply)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	st, err = asker.Ask(ctx, to, id, "attempt")
+	st, err = asker.QueryAttempt(ctx, to, id, "attempt")
 	is.NoErr(err)
 	is.Equal(st, AttemptState{Known: true, Ended: true, Reply: reply})
 }
--- a/internal/claim/claims.go
+++ b/internal/claim/claims.go
@@ -17,41 +17,42 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// answerMargin is kept of a request's budget for the way back, so that the
-// result reaches the caller instead of a timeout.
-const answerMargin = 5 * time.Millisecond
+// responseMargin is the part of a request's budget that is reserved for
+// returning the result, so that the caller receives it before its deadline.
+const responseMargin = 5 * time.Millisecond
 
-// maxDoublings bounds the growth of the wait between tries of a platform call;
-// RetryMax bounds the wait itself.
+// maxDoublings limits the shift in the exponential backoff between retries of a
+// platform call. The delay itself is limited by RetryMax.
 const maxDoublings = 20
 
-// Services gives the rules of a service; catalog.View implements it.
+// Services looks up a service and its rules. catalog.View implements it.
 type Services interface {
 	Service(name string) (catalog.Service, bool)
 }
 
-// Claims is the Reserver of a host. Its promise holds for one reservation id
-// over all hosts: a target runs it at most once, and a request that was told
-// NotSent or Rejected has not run and never will. The result is
-// about the request: a caller, or an entry, that has sent several requests with
-// one id combines their outcomes with outcome.Combine.
+// Claims is the Reserver of a host. Its guarantee holds per reservation id
+// across all hosts: a target runs the reservation at most once, and a request
+// that was answered with NotSent or Rejected has not run and never will.
+//
+// The result applies to one request. A caller or entry that has sent several
+// requests with the same id combines their outcomes with outcome.Combine.
 type Claims struct {
-	cfg      Config
-	store    objstore.Store
-	records  recordStore
-	losses   *losses
-	creates  *createLimiter
-	sender   Sender
-	asker    Asker
-	view     member.View
-	services Services
-	log      *event.Log
-	metrics  *metrics
-	mem      *memory
-
-	ctx        context.Context // ends background work
+	cfg           Config
+	store         objstore.Store
+	records       recordStore
+	eras          *eraTracker
+	creates       *createLimiter
+	sender        Sender
+	attemptClient AttemptClient
+	view          member.View
+	services      Services
+	log           *event.Log
+	metrics       *metrics
+	mem           *memory
+
+	ctx        context.Context // cancelled to end background work
 	cancel     context.CancelFunc
-	writeSlots chan struct{} // one taken by each background write
+	writeSlots chan struct{} // semaphore: one slot for each background write
 
 	mu      sync.Mutex
 	stopped bool
@@ -59,32 +60,34 @@
 	writing sync.WaitGroup // background writes
 }
 
-// New returns the module; it answers from the start, and Start begins the
-// removal of old records.
-func New(cfg Config, store objstore.Store, sender Sender, asker Asker, view member.View, services Services,
+// New returns the Claims of a host. It serves reservations at once; Start
+// begins the removal of old records.
+func New(cfg Config, store objstore.Store, sender Sender, attemptClient AttemptClient, view member.View, services Services,
 	log *event.Log, reg prometheus.Registerer) *Claims {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Claims{
-		cfg: cfg, store: store, sender: sender, asker: asker, view: view, services: services,
+		cfg: cfg, store: store, sender: sender, attemptClient: attemptClient, view: view, services: services,
 		log: log, metrics: newMetrics(reg),
-		losses: newLosses(store, log), records: recordStore{store}, creates: newCreateLimiter(), mem: newMemory(cfg.Remember.Std(), cfg.RememberMax),
-		ctx: ctx, cancel: cancel, writeSlots: make(chan struct{}, cfg.Background),
+		eras: newEraTracker(store, log), records: recordStore{store}, creates: newCreateLimiter(), mem: newMemory(cfg.MemoryRetention.Std(), cfg.MaxRemembered),
+		ctx: ctx, cancel: cancel, writeSlots: make(chan struct{}, cfg.MaxBackgroundWrites),
 	}
 }
 
-// Start begins the sweep, which ends with Stop.
+// Start begins the sweep of old records and the tracking of platform eras. Both
+// end with Stop.
 func (c *Claims) Start(context.Context) error {
 	if c.cfg.Sweepers > 0 {
 		go c.sweepLoop(c.ctx)
 	}
-	go c.losses.follow(c.ctx)
+	go c.eras.watch(c.ctx)
 	return nil
 }
 
-// Stop refuses new reservations and waits until those in flight have ended by
-// their budgets; an error means that ctx was done first. It then waits up to
-// StopTimeout for their records. While the platform is away the writes left are
-// abandoned, each with an event: their reservations read unknown from then on.
+// Stop rejects new reservations and waits until those in flight have ended,
+// which their budgets bound. It returns an error if ctx is done first. It then
+// waits up to StopTimeout for the background writes of their records. Writes
+// that are still pending then, as in a platform outage, are abandoned with an
+// event each; repeats of these reservations get the outcome unknown.
 func (c *Claims) Stop(ctx context.Context) error {
 	c.mu.Lock()
 	c.stopped = true
@@ -95,12 +98,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.StopTimeout.Std())
 	defer cancel()
-	_ = await.Group(ctx, &c.writing) // what is left is abandoned
+	_ = await.Group(ctx, &c.writing) // on timeout the remaining writes are abandoned
 	return nil
 }
 
-// enter counts a reservation in flight, for which Stop waits; false after Stop.
-func (c *Claims) enter() bool {
+// beginReservation counts a reservation in flight, for which Stop waits. It
+// returns false after Stop.
+func (c *Claims) beginReservation() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
@@ -110,12 +114,12 @@
 	return true
 }
 
-// Reserve runs the reservation, or answers a repeat of it. It returns within
-// the budget.
+// Reserve runs the reservation, or returns the earlier result if the request is
+// a repeat. It returns within the request's budget.
 func (c *Claims) Reserve(ctx context.Context, r query.Reserve) query.Reservation {
 	res := c.reserve(ctx, r)
 	res.RequestID, res.ReservationID = r.RequestID, r.ReservationID
-	c.metrics.answer(res)
+	c.metrics.countReply(res)
 	return res
 }
 
@@ -127,21 +131,22 @@
 	ctx, cancel := context.WithTimeout(ctx, r.Budget)
 	defer cancel()
 	for ctx.Err() == nil {
-		res, again := c.joinOrRun(ctx, id, r)
-		if !again {
+		res, retry := c.joinOrRun(ctx, id, r)
+		if !retry {
 			return c.checkNotRun(id, r, res)
 		}
 	}
 	return c.checkNotRun(id, r, refuse(query.ReasonBudget, 0))
 }
 
-// joinOrRun runs the reservation or joins the run in flight. It reports again when
-// the run that it joined ended for want of its own, shorter budget.
-func (c *Claims) joinOrRun(ctx context.Context, id reservationID, r query.Reserve) (res query.Reservation, again bool) {
-	if res, ok := c.remembered(id, r); ok {
+// joinOrRun runs the reservation, or joins the flight that is already running
+// it. retry is true if the joined flight ended because its own, shorter budget
+// ran out.
+func (c *Claims) joinOrRun(ctx context.Context, id reservationID, r query.Reserve) (res query.Reservation, retry bool) {
+	if res, ok := c.replyFromMemory(id, r); ok {
 		return res, false
 	}
-	if !c.enter() {
+	if !c.beginReservation() {
 		return refuse(query.ReasonDraining, c.cfg.RetryAfter.Std()), false
 	}
 	f, isNew := c.mem.join(id.String(), r)
@@ -162,8 +167,9 @@
 	}
 }
 
-// awaitFlight returns the result of a flight that another request began.
-func (c *Claims) awaitFlight(ctx context.Context, f *flight, r query.Reserve) (res query.Reservation, again bool) {
+// awaitFlight waits for a flight that another request started and returns its
+// result. retry is as in joinOrRun.
+func (c *Claims) awaitFlight(ctx context.Context, f *flight, r query.Reserve) (res query.Reservation, retry bool) {
 	if f.req.Service != r.Service || f.req.Item != r.Item || f.req.Caller != r.Caller {
 		return refuse(query.ReasonBadRequest, 0), false
 	}
@@ -177,9 +183,9 @@
 	return res, res.Reason == query.ReasonBudget && res.Outcome.NotRun()
 }
 
-// remembered answers a repeat from this host's memory, also while the
-// platform is down.
-func (c *Claims) remembered(id reservationID, r query.Reserve) (query.Reservation, bool) {
+// replyFromMemory answers a repeat from this host's memory. It needs no
+// platform call, so it also works during a platform outage.
+func (c *Claims) replyFromMemory(id reservationID, r query.Reserve) (query.Reservation, bool) {
 	a := c.mem.lastSent(id.String())
 	if a == nil || !a.hasEnded() || a.reply.Outcome == outcome.Unknown {
 		return query.Reservation{}, false
@@ -192,8 +198,8 @@
 	return res, true
 }
 
-// checkNotRun keeps a host from answering a repeat with "not run" if it knows
-// that an earlier attempt of the same reservation may have run.
+// checkNotRun replaces a "not run" result by an unsettled one if an earlier
+// attempt of the same reservation may have run.
 func (c *Claims) checkNotRun(id reservationID, r query.Reserve, res query.Reservation) query.Reservation {
 	if !res.Outcome.NotRun() || res.Reason == query.ReasonBadRequest {
 		return res
@@ -201,22 +207,23 @@
 	if a := c.mem.lastSent(id.String()); a != nil && a.rec.sameRequest(r) {
 		return unsettled(c.cfg.RetryAfter.Std())
 	}
-	if lost := c.losses.known(); !lost.IsZero() && !id.time().After(lost) {
+	if cutoff := c.eras.latestCutoff(); !cutoff.IsZero() && !id.time().After(cutoff) {
 		return unsettled(c.cfg.RetryAfter.Std()) // it may have run before the platform lost its record
 	}
 	return res
 }
 
-// run runs one flight within a little less than its budget.
+// run runs one flight. It ends responseMargin before the deadline.
 func (c *Claims) run(id reservationID, r query.Reserve, deadline time.Time) query.Reservation {
-	ctx, cancel := context.WithDeadline(c.ctx, deadline.Add(-answerMargin))
+	ctx, cancel := context.WithDeadline(c.ctx, deadline.Add(-responseMargin))
 	defer cancel()
 	rn := runner{c: c, ctx: ctx, id: id, req: r}
 	return rn.run()
 }
 
-// backoff waits before try n, from 0, of a platform call; false when ctx
-// ended first. Waits are spread so that hosts do not call in step.
+// backoff waits before retry n, counted from 0, of a platform call. It returns
+// false if ctx ended first. The delay has random jitter, so that hosts do not
+// retry in step.
 func (c *Claims) backoff(ctx context.Context, n int) bool {
 	wait := c.cfg.RetryMin.Std() << min(n, maxDoublings)
 	if wait <= 0 || wait > c.cfg.RetryMax.Std() { // the shift overflows for a large RetryMin
@@ -225,7 +232,8 @@
 	return await.Sleep(ctx, wait/2+rand.N(wait/2+1))
 }
 
-// refuse returns the result of a request of which nothing was or will be sent.
+// refuse returns the result of a request for which nothing was sent and nothing
+// will be.
 func refuse(reason query.Reason, retryAfter time.Duration) query.Reservation {
 	return query.Reservation{Outcome: outcome.NotSent, Reason: reason, RetryAfter: retryAfter}
 }
@@ -235,8 +243,9 @@
 	return query.Reservation{Outcome: outcome.Unknown, Reason: query.ReasonUnsettled, RetryAfter: retryAfter}
 }
 
-// expired returns the result for an id past the horizon. Its outcome is not
-// "not run": the record of an attempt that ran may be gone.
+// expired returns the result for an id that is past the horizon. Its outcome is
+// unknown instead of "not run", because the record of an attempt that ran may
+// already have been removed.
 func expired() query.Reservation {
 	return query.Reservation{Outcome: outcome.Unknown, Reason: query.ReasonExpired}
 }
--- a/internal/claim/claims_test.go
+++ b/internal/claim/claims_test.go
@@ -14,7 +14,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// inFleet runs a test in virtual time.
+// inFleet runs a test on a fleet of hosts in virtual time.
 func inFleet(t *testing.T, hosts int, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(hosts)
@@ -39,7 +39,7 @@
 		}
 		lower := r
 		lower.ReservationID = strings.ToLower(r.ReservationID)
-		is.Equal(f.add().reserve(lower).Answer, first.Answer) // one id, two spellings
+		is.Equal(f.add().reserve(lower).Answer, first.Answer) // two spellings of one id
 		is.Equal(f.runs(r), 1)
 	})
 }
@@ -58,7 +58,7 @@
 
 		res = ask(newID(time.Now().Add(-25 * time.Hour)))
 		is.Equal(res.Reason, query.ReasonExpired)
-		is.Equal(res.Outcome, outcome.Unknown) // expired is not told as not run
+		is.Equal(res.Outcome, outcome.Unknown) // an expired id is never answered with "not run"
 
 		id := newID(time.Now())
 		is.Equal(ask(id).Outcome, outcome.Done)
@@ -74,7 +74,7 @@
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a := f.hosts[0]
 		r := newReservation()
-		pending := a.beginHeld(r)
+		pending := a.startBlockedReserve(r)
 		stopped := make(chan error, 1)
 		go func() { stopped <- a.claims.Stop(context.Background()) }()
 		synctest.Wait()
@@ -93,13 +93,14 @@
 	})
 }
 
-// TestStopDuringOutage stops a host whose records can't be written: it ends
-// within its stop timeout, and a repeat elsewhere is told unknown.
+// TestStopDuringOutage stops a host whose records cannot be written. Stop
+// returns after StopTimeout, and a repeat on another host gets the outcome
+// unknown.
 func TestStopDuringOutage(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a := f.hosts[0]
 		r := newReservation()
-		pending := a.beginHeld(r)
+		pending := a.startBlockedReserve(r)
 		synctest.Wait()
 		a.client.Outage(true)
 		a.sendGate.set(false)
@@ -132,14 +133,14 @@
 	})
 }
 
-// Hosts with another horizon work on the same records: none may have a
-// horizon that a record does not outlive.
+// Hosts with different horizons share the same records, so no host may have a
+// horizon that is longer than the lifetime of a record.
 func TestConfigBounds(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	c := DefaultConfig()
 	c.Horizon = unit.Duration(MaxHorizon + 1)
-	c.Background = 0
+	c.MaxBackgroundWrites = 0
 	err := c.Validate()
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "horizon"))
--- a/internal/claim/createlimiter.go
+++ b/internal/claim/createlimiter.go
@@ -7,34 +7,35 @@
 	"rhubarbwood.example/rhubarbwood/internal/policy"
 )
 
-// Bounds of the creates that one host has in flight.
+// Limits of the record creations that one host has in flight. The limiter
+// adapts between 1 and maxCreateLimit.
 const (
-	firstCreates = 8
-	mostCreates  = 64
+	initialCreateLimit = 8
+	maxCreateLimit     = 64
 )
 
-// createLimiter bounds the records that this host is creating at once, by what
-// the platform's latency shows of its load. Without it an overload of writes
-// feeds itself: a create waits so long that its reservation has no budget left
-// to be sent, and then costs a release on top.
+// createLimiter limits the record creations that this host has in flight,
+// adapting to the latency of the platform. Without it a write overload
+// amplifies itself: a create takes so long that its reservation has no budget
+// left to be sent, and then costs another write to release the record.
 type createLimiter struct {
 	mu      sync.Mutex
 	limiter *policy.Limiter
 }
 
 func newCreateLimiter() *createLimiter {
-	return &createLimiter{limiter: policy.NewLimiter(firstCreates, 1, mostCreates)}
+	return &createLimiter{limiter: policy.NewLimiter(initialCreateLimit, 1, maxCreateLimit)}
 }
 
-// acquire reports whether a create may begin now; if not, the reservation is
-// refused. Each create that began ends with release.
+// acquire reports whether a create may start now. If not, the reservation is
+// refused. Each acquired create must be released with release.
 func (l *createLimiter) acquire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.Acquire(time.Now())
 }
 
-// release ends a create; latency is the time that its first write took.
+// release ends a create. latency is the duration of its first write.
 func (l *createLimiter) release(latency time.Duration, result writeResult) {
 	signal := policy.Served
 	switch result {
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -13,26 +13,27 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-const many = 1 << 20 // faults: all calls from now on
+const allCalls = 1 << 20 // fault count that covers all calls from now on
 
-// begin runs a reservation beside the test.
-func (h *host) begin(r query.Reserve) <-chan query.Reservation {
+// startReserve runs a reservation concurrently with the test.
+func (h *host) startReserve(r query.Reserve) <-chan query.Reservation {
 	c := make(chan query.Reservation, 1)
 	go func() { c <- h.reserve(r) }()
 	synctest.Wait()
 	return c
 }
 
-// beginHeld runs a reservation beside the test, up to the point at which the
-// target would get it; opening sendGate lets it go on.
-func (h *host) beginHeld(r query.Reserve) <-chan query.Reservation {
+// startBlockedReserve runs a reservation concurrently with the test, up to the
+// point at which the target would receive it. Opening sendGate lets it
+// continue.
+func (h *host) startBlockedReserve(r query.Reserve) <-chan query.Reservation {
 	h.sendGate.set(true)
-	return h.begin(r)
+	return h.startReserve(r)
 }
 
-// sweepAll removes every record that is old enough.
+// sweepAll removes every record that is past removeAfter.
 func (h *host) sweepAll(is *is.I) {
-	h.claims.cfg.SweepCalls = many
+	h.claims.cfg.MaxSweepCalls = allCalls
 	is.NoErr(h.claims.sweep(context.Background(), rate.NewLimiter(rate.Inf, 1), 0))
 }
 
@@ -42,19 +43,19 @@
 		f.hosts[0].client.LoseNextAnswers(1)
 		first := f.hosts[0].reserve(r)
 		is.Equal(first.Outcome, outcome.Done)
-		is.Equal(f.platform.Calls("put"), 3) // the create, the create again, the outcome
+		is.Equal(f.platform.Calls("put"), 3) // the create, its retry and the outcome
 		is.Equal(f.hosts[1].reserve(r).Answer, first.Answer)
 		is.Equal(f.runs(r), 1)
 	})
 }
 
-// A create that is never answered is given up; the host that gave up frees
-// the record, whenever the create lands.
+// A create that gets no response is given up. The host that gave up releases
+// the record, whenever the create is applied.
 func TestCreateNeverAnswered(t *testing.T) {
 	cases := map[string]func(h *host){
-		"applied":     func(h *host) { h.client.LoseNextAnswers(many) },
-		"not applied": func(h *host) { h.client.LoseNextRequests(many) },
-		"lands late":  func(h *host) { h.client.HoldNextWrites(many) },
+		"applied":     func(h *host) { h.client.LoseNextAnswers(allCalls) },
+		"not applied": func(h *host) { h.client.LoseNextRequests(allCalls) },
+		"lands late":  func(h *host) { h.client.HoldNextWrites(allCalls) },
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -78,21 +79,21 @@
 	is.Equal(len(f.target.runs), 0)
 
 	if repeatEarly {
-		is.Equal(b.reserve(r).Outcome, outcome.Done) // a tells that it never sends
+		is.Equal(b.reserve(r).Outcome, outcome.Done) // a reports that it never sends the attempt
 	}
-	time.Sleep(time.Minute) // a frees the record
+	time.Sleep(time.Minute) // a releases the record
 	a.kill()
 	f.platform.Release()
 	is.Equal(b.reserve(r).Outcome, outcome.Done)
 	is.Equal(f.runs(r), 1)
 }
 
-// The record of a create that lands after its host gave up and was lost is
-// told as unknown, never run.
+// A create is applied after its host gave up and failed. The repeat gets the
+// outcome unknown, and the reservation never runs.
 func TestCreateLandsAfterHostLost(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		r := newReservation()
-		f.hosts[0].client.HoldNextWrites(many)
+		f.hosts[0].client.HoldNextWrites(allCalls)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.NotSent)
 		f.hosts[0].kill()
 		f.platform.Release()
@@ -103,19 +104,20 @@
 	})
 }
 
-// A release that was held back on its way must not undo a later attempt.
+// A release that is applied late must not release the record of a later
+// attempt.
 func TestReleaseLandsLate(t *testing.T) {
 	inFleet(t, 3, func(is *is.I, f *fleet) {
 		a, b, c := f.hosts[0], f.hosts[1], f.hosts[2]
 		r := newReservation()
-		a.client.LoseNextAnswers(many)
+		a.client.LoseNextAnswers(allCalls)
 		is.Equal(a.reserve(r).Outcome, outcome.NotSent)
 		a.client.LoseNextAnswers(0)
-		a.client.HoldNextWrites(2) // releases; the third one lands
+		a.client.HoldNextWrites(2) // delays two releases; the third one is applied
 		time.Sleep(time.Minute)
-		first := b.beginHeld(r)
+		first := b.startBlockedReserve(r)
 		f.platform.Release()
-		second := c.begin(r)
+		second := c.startReserve(r)
 		b.sendGate.set(false)
 		is.Equal((<-first).Outcome, outcome.Done)
 		is.Equal((<-second).Outcome, outcome.Done)
@@ -123,10 +125,10 @@
 	})
 }
 
-func TestPlatformDownBefore(t *testing.T) {
+func TestPlatformDownBeforeCreate(t *testing.T) {
 	inFleet(t, 1, func(is *is.I, f *fleet) {
 		h := f.hosts[0]
-		_ = h.reserve(newReservation()) // the host knows the platform's clock
+		_ = h.reserve(newReservation()) // sets the host's reading of the platform's clock
 		f.platform.Outage(true)
 		r := newReservation()
 		start := time.Now()
@@ -141,34 +143,35 @@
 	})
 }
 
-// The platform fails between the create and the outcome: the caller has its
-// answer, and so has each repeat once the platform is back.
-func TestPlatformDownBetween(t *testing.T) {
+// The platform fails between the create and the write of the outcome. The
+// caller gets its result, and so does each repeat once the platform is
+// available again.
+func TestPlatformDownBeforeOutcome(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a, b := f.hosts[0], f.hosts[1]
 		r := newReservation()
-		pending := a.beginHeld(r)
+		pending := a.startBlockedReserve(r)
 		f.platform.Outage(true)
 		a.sendGate.set(false)
 		first := <-pending
 		is.Equal(first.Outcome, outcome.Done)
-		is.Equal(a.reserve(r).Answer, first.Answer) // by memory
+		is.Equal(a.reserve(r).Answer, first.Answer) // from memory
 		is.Equal(b.reserve(r).Outcome, outcome.NotSent)
 		f.platform.Outage(false)
-		is.Equal(b.reserve(r).Answer, first.Answer) // a answers for the record
+		is.Equal(b.reserve(r).Answer, first.Answer) // from host a
 		time.Sleep(time.Minute)
 		a.kill()
-		is.Equal(b.reserve(r).Answer, first.Answer) // the record has it now
+		is.Equal(b.reserve(r).Answer, first.Answer) // from the record
 		is.Equal(f.runs(r), 1)
 	})
 }
 
-// A host that knows that the reservation was sent never tells a repeat that
-// it did not run, also when the platform is down.
-func TestUnknownIsNotToldAsNotRun(t *testing.T) {
+// A host that has sent a reservation never answers a repeat with "not run", not
+// even during a platform outage.
+func TestUnknownIsNotReportedAsNotRun(t *testing.T) {
 	inFleet(t, 1, func(is *is.I, f *fleet) {
 		r := newReservation()
-		f.target.drop = 1
+		f.target.dropAnswers = 1
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		f.platform.Outage(true)
@@ -183,7 +186,7 @@
 		var all []<-chan query.Reservation
 		for _, h := range f.hosts {
 			h.sendGate.set(true)
-			all = append(all, h.begin(r), h.begin(r))
+			all = append(all, h.startReserve(r), h.startReserve(r))
 		}
 		for _, h := range f.hosts {
 			h.sendGate.set(false)
@@ -203,7 +206,7 @@
 			f.settle = settle
 			want := map[bool]outcome.Outcome{false: outcome.Unknown, true: outcome.Done}[settle]
 			r := newReservation()
-			f.target.drop = 1
+			f.target.dropAnswers = 1
 			first := f.hosts[0].reserve(r)
 			is.Equal(first.Outcome, want)
 			again := f.hosts[1].reserve(r)
@@ -217,14 +220,14 @@
 func TestRejected(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		r := newReservation()
-		f.target.reject = 2
+		f.target.rejectAttempts = 2
 		res := f.hosts[0].reserve(r)
 		is.Equal(res.Outcome, outcome.Rejected)
 		is.Equal(res.Reason, query.ReasonOverload)
 		is.True(res.RetryAfter > 0)
 		is.Equal(len(f.target.runs), 0)
 
-		f.target.reject = 1 // the second target takes it
+		f.target.rejectAttempts = 1 // the second target accepts the attempt
 		res = f.hosts[1].reserve(r)
 		is.Equal(res.Outcome, outcome.Done)
 		is.Equal(res.Target, "t1")
@@ -233,14 +236,15 @@
 	})
 }
 
-// The sender is lost, or only thought lost, with its bytes already on the way.
+// The sending host fails, or is seen as dead, while its request is already on
+// the way to the target.
 func TestSenderLost(t *testing.T) {
 	for _, settle := range []bool{false, true} {
 		inFleet(t, 3, func(is *is.I, f *fleet) {
 			f.settle = settle
 			r := newReservation()
-			f.hosts[0].beginHeld(r)
-			f.think("a", true)
+			f.hosts[0].startBlockedReserve(r)
+			f.setSeenDead("a", true)
 			start := time.Now()
 			res := f.hosts[1].reserve(r)
 			is.Equal(time.Since(start), time.Duration(0))
@@ -258,17 +262,17 @@
 	}
 }
 
-// A host frozen between its look at the clock and its create wakes after the
-// record was removed. Its budget seems to last, as on a machine whose
-// monotonic clock stood still as well.
+// A host that is suspended between its clock reading and its create resumes
+// after the record was removed. Its budget is not used up, as on a machine
+// whose monotonic clock stopped during the suspension.
 func TestFrozenBeforeCreatePastHorizon(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a, b := f.hosts[0], f.hosts[1]
-		is.Equal(a.reserve(newReservation()).Outcome, outcome.Done) // a knows the clock
+		is.Equal(a.reserve(newReservation()).Outcome, outcome.Done) // sets a's reading of the platform's clock
 		r := newReservation()
 		r.Budget = 10 * removeAfter
 		a.gate.set(true)
-		frozen := a.begin(r)
+		frozen := a.startReserve(r)
 		is.Equal(b.reserve(r).Outcome, outcome.Done)
 		time.Sleep(removeAfter + time.Hour)
 		b.sweepAll(is)
@@ -279,13 +283,14 @@
 	})
 }
 
-// A host frozen in its send wakes after the record was removed.
+// A host that is suspended during its send resumes after the record was
+// removed.
 func TestFrozenInSendPastHorizon(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a, b := f.hosts[0], f.hosts[1]
 		r := newReservation()
 		r.Budget = 10 * removeAfter
-		frozen := a.beginHeld(r)
+		frozen := a.startBlockedReserve(r)
 		time.Sleep(removeAfter + time.Hour)
 		b.sweepAll(is)
 		res := b.reserve(r)
@@ -297,18 +302,18 @@
 	})
 }
 
-// A host frozen after its create wakes with its budget spent: it sends
-// nothing and frees the record.
+// A host that is suspended after its create resumes with no budget left. It
+// sends nothing and releases the record.
 func TestFrozenAfterCreate(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		a, b := f.hosts[0], f.hosts[1]
 		r := newReservation()
 		a.client.SetLatency(100 * time.Millisecond)
-		is.Equal(a.reserve(newReservation()).Outcome, outcome.Done) // a knows the clock
-		frozen := a.begin(r)
+		is.Equal(a.reserve(newReservation()).Outcome, outcome.Done) // sets a's reading of the platform's clock
+		frozen := a.startReserve(r)
 		time.Sleep(50 * time.Millisecond)
-		a.careless = true // the check is not left to the sender
-		a.gate.set(true)  // its create is on the way
+		a.ignoreContext = true // the sender does not check the deadline, so the runner has to
+		a.gate.set(true)       // a is suspended while its create is on the way
 		time.Sleep(time.Minute)
 		is.Equal((<-frozen).Outcome, outcome.Unknown)
 		a.gate.set(false)
@@ -320,20 +325,20 @@
 	})
 }
 
-// While a second target is tried, the record names the second attempt, so
-// that a settled first one does not free it.
+// While a second target is tried, the record names the second attempt. Settling
+// the first attempt must not release the record.
 func TestRecordNamesSecondAttempt(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		f.settle = true
-		f.target.reject = 1
+		f.target.rejectAttempts = 1
 		r := newReservation()
 		a := f.hosts[0]
 		a.gate.set(true)
-		pending := a.begin(r)
-		a.holdSend = 2
+		pending := a.startReserve(r)
+		a.blockedSend = 2
 		a.gate.set(false)
 		synctest.Wait()
-		f.think("a", true)
+		f.setSeenDead("a", true)
 		is.Equal(f.hosts[1].reserve(r).Outcome, outcome.Done)
 		a.sendGate.set(false)
 		is.Equal((<-pending).Outcome, outcome.Done)
@@ -349,19 +354,20 @@
 	return id
 }
 
-// The platform comes back from a copy without the newest claims. A repeat of a reservation that has run must not run again,
-// at a host that ran it or at another one.
-func TestRepeatAfterThePlatformCameBackOlderDoesNotRunAgain(t *testing.T) {
+// The platform is restored from a copy that lacks the newest claims. A repeat
+// of a reservation that has run must not run again, neither on the host that
+// ran it nor on another one.
+func TestRepeatAfterPlatformRestoreDoesNotRunAgain(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		r := newReservation()
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Done)
 		f.platform.Reset()
 		for _, h := range append(f.hosts, f.add()) {
 			res := h.reserve(r)
-			is.True(!res.Outcome.NotRun()) // known to the first host, unknown to the others
+			is.True(!res.Outcome.NotRun()) // the first host has the outcome in memory; the others return unknown
 		}
 		is.Equal(f.runs(r), 1)
-		time.Sleep(lookEvery + lookSpread)
+		time.Sleep(eraPollInterval + maxEraReadDelay)
 		later := newReservation()
 		is.Equal(f.hosts[1].reserve(later).Outcome, outcome.Done)
 		is.Equal(f.runs(later), 1)
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if flag.Lookup("rapid.seed").Value.String() == "0" { // none given
+	if flag.Lookup("rapid.seed").Value.String() == "0" { // no seed was given
 		_ = flag.Set("rapid.seed", "1")
 		_ = flag.Set("rapid.checks", "400")
 	}
@@ -34,30 +34,30 @@
 	os.Exit(m.Run())
 }
 
-var errFake = errors.New("cut by the test")
+var errFake = errors.New("host is dead in this test")
 
-// target runs reservations and logs each execution.
+// target runs reservations and records each execution.
 type target struct {
-	mu      sync.Mutex
-	runs    map[string][]query.Reserve // executions, by reservation
-	ran     map[string]query.Reservation
-	refused map[string]bool
-	reject  int // attempts to reject
-	drop    int // answers to drop after running
+	mu             sync.Mutex
+	runs           map[string][]query.Reserve // executions, by reservation id
+	ran            map[string]query.Reservation
+	refused        map[string]bool
+	rejectAttempts int // number of attempts still to reject
+	dropAnswers    int // number of answers still to drop after running
 }
 
 func (t *target) send(r query.Reserve, id, attempt string) query.Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.refused[attempt] || t.reject > 0 {
-		t.reject = max(0, t.reject-1)
+	if t.refused[attempt] || t.rejectAttempts > 0 {
+		t.rejectAttempts = max(0, t.rejectAttempts-1)
 		return query.Reservation{Outcome: outcome.Rejected, Reason: query.ReasonOverload, RetryAfter: time.Second}
 	}
 	t.runs[r.ReservationID] = append(t.runs[r.ReservationID], r)
 	res := query.Reservation{Outcome: outcome.Done, Granted: true, Answer: id + " by " + attempt}
 	t.ran[attempt] = res
-	if t.drop > 0 {
-		t.drop--
+	if t.dropAnswers > 0 {
+		t.dropAnswers--
 		return query.Reservation{Outcome: outcome.Unknown, Reason: query.ReasonConnection}
 	}
 	return res
@@ -73,7 +73,7 @@
 	return targetapi.Settlement{AttemptID: attempt, Ran: ok, Answer: targetapi.Answer{Granted: res.Granted, Text: res.Answer}}
 }
 
-// gate holds the goroutines that pass it while it is shut.
+// gate blocks the goroutines that call pass while it is shut.
 type gate struct {
 	mu   sync.Mutex
 	shut chan struct{} // nil while open
@@ -100,7 +100,7 @@
 	}
 }
 
-// store is a host's client of the platform, behind the host's gate.
+// store is a host's platform client, whose calls pass the host's gate.
 type store struct {
 	*objstoretest.Client
 	gate *gate
@@ -116,20 +116,20 @@
 	return s.Client.Now()
 }
 
-// host is one host under test: its Claims, and the Sender, Asker and View that
-// Claims works with.
+// host is one host under test: its Claims, and the Sender, AttemptClient and
+// View that Claims uses.
 type host struct {
-	f        *fleet
-	client   *objstoretest.Client
-	id       string
-	claims   *Claims
-	gate     gate // a frozen host
-	sendGate gate // frozen with the request already handed to the kernel
-	holdSend int  // the send, from 1, at which sendGate shuts; 0 for none
-	sends    atomic.Int32
-	careless bool // its sender does not look at the context
-	mu       sync.Mutex
-	dead     bool
+	f             *fleet
+	client        *objstoretest.Client
+	id            string
+	claims        *Claims
+	gate          gate // shut while the host is suspended
+	sendGate      gate // shut to block a request that was already handed to the kernel
+	blockedSend   int  // number of the send, from 1, at which sendGate is shut; 0 for none
+	sends         atomic.Int32
+	ignoreContext bool // the sender does not check its context
+	mu            sync.Mutex
+	dead          bool
 }
 
 func (h *host) isDead() bool {
@@ -138,7 +138,7 @@
 	return h.dead
 }
 
-// kill ends the host: nothing that it had not handed over leaves it any more.
+// kill ends the host. Nothing that it had not yet sent is sent after that.
 func (h *host) kill() {
 	h.mu.Lock()
 	h.dead = true
@@ -159,10 +159,10 @@
 
 func (h *host) Send(ctx context.Context, r query.Reserve, _, attempt string) query.Reservation {
 	h.gate.pass()
-	if (ctx.Err() != nil && !h.careless) || h.isDead() {
+	if (ctx.Err() != nil && !h.ignoreContext) || h.isDead() {
 		return query.Reservation{Outcome: outcome.NotSent, Reason: query.ReasonBudget}
 	}
-	if int(h.sends.Add(1)) == h.holdSend {
+	if int(h.sends.Add(1)) == h.blockedSend {
 		h.sendGate.set(true)
 	}
 	h.sendGate.pass()
@@ -179,14 +179,14 @@
 	return h.f.target.settle(attempt), nil
 }
 
-func (h *host) Ask(ctx context.Context, to member.Host, reservation, attempt string) (AttemptState, error) {
+func (h *host) QueryAttempt(ctx context.Context, to member.Host, reservation, attempt string) (AttemptState, error) {
 	h.gate.pass()
 	other := h.f.host(to.ID)
 	if other.isDead() || h.isDead() {
 		return AttemptState{}, errFake
 	}
 	other.gate.pass()
-	return other.claims.state(ctx, reservation, attempt), nil
+	return other.claims.attemptState(ctx, reservation, attempt), nil
 }
 
 func (h *host) Self() member.Host {
@@ -196,7 +196,7 @@
 func (h *host) Hosts() []member.Host {
 	var hosts []member.Host
 	for _, o := range h.f.hosts {
-		if !o.isDead() && !h.f.thinksDead(o.id) {
+		if !o.isDead() && !h.f.isSeenDead(o.id) {
 			hosts = append(hosts, o.Self())
 		}
 	}
@@ -207,26 +207,26 @@
 
 func (h *host) Generation() uint64 { return 0 }
 
-// fleet is some hosts, one platform and one target.
+// fleet is a set of hosts with one platform and one target.
 type fleet struct {
-	platform    *objstoretest.Platform
-	target      *target
-	settle      bool
-	hosts       []*host
-	mu          sync.Mutex
-	thoughtDead map[string]bool // by the views of all hosts
+	platform *objstoretest.Platform
+	target   *target
+	settle   bool
+	hosts    []*host
+	mu       sync.Mutex
+	seenDead map[string]bool // hosts that are dead in the views of all hosts
 }
 
-func (f *fleet) think(id string, dead bool) {
+func (f *fleet) setSeenDead(id string, dead bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.thoughtDead[id] = dead
+	f.seenDead[id] = dead
 }
 
-func (f *fleet) thinksDead(id string) bool {
+func (f *fleet) isSeenDead(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.thoughtDead[id]
+	return f.seenDead[id]
 }
 
 func (f *fleet) Service(name string) (catalog.Service, bool) {
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// add starts a host. Each has an id of its own, as a host started anew has
-// another incarnation.
+// add starts a host. Each host has a new id, which stands in for the new
+// incarnation of a restarted host.
 func (f *fleet) add() *host {
 	h := &host{f: f, id: string(rune('a' + len(f.hosts))), client: f.platform.Client()}
 	cfg := DefaultConfig()
@@ -255,7 +255,7 @@
 
 func newFleet(hosts int) *fleet {
 	f := &fleet{
-		platform: objstoretest.New(), thoughtDead: map[string]bool{},
+		platform: objstoretest.New(), seenDead: map[string]bool{},
 		target: &target{runs: map[string][]query.Reserve{}, ran: map[string]query.Reservation{}, refused: map[string]bool{}},
 	}
 	for range hosts {
@@ -271,7 +271,7 @@
 	return len(f.target.runs[r.ReservationID])
 }
 
-// end stops every host, so that no goroutine is left.
+// end stops every host and waits for its goroutines.
 func (f *fleet) end() {
 	for _, h := range f.hosts {
 		h.kill()
@@ -283,10 +283,10 @@
 	}
 }
 
-// newID makes a reservation id of the given time.
+// newID returns a reservation id with the given creation time.
 func newID(at time.Time) string { return ulid.MustNew(ulid.Timestamp(at), rand.Reader).String() }
 
-// newReservation is a request for a reservation of now.
+// newReservation returns a request with a new reservation id.
 func newReservation() query.Reserve { return reservation(newID(time.Now())) }
 
 func reservation(id string) query.Reserve {
--- a/internal/claim/id.go
+++ b/internal/claim/id.go
@@ -9,18 +9,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// sliceLength is the span of reservation time whose records share one kind of
-// platform object, so that a sweep lists a small set and not every record. It
-// is a constant: two hosts that disagreed on it would look for the record of
-// one reservation in two places.
+// sliceLength is the range of reservation time whose records share one platform
+// kind, so that a sweep lists a small set instead of every record. It is a
+// constant because hosts that disagreed on it would look for the record of one
+// reservation under different kinds.
 const sliceLength = 10 * time.Minute
 
-// reservationID is a caller's id: a ULID, whose first part is the time at
-// which it was made.
+// reservationID is the id that the caller assigned to a reservation: a ULID,
+// whose first part is its creation time.
 type reservationID struct{ id ulid.ULID }
 
-// parseID reads the text form in either case. It refuses all that is not
-// exactly a ULID, because two spellings of an id must name one record.
+// parseID parses the text form in upper or lower case. It rejects everything
+// that is not exactly a ULID, because two spellings of an id must map to one
+// record.
 func parseID(s string) (reservationID, error) {
 	id, err := ulid.ParseStrict(s)
 	if err != nil {
@@ -29,37 +30,38 @@
 	return reservationID{id}, nil
 }
 
-// String returns the one canonical form.
+// String returns the canonical form.
 func (r reservationID) String() string { return r.id.String() }
 
-// time returns when the caller made the id, by the caller's clock.
+// time returns the creation time of the id, by the caller's clock.
 func (r reservationID) time() time.Time { return ulid.Time(r.id.Time()) }
 
-// kind returns the platform kind of the record; see sliceLength.
+// kind returns the platform kind of the reservation's record; see sliceLength.
 func (r reservationID) kind() string { return timeSliceOf(r.time()).kind() }
 
-// timeSlice is the number of a span of sliceLength, counted from the Unix
+// timeSlice is the index of a time slice of sliceLength, counted from the Unix
 // epoch.
 type timeSlice int64
 
 const sliceSeconds = int64(sliceLength / time.Second)
 
-// timeSliceOf returns the slice that t falls in.
+// timeSliceOf returns the slice that contains t.
 func timeSliceOf(t time.Time) timeSlice { return timeSlice(t.Unix() / sliceSeconds) }
 
-// kind returns the platform kind of the records of the slice.
+// kind returns the platform kind of the slice's records.
 func (s timeSlice) kind() string { return fmt.Sprintf("%s.%d", objstore.KindClaim, int64(s)) }
 
-// end returns the first moment after the slice.
+// end returns the first instant after the slice.
 func (s timeSlice) end() time.Time { return time.Unix((int64(s)+1)*sliceSeconds, 0) }
 
-// expired reports whether the id is past the horizon at now, by the
-// platform's clock.
+// expired reports whether the id is older than the horizon at now, which is by
+// the platform's clock.
 func (r reservationID) expired(now time.Time, horizon time.Duration) bool {
 	return now.Sub(r.time()) > horizon
 }
 
-// ahead reports whether the id lies further in the future than is allowed.
-func (r reservationID) ahead(now time.Time, limit time.Duration) bool {
+// tooFarAhead reports whether the id's time is more than limit after now, which
+// is by the platform's clock.
+func (r reservationID) tooFarAhead(now time.Time, limit time.Duration) bool {
 	return r.time().Sub(now) > limit
 }
--- a/internal/claim/lookup.go
+++ b/internal/claim/lookup.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// LookupResult is what an operator reads of a reservation.
+// LookupResult is the state of a reservation as shown to operators.
 type LookupResult struct {
 	ReservationID string
-	Found         bool // there is a record
+	Found         bool // the reservation has a record
 	Record        Record
-	HostAlive     bool // the host in the record lives, and still has the incarnation of the attempt
+	HostAlive     bool // the host named in the record is alive, with the incarnation that made the attempt
 }
 
-// Lookup reads the record of a reservation for an operator; it changes
-// nothing. A malformed id and a platform that does not answer are errors.
+// Lookup reads the record of a reservation without changing it. It returns an
+// error if the id is malformed or the platform cannot be read.
 func (c *Claims) Lookup(ctx context.Context, reservation string) (LookupResult, error) {
 	id, err := parseID(reservation)
 	if err != nil {
--- a/internal/claim/loss.go
+++ b/internal/claim/loss.go
@@ -13,76 +13,78 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// The platform may come back from an older copy, without the newest records: a reservation that has run may have none, or an
-// earlier one. Each era has an object that tells when it was first used. Whatever ran before a restore has an id that is
-// older than that, so no attempt of an older id is sent in that era; what became of it is told as unknown.
-
-// losses are the eras that this host knows, and since when they are used.
-type losses struct {
+// eraTracker caches the time of first use of each platform era that this host has observed.
+//
+// The platform may be restored from an older copy that lacks the newest records: a reservation that has run may then
+// have no record, or an earlier version of it. Each era of the platform has an object whose creation time is the time
+// of first use of the era. The id of every reservation that ran before the restore is older than that time. Therefore
+// no attempt with an older id is sent in that era, and the outcome of such a reservation is unknown.
+type eraTracker struct {
 	store objstore.Store
 	log   *event.Log
 
-	mu     sync.Mutex
-	since  map[uint64]time.Time // by the platform's clock
-	newest time.Time
+	mu        sync.Mutex
+	firstUsed map[uint64]time.Time // by era; times are by the platform's clock
+	latest    time.Time            // the latest of firstUsed
 }
 
-func newLosses(store objstore.Store, log *event.Log) *losses {
-	return &losses{store: store, log: log, since: map[uint64]time.Time{}}
+func newEraTracker(store objstore.Store, log *event.Log) *eraTracker {
+	return &eraTracker{store: store, log: log, firstUsed: map[uint64]time.Time{}}
 }
 
-// before returns the time before which records may have been lost, as of an era; the zero time if the platform tells no era.
-func (l *losses) before(ctx context.Context, era uint64) (time.Time, error) {
+// lossCutoff returns the time of first use of an era: records of reservations with an older id may have been lost. It
+// is zero if the platform reports no era.
+func (l *eraTracker) lossCutoff(ctx context.Context, era uint64) (time.Time, error) {
 	if era == 0 {
 		return time.Time{}, nil
 	}
 	l.mu.Lock()
-	at, known := l.since[era]
+	at, known := l.firstUsed[era]
 	l.mu.Unlock()
 	if known {
 		return at, nil
 	}
-	o, err := l.mark(ctx, era)
+	o, err := l.eraRecord(ctx, era)
 	if err != nil {
-		return time.Time{}, Error.New("read since when era %d is used: %w", era, err)
+		return time.Time{}, Error.New("read time of first use of era %d: %w", era, err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since[era] = o.Created
-	if o.Created.After(l.newest) {
-		l.newest = o.Created
+	l.firstUsed[era] = o.Created
+	if o.Created.After(l.latest) {
+		l.latest = o.Created
 	}
 	return o.Created, nil
 }
 
-// lookEvery is the time between two looks at the platform's era, and lookSpread that over which hosts then read since when it
-// is used.
+// eraPollInterval is the interval at which a host polls the platform's era. maxEraReadDelay is the longest random delay
+// before the host reads the time of first use of a new era; it spreads the reads of all hosts.
 const (
-	lookEvery  = time.Second
-	lookSpread = 5 * time.Second
+	eraPollInterval = time.Second
+	maxEraReadDelay = 5 * time.Second
 )
 
-// follow learns since when each era is used, so that few new ids are older than that.
-func (l *losses) follow(ctx context.Context) {
-	for await.Sleep(ctx, lookEvery) {
+// watch reads the time of first use of each new era early, so that few new ids are older than it.
+func (l *eraTracker) watch(ctx context.Context) {
+	for await.Sleep(ctx, eraPollInterval) {
 		era := l.store.Era()
 		l.mu.Lock()
-		_, known := l.since[era]
+		_, known := l.firstUsed[era]
 		l.mu.Unlock()
-		if known || era == 0 || !await.Sleep(ctx, rand.N(lookSpread)) {
+		if known || era == 0 || !await.Sleep(ctx, rand.N(maxEraReadDelay)) {
 			continue
 		}
-		if _, err := l.before(ctx, era); err != nil { // it is tried again, also by the next reservation
+		if _, err := l.lossCutoff(ctx, era); err != nil { // retried on the next poll, and by the next reservation
 			l.log.Event(evEraNotRead).Uint64("era", era).Err(err).Msg("")
 		}
 	}
 }
 
-// errEraOver means that the platform came back from an older copy once more.
-var errEraOver = errors.New("the platform is in another era")
+// errEraChanged means that the platform was restored again during the call.
+var errEraChanged = errors.New("the platform has changed to another era")
 
-// mark reads the object of an era, or writes it.
-func (l *losses) mark(ctx context.Context, era uint64) (objstore.Object, error) {
+// eraRecord reads the object of an era and creates it if it does not exist.
+func (l *eraTracker) eraRecord(ctx context.Context, era uint64) (objstore.Object, error) {
 	name := strconv.FormatUint(era, 10)
 	o, err := l.store.Get(ctx, objstore.KindEra, name)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -93,14 +95,15 @@
 		o, err = conflict.Current, nil
 	}
 	if err == nil && o.Era != era {
-		err = errEraOver
+		err = errEraChanged
 	}
 	return o, err
 }
 
-// known returns the newest time before which records may have been lost, as far as this host knows.
-func (l *losses) known() time.Time {
+// latestCutoff returns the latest time of first use of the eras that this host has observed: records of reservations
+// with an older id may have been lost.
+func (l *eraTracker) latestCutoff() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.newest
+	return l.latest
 }
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -15,14 +15,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// observation is the result of one request; lost if its host was killed first.
+// observation is the result of one request. lost is set if its host was killed
+// before it returned.
 type observation struct {
 	req  query.Reserve
 	res  query.Reservation
 	lost bool
 }
 
-// machine drives hosts, faults and callers at random and keeps the history.
+// machine runs hosts, faults and callers in random order and records the
+// history.
 type machine struct {
 	*fleet
 	ids      []string
@@ -32,7 +34,7 @@
 	observed []observation
 }
 
-func (m *machine) note(o observation) {
+func (m *machine) addObservation(o observation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.observed = append(m.observed, o)
@@ -42,8 +44,9 @@
 	return m.hosts[rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")]
 }
 
-// reserve sends a request, first or repeated, and does not wait. A budget of
-// many days is that of a host whose monotonic clock stands still in a freeze.
+// reserve sends a first or repeated request without waiting for its result. The
+// longest budget simulates a host whose monotonic clock stops during a
+// suspension.
 func (m *machine) reserve(t *rapid.T) {
 	h := m.drawHost(t)
 	if h.isDead() {
@@ -53,7 +56,7 @@
 	r.Budget = rapid.SampledFrom([]time.Duration{50 * time.Millisecond, time.Second, 10 * removeAfter}).Draw(t, "budget")
 	go func() {
 		res := h.reserve(r)
-		m.note(observation{req: r, res: res, lost: h.isDead()})
+		m.addObservation(observation{req: r, res: res, lost: h.isDead()})
 	}()
 	synctest.Wait()
 }
@@ -80,7 +83,7 @@
 
 func (m *machine) faultWrites(t *rapid.T) {
 	h := m.drawHost(t)
-	n := rapid.SampledFrom([]int{0, 1, 2, many}).Draw(t, "writes")
+	n := rapid.SampledFrom([]int{0, 1, 2, allCalls}).Draw(t, "writes")
 	switch rapid.SampledFrom([]string{"lose answers", "lose requests", "hold"}).Draw(t, "fault") {
 	case "lose answers":
 		h.client.LoseNextAnswers(n)
@@ -94,12 +97,12 @@
 func (m *machine) faultTarget(t *rapid.T) {
 	m.target.mu.Lock()
 	defer m.target.mu.Unlock()
-	m.target.reject = rapid.IntRange(0, 3).Draw(t, "reject")
-	m.target.drop = rapid.IntRange(0, 2).Draw(t, "drop")
+	m.target.rejectAttempts = rapid.IntRange(0, 3).Draw(t, "reject")
+	m.target.dropAnswers = rapid.IntRange(0, 2).Draw(t, "drop")
 }
 
-func (m *machine) misjudge(t *rapid.T) {
-	m.think(m.drawHost(t).id, rapid.Bool().Draw(t, "thought dead"))
+func (m *machine) misjudgeHost(t *rapid.T) {
+	m.setSeenDead(m.drawHost(t).id, rapid.Bool().Draw(t, "thought dead"))
 	synctest.Wait()
 }
 
@@ -108,7 +111,7 @@
 	synctest.Wait()
 }
 
-// restore takes the platform back to an older copy of itself.
+// restore takes a copy of the platform, or restores the platform from one.
 func (m *machine) restore(t *rapid.T) {
 	if len(m.copies) == 0 || rapid.Bool().Draw(t, "copy") {
 		m.copies = append(m.copies, m.platform.Copy())
@@ -117,24 +120,24 @@
 	at := rapid.IntRange(0, len(m.copies)-1).Draw(t, "of")
 	m.platform.Restore(m.copies[at])
 	m.restored = true
-	m.copies = m.copies[:at+1] // the later ones are of what is lost
+	m.copies = m.copies[:at+1] // later copies contain data that is now lost
 	synctest.Wait()
 }
 
-func (m *machine) landLate(*rapid.T) {
+func (m *machine) deliverHeldWrites(*rapid.T) {
 	m.platform.Release()
 	synctest.Wait()
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) advanceTime(t *rapid.T) {
 	time.Sleep(rapid.SampledFrom([]time.Duration{
 		time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond, 2 * time.Second, time.Minute,
 	}).Draw(t, "time"))
 	synctest.Wait()
 }
 
-// age lets the horizon pass and removes the old records.
-func (m *machine) age(t *rapid.T) {
+// passHorizon advances the time past removeAfter and sweeps old records.
+func (m *machine) passHorizon(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "rare") > 0 {
 		t.Skip("not now")
 	}
@@ -149,14 +152,14 @@
 	synctest.Wait()
 }
 
-// heal ends every fault and waits until nothing is left to do.
+// heal ends every fault and waits until all background work is done.
 func (m *machine) heal() {
 	m.platform.Outage(false)
 	m.target.mu.Lock()
-	m.target.reject, m.target.drop = 0, 0
+	m.target.rejectAttempts, m.target.dropAnswers = 0, 0
 	m.target.mu.Unlock()
 	for _, h := range m.hosts {
-		m.think(h.id, false)
+		m.setSeenDead(h.id, false)
 		h.client.LoseNextAnswers(0)
 		h.client.LoseNextRequests(0)
 		h.client.HoldNextWrites(0)
@@ -168,14 +171,14 @@
 	synctest.Wait()
 }
 
-// check fails if the history breaks a promise.
+// check fails the test if the history violates a guarantee.
 func (m *machine) check(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.target.mu.Lock()
 	defer m.target.mu.Unlock()
-	notRun := map[string]bool{} // requests
-	allNotRun := map[string]bool{}
+	notRun := map[string]bool{}    // by request id
+	allNotRun := map[string]bool{} // by reservation id
 	answer := map[string]string{}
 	for _, id := range m.ids {
 		allNotRun[id] = true
@@ -202,19 +205,19 @@
 		}
 	}
 	for id, runs := range m.target.runs {
-		if allNotRun[id] && m.quiet() {
-			t.Fatalf("reservation %s was told as not run by all, and ran", id)
+		if allNotRun[id] && m.idle() {
+			t.Fatalf("reservation %s ran, but all requests were answered as not run", id)
 		}
 		for _, r := range runs {
 			if notRun[r.RequestID] {
-				t.Fatalf("request %s was told as not run, and ran", r.RequestID)
+				t.Fatalf("request %s ran, but was answered as not run", r.RequestID)
 			}
 		}
 	}
 }
 
-// quiet reports whether no request is open.
-func (m *machine) quiet() bool {
+// idle reports whether no request is in flight.
+func (m *machine) idle() bool {
 	for _, h := range m.hosts {
 		h.claims.mem.mu.Lock()
 		n := len(h.claims.mem.flights)
@@ -226,17 +229,18 @@
 	return true
 }
 
-// finish repeats each reservation once all is well. Where targets can be
-// asked, each gets its answer, unless it is past the horizon.
+// finish repeats each reservation after all faults have ended. If targets
+// support settling, each reservation gets its result, unless it is past the
+// horizon.
 func (m *machine) finish(t *rapid.T) {
 	m.heal()
 	h := m.add()
 	for _, id := range m.ids {
 		r := reservation(id)
 		res := h.reserve(r)
-		m.note(observation{req: r, res: res})
+		m.addObservation(observation{req: r, res: res})
 		if m.restored && res.Reason == query.ReasonUnsettled {
-			continue // older than the restore: it may have run, and nothing tells
+			continue // older than the restore: it may have run, and the platform has lost the record
 		}
 		if m.settle && res.Reason != query.ReasonExpired && res.Outcome != outcome.Done {
 			t.Fatalf("reservation %s ends as %s %s", id, res.Outcome, res.Reason)
@@ -251,7 +255,7 @@
 		synctest.Test(t, func(*testing.T) {
 			m := &machine{fleet: newFleet(3)}
 			defer m.end()
-			defer func() { failure = recover() }() // rapid fails by a panic, which must reach its own goroutine
+			defer func() { failure = recover() }() // rapid fails by a panic, which must reach the goroutine of rapid.Check
 			m.run(rt)
 		})
 		if failure != nil {
@@ -268,8 +272,8 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"":        m.check,
 		"reserve": m.reserve, "repeat": m.reserve, "kill": m.kill, "freeze": m.freeze,
-		"fault writes": m.faultWrites, "fault target": m.faultTarget, "misjudge": m.misjudge,
-		"outage": m.outage, "land late": m.landLate, "pass": m.pass, "age": m.age,
+		"fault writes": m.faultWrites, "fault target": m.faultTarget, "misjudge": m.misjudgeHost,
+		"outage": m.outage, "land late": m.deliverHeldWrites, "pass": m.advanceTime, "age": m.passHorizon,
 		"restore": m.restore,
 	})
 	m.finish(t)
--- a/internal/claim/measure_test.go
+++ b/internal/claim/measure_test.go
@@ -16,29 +16,29 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Steps at which a sender is lost.
+// Steps at which the sending host fails.
 const (
 	beforeCreate = iota
-	bytesSent    // the target gets them after the caller has turned elsewhere
-	answerLost   // the target has run it
-	beforeAnswer // the host has the answer and has not passed it on
+	bytesSent    // the target receives them after the caller has switched to another host
+	answerLost   // the target has run the reservation
+	beforeAnswer // the host has the answer but has not returned it
 	lossSteps
 )
 
-// tally is what became of the reservations of one run.
-type tally struct{ once, twice, never, unsettled int }
+// runCounts counts the reservations of one experiment by how often they ran.
+type runCounts struct{ once, twice, never, unsettled int }
 
-// underKills makes reservations at one host, which is lost at each of the
-// steps in turn; the caller repeats at another. The plain way sends without a
-// record.
-func underKills(t *testing.T, settle, plain bool) tally {
-	var sum tally
+// reserveUnderKills makes reservations on one host, which is killed at each of
+// the steps in turn, and repeats them on another host. With withoutRecord set,
+// hosts send without a claim record.
+func reserveUnderKills(t *testing.T, settle, withoutRecord bool) runCounts {
+	var sum runCounts
 	for i := range 40 * lossSteps {
 		inFleet(t, 2, func(_ *is.I, f *fleet) {
 			f.settle = settle
 			a, b := f.hosts[0], f.hosts[1]
 			ask := (*host).reserve
-			if plain {
+			if withoutRecord {
 				ask = func(h *host, r query.Reserve) query.Reservation {
 					return h.Send(context.Background(), r, "t0", r.RequestID)
 				}
@@ -47,7 +47,7 @@
 			a.gate.set(i%lossSteps == beforeCreate)
 			a.sendGate.set(i%lossSteps == bytesSent)
 			if i%lossSteps == answerLost {
-				f.target.drop = 1
+				f.target.dropAnswers = 1
 			}
 			go ask(a, r)
 			synctest.Wait()
@@ -64,7 +64,7 @@
 	return sum
 }
 
-func (s *tally) add(runs int, last outcome.Outcome) {
+func (s *runCounts) add(runs int, last outcome.Outcome) {
 	switch {
 	case runs > 1:
 		s.twice++
@@ -78,21 +78,21 @@
 	}
 }
 
-// Duplicates with the record, with the record and targets that can be asked,
-// and without it.
+// Counts duplicate runs without the record, with the record, and with the
+// record and targets that support settling.
 func TestDuplicatesUnderKills(t *testing.T) {
 	is := is.New(t)
-	plain := underKills(t, false, true)
-	record := underKills(t, false, false)
-	settled := underKills(t, true, false)
+	plain := reserveUnderKills(t, false, true)
+	record := reserveUnderKills(t, false, false)
+	settled := reserveUnderKills(t, true, false)
 	t.Logf("of %d reservations, (once, twice, never, unsettled): no record %v, record %v, record and settling %v",
 		40*lossSteps, plain, record, settled)
-	is.True(plain.twice > 0) // the losses do make duplicates
+	is.True(plain.twice > 0) // the kills do cause duplicates
 	is.Equal(record.twice, 0)
-	is.Equal(settled, tally{once: 40 * lossSteps})
+	is.Equal(settled, runCounts{once: 40 * lossSteps})
 }
 
-// limitedStore is a platform that takes a number of writes a second.
+// limitedStore is a platform with a limited write rate.
 type limitedStore struct {
 	objstore.Store
 	writes *rate.Limiter
@@ -105,17 +105,18 @@
 	return s.Store.Put(ctx, kind, name, version, value)
 }
 
-// load is what became of reservations offered at a steady rate.
-type load struct {
+// loadResult counts the results of reservations offered at a constant rate.
+type loadResult struct {
 	done, refused int
 	puts          int
-	answers       []time.Duration // of the done ones, sorted
+	answers       []time.Duration // latencies of the completed reservations, sorted
 }
 
-// offer sends reservations to eight hosts for ten seconds, in virtual time,
-// whatever becomes of those before. Platform calls take 2 ms and a wait for
-// one of the 300 writes a second; sends take none.
-func offer(f *fleet, perSecond int) load {
+// offerLoad sends reservations to eight hosts for ten seconds of virtual time,
+// at a constant rate that does not depend on earlier results. Platform calls
+// take 2 ms plus the wait for the limit of 300 writes per second; sends take no
+// time.
+func offerLoad(f *fleet, perSecond int) loadResult {
 	const limit, seconds = 300, 10
 	writes := rate.NewLimiter(limit, 1)
 	for _, h := range f.hosts {
@@ -124,7 +125,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var sum load
+	var sum loadResult
 	for i := range perSecond * seconds {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		wg.Go(func() {
@@ -141,19 +142,19 @@
 		})
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // the last outcomes
+	time.Sleep(time.Minute) // wait for the last outcomes to be written
 	sum.puts = f.platform.Calls("put")
 	slices.Sort(sum.answers)
 	return sum
 }
 
-// Reservations carried by a platform of 300 writes a second, under and over
-// its capacity.
+// Reservations on a platform with 300 writes per second, below and above its
+// capacity.
 func TestPlatformOverload(t *testing.T) {
 	done := map[int]int{}
 	for _, perSecond := range []int{75, 135, 180, 300, 750} {
 		inFleet(t, 8, func(_ *is.I, f *fleet) {
-			l := offer(f, perSecond)
+			l := offerLoad(f, perSecond)
 			done[perSecond] = l.done
 			t.Logf("offered %d/s: done %.0f/s, writes each %.2f, p50 %v, p99 %v", perSecond, float64(l.done)/10,
 				float64(l.puts)/float64(l.done), l.answers[len(l.answers)/2], l.answers[len(l.answers)*99/100])
--- a/internal/claim/memory.go
+++ b/internal/claim/memory.go
@@ -7,127 +7,128 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// attempt is what this host knows of one of its own attempts. It is known
-// before the record that names it is written, so that a host asked about a
-// record always knows the attempt, unless it was started anew or has forgotten.
+// attempt is the state of one of this host's own attempts. It is added before
+// the record that names it is written. A host that is queried about an attempt
+// in a record therefore has its state, unless it restarted or evicted it.
 type attempt struct {
-	id      string
-	key     string // id of the reservation
-	rec     Record
-	ended   chan struct{} // closed once reply is final
-	notRun  bool          // valid once ended: it did not run and never will
-	reply   query.Reservation
-	endedAt time.Time
+	id          string
+	reservation string // reservation id
+	rec         Record
+	ended       chan struct{} // closed once reply is final
+	notRun      bool          // valid once ended: the attempt did not run and never will
+	reply       query.Reservation
+	endedAt     time.Time
 }
 
-// flight is one run of a reservation on this host; repeats join it.
+// flight is one run of a reservation on this host. Repeats that arrive
+// meanwhile join it.
 type flight struct {
 	req   query.Reserve
 	ended chan struct{}
 	res   query.Reservation // valid once ended
 }
 
-// memory holds the flights and attempts of this host. Attempts that may be
-// forgotten are bounded in number and age.
+// memory holds the flights and attempts of this host. Evictable attempts are
+// limited in number and age.
 type memory struct {
-	keep        time.Duration
-	max         int
-	mu          sync.Mutex
-	flights     map[string]*flight  // by reservation
-	attempts    map[string]*attempt // by attempt
-	maybeRan    map[string]*attempt // by reservation: the newest one sent and not known as not run
-	forgettable []*attempt          // ended and recorded, oldest first
+	retention    time.Duration
+	maxEvictable int
+	mu           sync.Mutex
+	flights      map[string]*flight  // by reservation id
+	attempts     map[string]*attempt // by attempt id
+	maybeRan     map[string]*attempt // by reservation id: the newest attempt that was sent and may have run
+	evictable    []*attempt          // ended, and recorded or given up; in the order in which they became evictable
 }
 
-func newMemory(keep time.Duration, max int) *memory {
+func newMemory(retention time.Duration, maxEvictable int) *memory {
 	return &memory{
-		keep: keep, max: max,
+		retention: retention, maxEvictable: maxEvictable,
 		flights: map[string]*flight{}, attempts: map[string]*attempt{}, maybeRan: map[string]*attempt{},
 	}
 }
 
-// join returns the flight of the reservation, and whether it is a new one,
-// which the caller must run.
-func (m *memory) join(key string, r query.Reserve) (f *flight, isNew bool) {
+// join returns the flight of the reservation. If isNew is true the flight was
+// created by this call, and the caller must run it.
+func (m *memory) join(reservation string, r query.Reserve) (f *flight, isNew bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f, ok := m.flights[key]; ok {
+	if f, ok := m.flights[reservation]; ok {
 		return f, false
 	}
 	f = &flight{req: r, ended: make(chan struct{})}
-	m.flights[key] = f
+	m.flights[reservation] = f
 	return f, true
 }
 
 // finish ends the flight with its result.
-func (m *memory) finish(key string, f *flight, res query.Reservation) {
+func (m *memory) finish(reservation string, f *flight, res query.Reservation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f.res = res
-	delete(m.flights, key)
+	delete(m.flights, reservation)
 	close(f.ended)
 }
 
-// begin adds an attempt that has not been sent.
-func (m *memory) begin(key string, rec Record) *attempt {
+// add adds an attempt that has not been sent.
+func (m *memory) add(reservation string, rec Record) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a := &attempt{id: rec.Attempt, key: key, rec: rec, ended: make(chan struct{})}
+	a := &attempt{id: rec.Attempt, reservation: reservation, rec: rec, ended: make(chan struct{})}
 	m.attempts[a.id] = a
 	return a
 }
 
-// sent notes that the attempt is about to be sent.
-func (m *memory) sent(a *attempt) {
+// markSent records that the attempt is about to be sent.
+func (m *memory) markSent(a *attempt) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.maybeRan[a.key] = a
+	m.maybeRan[a.reservation] = a
 }
 
-// end notes the attempt's final result.
-func (m *memory) end(a *attempt, reply query.Reservation) {
+// markEnded stores the final result of the attempt.
+func (m *memory) markEnded(a *attempt, reply query.Reservation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a.reply, a.notRun, a.endedAt = reply, reply.Outcome.NotRun(), time.Now()
-	if a.notRun && m.maybeRan[a.key] == a {
-		delete(m.maybeRan, a.key)
+	if a.notRun && m.maybeRan[a.reservation] == a {
+		delete(m.maybeRan, a.reservation)
 	}
 	close(a.ended)
 }
 
-// recorded notes that the attempt's end is in its record, or that writing it
-// was given up; from now on the attempt may be forgotten.
-func (m *memory) recorded(a *attempt) {
+// markEvictable makes an ended attempt evictable: its end is in the record, or
+// writing it was abandoned.
+func (m *memory) markEvictable(a *attempt) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forgettable = append(m.forgettable, a)
-	for len(m.forgettable) > 0 && (len(m.forgettable) > m.max || time.Since(m.forgettable[0].endedAt) > m.keep) {
-		m.forget(m.forgettable[0])
-		m.forgettable = m.forgettable[1:]
+	m.evictable = append(m.evictable, a)
+	for len(m.evictable) > 0 && (len(m.evictable) > m.maxEvictable || time.Since(m.evictable[0].endedAt) > m.retention) {
+		m.evict(m.evictable[0])
+		m.evictable = m.evictable[1:]
 	}
 }
 
-// forget drops the attempt; mu is held.
-func (m *memory) forget(a *attempt) {
+// evict removes the attempt. The caller holds mu.
+func (m *memory) evict(a *attempt) {
 	delete(m.attempts, a.id)
-	if m.maybeRan[a.key] == a {
-		delete(m.maybeRan, a.key)
+	if m.maybeRan[a.reservation] == a {
+		delete(m.maybeRan, a.reservation)
 	}
 }
 
-// find returns the attempt, nil if it is not known here.
+// find returns the attempt, or nil if this host does not have it.
 func (m *memory) find(id string) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.attempts[id]
 }
 
-// lastSent returns the newest attempt of the reservation that was sent from
-// here and may have run, nil if there is none.
-func (m *memory) lastSent(key string) *attempt {
+// lastSent returns the newest attempt of the reservation that this host sent
+// and that may have run, or nil.
+func (m *memory) lastSent(reservation string) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.maybeRan[key]
+	return m.maybeRan[reservation]
 }
 
 // hasEnded reports whether the attempt's reply is final.
--- a/internal/claim/metrics.go
+++ b/internal/claim/metrics.go
@@ -44,7 +44,7 @@
 	return m
 }
 
-func (m *metrics) answer(r query.Reservation) {
+func (m *metrics) countReply(r query.Reservation) {
 	repeated := "no"
 	if r.Repeated {
 		repeated = "yes"
--- a/internal/claim/recordstore.go
+++ b/internal/claim/recordstore.go
@@ -9,29 +9,31 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// entry is a record as the platform holds it; version 0 is no record.
+// entry is a record as stored in the platform. Version 0 means that there is no
+// record.
 type entry struct {
 	rec     Record
 	version uint64
 	changed time.Time // by the platform's clock
-	era     uint64    // of the platform, in which this is what stands
+	era     uint64    // the platform's era in which the entry was read or written
 }
 
-// writeResult tells what is known of a conditional write.
+// writeResult is the result of a conditional write.
 type writeResult int
 
 const (
 	applied    writeResult = iota // the entry is the one written
 	conflict                      // not applied; the entry is the current one
-	notApplied                    // not applied, and nothing is known of the record
-	ambiguous                     // it may have been applied, or may be later
+	notApplied                    // not applied; the current entry is unknown
+	ambiguous                     // the write may have been applied, or may still be
 )
 
-// recordStore keeps one record per reservation in the platform. Writes are
-// conditional on the record's version, which only grows.
+// recordStore stores one record per reservation in the platform. Writes are
+// conditional on the record's version, which only increases.
 type recordStore struct{ store objstore.Store }
 
-// put writes rec if the record has the version; 0 creates it.
+// put writes rec if the stored record has the given version. Version 0 creates
+// the record.
 func (s recordStore) put(ctx context.Context, id reservationID, version uint64, rec Record) (entry, writeResult) {
 	value, err := json.Marshal(rec)
 	if err != nil {
@@ -43,7 +45,7 @@
 	}
 	var con *objstore.Conflict
 	if errors.As(err, &con) {
-		e, _ := decode(con.Current) // a record that cannot be read has no phase, which examine answers with unknown
+		e, _ := decode(con.Current) // an unreadable record has no phase, for which evaluateRecord returns unknown
 		return e, conflict
 	}
 	var un *objstore.Unavailable
@@ -53,7 +55,7 @@
 	return entry{}, ambiguous
 }
 
-// get returns the record; version 0 if there is none.
+// get returns the record, with version 0 if there is none.
 func (s recordStore) get(ctx context.Context, id reservationID) (entry, error) {
 	obj, err := s.store.Get(ctx, id.kind(), id.String())
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -76,8 +78,8 @@
 	return e, nil
 }
 
-// writtenAt returns when the record was written, by the platform's clock, or a
-// little later.
+// writtenAt returns the time at which the entry was written, by the platform's
+// clock, or a slightly later time.
 func (c *Claims) writtenAt(e entry) time.Time {
 	if now, known := c.store.Now(); known && now.After(e.changed) {
 		return now
--- a/internal/claim/repeat.go
+++ b/internal/claim/repeat.go
@@ -8,12 +8,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// examine decides on a record that names another attempt. Either the request
-// has its answer (stop), or no attempt of the record can run any more, and the
-// record may be taken over from next.
-func (r *runner) examine(e entry) (next entry, res query.Reservation, stop bool) {
+// evaluateRecord evaluates a record that names another attempt. If stop is
+// true, res is the result of the request. Otherwise no attempt named in the
+// record can run any more, and the record may be claimed from the version of
+// next.
+func (r *runner) evaluateRecord(e entry) (next entry, res query.Reservation, stop bool) {
 	switch {
-	case e.version == 0: // removed, which happens only well past the horizon
+	case e.version == 0: // removed, which happens only after removeAfter
 		return entry{}, expired(), true
 	case e.rec.Phase != Sending && e.rec.Phase != Released && e.rec.Phase != Settled:
 		return entry{}, unsettled(0), true
@@ -22,48 +23,49 @@
 	case e.rec.Phase == Released:
 		return e, query.Reservation{}, false
 	case e.rec.Phase == Settled:
-		return r.answered(e, e.rec.reply())
+		return r.repeatedReply(e, e.rec.reply())
 	}
-	st := r.askHost(e.rec)
+	st := r.queryHost(e.rec)
 	switch {
 	case !st.Known:
-		return r.resolve(e)
+		return r.settleByTarget(e)
 	case !st.Ended:
 		return entry{}, unsettled(r.c.cfg.RetryAfter.Std()), true
 	case st.NotRun:
 		r.c.metrics.takeovers.WithLabelValues("never_sent").Inc()
 		return e, query.Reservation{}, false
 	default:
-		return r.answered(e, st.Reply)
+		return r.repeatedReply(e, st.Reply)
 	}
 }
 
-// answered gives the outcome of an earlier attempt to a repeat.
-func (r *runner) answered(e entry, reply query.Reservation) (entry, query.Reservation, bool) {
+// repeatedReply returns the outcome of an earlier attempt as the result of a
+// repeat. If that outcome is not final, the target is queried.
+func (r *runner) repeatedReply(e entry, reply query.Reservation) (entry, query.Reservation, bool) {
 	if reply.Outcome != outcome.Done && reply.Outcome != outcome.Failed {
-		return r.resolve(e)
+		return r.settleByTarget(e)
 	}
 	reply.Repeated = true
 	return entry{}, reply, true
 }
 
-// askHost asks the host in the record about its attempt, for as long as that
-// host lives and the budget lasts. The state is not Known when no host
-// holds the attempt any more.
-func (r *runner) askHost(rec Record) AttemptState {
+// queryHost queries the host named in the record for the state of its attempt.
+// It retries while that host is alive and budget is left. The result is not
+// Known if no host has the state of the attempt any more.
+func (r *runner) queryHost(rec Record) AttemptState {
 	for n := 0; ; n++ {
 		self := r.c.view.Self()
 		if rec.Host == self.ID {
 			if rec.Incarnation != self.Incarnation {
 				return AttemptState{}
 			}
-			return r.c.state(r.ctx, r.id.String(), rec.Attempt)
+			return r.c.attemptState(r.ctx, r.id.String(), rec.Attempt)
 		}
 		h, alive := findHost(r.c.view, rec)
 		if !alive {
 			return AttemptState{}
 		}
-		st, err := r.c.asker.Ask(r.ctx, h, r.id.String(), rec.Attempt)
+		st, err := r.c.attemptClient.QueryAttempt(r.ctx, h, r.id.String(), rec.Attempt)
 		if err == nil && (st.Ended || !st.Known) {
 			return st
 		}
@@ -73,8 +75,8 @@
 	}
 }
 
-// findHost returns the host of the record, unless it is dead or was started
-// anew.
+// findHost returns the host named in the record, unless it is dead or has
+// restarted since.
 func findHost(v member.View, rec Record) (member.Host, bool) {
 	for _, h := range v.Hosts() {
 		if h.ID == rec.Host {
@@ -84,10 +86,10 @@
 	return member.Host{}, false
 }
 
-// resolve decides on an attempt that may have run and whose sender cannot
-// tell. Another attempt may take its place only if the target answers that it
-// did not run it and never will.
-func (r *runner) resolve(e entry) (next entry, res query.Reservation, stop bool) {
+// settleByTarget decides on an attempt that may have run and whose host cannot
+// report its state. Another attempt may replace it only if the target confirms
+// that it has not run it and never will.
+func (r *runner) settleByTarget(e entry) (next entry, res query.Reservation, stop bool) {
 	switch verdict, reply := r.settle(e.rec); verdict {
 	case ran:
 		r.c.writeSettled(r.ctx, r.id, e.version, e.rec.settled(reply), nil)
@@ -100,27 +102,28 @@
 	if r.canSettle(e.rec) {
 		return entry{}, unsettled(r.c.cfg.RetryAfter.Std()), true
 	}
-	return entry{}, unsettled(0), true // it will never be known, so a repeat is of no use
+	return entry{}, unsettled(0), true // the result can never be determined, so a retry is of no use
 }
 
-// canSettle reports whether the targets of the record's service can be asked.
+// canSettle reports whether the targets of the record's service support
+// settling.
 func (r *runner) canSettle(rec Record) bool {
 	svc, ok := r.c.services.Service(rec.Service)
 	return ok && svc.Rules.Settle
 }
 
-// verdict is what a target says about an attempt.
+// verdict is the result of settling an attempt with its target.
 type verdict int
 
 const (
 	undecided verdict = iota
 	ran
-	neverRan // and it will be refused from now on
+	neverRan // the target rejects the attempt from now on
 )
 
-// settle asks the target of the record about its attempt, where the service's
-// targets can be asked. A running attempt is asked about again within the
-// budget.
+// settle queries the target named in the record for the result of its attempt,
+// if the service supports it. While the attempt is still running, the query is
+// retried within the budget.
 func (r *runner) settle(rec Record) (verdict, query.Reservation) {
 	if !r.canSettle(rec) {
 		return undecided, query.Reservation{}
@@ -147,10 +150,11 @@
 	return undecided, query.Reservation{}
 }
 
-// state waits for the end of one of this host's own attempts until ctx is done.
-func (c *Claims) state(ctx context.Context, key, attemptID string) AttemptState {
+// attemptState waits until one of this host's own attempts has ended or ctx is
+// done, and returns its state.
+func (c *Claims) attemptState(ctx context.Context, reservation, attemptID string) AttemptState {
 	a := c.mem.find(attemptID)
-	if a == nil || a.key != key {
+	if a == nil || a.reservation != reservation {
 		return AttemptState{}
 	}
 	select {
--- a/internal/claim/runner.go
+++ b/internal/claim/runner.go
@@ -9,23 +9,23 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// runner is the run of one flight. It works on the record by conditional
-// updates from a version on which no attempt can run any more: no record at
-// all, a released one, an own attempt that was rejected, or another's attempt
-// that is known as never run.
+// runner executes one flight. It updates the record conditionally on a version
+// from which no attempt can run any more: no record, a released record, an
+// attempt of its own that was rejected, or an attempt of another host that is
+// known never to run.
 type runner struct {
-	c       *Claims
-	ctx     context.Context // ends a little before the caller's budget
-	id      reservationID
-	req     query.Reserve
-	exclude []string          // targets that did not take an attempt
-	refused query.Reservation // the newest answer of such a target
-	held    *attempt          // own attempt that the record names, known as not run
+	c             *Claims
+	ctx           context.Context // ends responseMargin before the caller's deadline
+	id            reservationID
+	req           query.Reserve
+	exclude       []string          // targets that did not run an attempt
+	lastRejection query.Reservation // result of the newest attempt that did not run
+	rejected      *attempt          // own attempt that the record names and that did not run
 }
 
-// run returns the result of the flight.
+// run executes the flight and returns its result.
 func (r *runner) run() query.Reservation {
-	if res, stop := r.checkTime(); stop {
+	if res, stop := r.checkID(); stop {
 		return res
 	}
 	base := entry{}
@@ -37,22 +37,22 @@
 		if base.version == 0 && !r.c.creates.acquire() {
 			return r.notRun(query.ReasonOverload)
 		}
-		a := r.c.mem.begin(r.id.String(), r.newRecord(target))
-		t := r.take(base, a)
+		a := r.c.mem.add(r.id.String(), r.newRecord(target))
+		t := r.claimRecord(base, a)
 		switch t.status {
-		case notTaken:
-			return r.giveUp(base, a, t.doubt)
-		case takenByOther:
-			r.supersede(a)
-			next, res, stop := r.examine(t.entry)
+		case notClaimed:
+			return r.endUnclaimed(base, a, t.maybeApplied)
+		case claimedByOther:
+			r.endSuperseded(a)
+			next, res, stop := r.evaluateRecord(t.entry)
 			if stop {
 				return res
 			}
 			base = next
-		case taken:
-			r.dropHeld()
-			res, again := r.send(t.entry, a)
-			if !again {
+		case claimed:
+			r.evictRejected()
+			res, retry := r.send(t.entry, a)
+			if !retry {
 				return res
 			}
 			base = t.entry
@@ -60,13 +60,13 @@
 	}
 }
 
-// checkTime judges the id by the platform's clock. That reading is as old as
-// the platform's newest answer: it can only lag, so an id that is past the
-// horizon by it is surely so, and one that seems to lie ahead is judged again
-// by a fresh reading.
-func (r *runner) checkTime() (res query.Reservation, stop bool) {
+// checkID checks the age of the id against the platform's clock. The host's
+// reading of that clock is the time of the platform's newest response, so it
+// can only lag: an id that is past the horizon by it is certainly past it, and
+// an id that seems too far ahead is checked again with a fresh reading.
+func (r *runner) checkID() (res query.Reservation, stop bool) {
 	now, known := r.c.store.Now()
-	if !known || r.id.ahead(now, r.c.cfg.MaxAhead.Std()) {
+	if !known || r.id.tooFarAhead(now, r.c.cfg.MaxAhead.Std()) {
 		_, err := r.c.records.get(r.ctx, r.id)
 		now, known = r.c.store.Now()
 		if err != nil || !known {
@@ -76,7 +76,7 @@
 	if r.id.expired(now, r.c.cfg.Horizon.Std()) {
 		return expired(), true
 	}
-	if r.id.ahead(now, r.c.cfg.MaxAhead.Std()) {
+	if r.id.tooFarAhead(now, r.c.cfg.MaxAhead.Std()) {
 		return refuse(query.ReasonBadRequest, 0), true
 	}
 	return query.Reservation{}, false
@@ -90,28 +90,28 @@
 	}
 }
 
-// takeStatus says whose attempt the record names after take.
-type takeStatus int
+// claimStatus is the result of claiming a record for an attempt.
+type claimStatus int
 
 const (
-	taken        takeStatus = iota // this attempt: it may be sent
-	takenByOther                   // another attempt: this one's write can never be applied
-	notTaken                       // not known in time: this attempt must never be sent
+	claimed        claimStatus = iota // the record names this attempt, which may be sent
+	claimedByOther                    // the record names another attempt; the write of this one can never be applied
+	notClaimed                        // not confirmed in time; this attempt must never be sent
 )
 
-// takeResult is what take returns.
-type takeResult struct {
-	status takeStatus
-	entry  entry
-	doubt  bool // of notTaken: the write may have been applied, or may be later
+// claimResult is the return value of claimRecord.
+type claimResult struct {
+	status       claimStatus
+	entry        entry
+	maybeApplied bool // with notClaimed: the write may have been applied, or may still be
 }
 
-// take makes the record name the attempt, from the version of base. A write
-// that was not answered is repeated with the same attempt until it is
-// settled: as versions of a record only grow, the repeat of a write that was
-// applied meets its own attempt.
-func (r *runner) take(base entry, a *attempt) takeResult {
-	doubt := false
+// claimRecord writes the attempt into the record, conditional on the version of
+// base. A write without a response is retried with the same attempt until its
+// result is known. Record versions only increase, so the retry of a write that
+// was applied conflicts with a record that names its own attempt.
+func (r *runner) claimRecord(base entry, a *attempt) claimResult {
+	maybeApplied := false
 	for n := 0; ; n++ {
 		start := time.Now()
 		e, result := r.c.records.put(r.ctx, r.id, base.version, a.rec)
@@ -120,30 +120,31 @@
 		}
 		switch result {
 		case applied:
-			return takeResult{status: taken, entry: e}
+			return claimResult{status: claimed, entry: e}
 		case conflict:
 			if e.rec.Attempt == a.id && e.rec.Phase == Sending {
-				return takeResult{status: taken, entry: e}
+				return claimResult{status: claimed, entry: e}
 			}
-			return takeResult{status: takenByOther, entry: e}
+			return claimResult{status: claimedByOther, entry: e}
 		case ambiguous:
-			doubt = true
+			maybeApplied = true
 			r.c.metrics.unanswered.Inc()
 		}
-		if !doubt || !r.c.backoff(r.ctx, n) {
-			return takeResult{status: notTaken, doubt: doubt}
+		if !maybeApplied || !r.c.backoff(r.ctx, n) {
+			return claimResult{status: notClaimed, maybeApplied: maybeApplied}
 		}
 	}
 }
 
-// send sends the attempt that the record e names. It reports again when the
-// attempt did not run and another target may be tried.
+// send sends the attempt that the record e names. retry is true if the attempt
+// did not run and another target may be tried.
 //
-// The id is judged once more, by the time at which the platform wrote the
-// record: a host that froze between checkTime and its write may have created
-// the record anew after the first one was removed. With this check a record is
-// created once, at most, in the time in which an attempt may be sent.
-func (r *runner) send(e entry, a *attempt) (res query.Reservation, again bool) {
+// The age of the id is checked again, at the time at which the platform wrote
+// the record: a host that was suspended between checkID and its write may have
+// created the record again after the first one was removed. With this check a
+// record is created at most once within the time in which an attempt may be
+// sent.
+func (r *runner) send(e entry, a *attempt) (res query.Reservation, retry bool) {
 	if r.id.expired(r.c.writtenAt(e), r.c.cfg.Horizon.Std()) {
 		r.withdraw(e, a, refuse(query.ReasonExpired, 0))
 		return expired(), false
@@ -153,33 +154,33 @@
 		r.withdraw(e, a, res)
 		return res, false
 	}
-	lost, err := r.c.losses.before(r.ctx, e.era)
+	cutoff, err := r.c.eras.lossCutoff(r.ctx, e.era)
 	if err != nil {
 		res := r.notRun(query.ReasonPlatform)
 		r.withdraw(e, a, res)
 		return res, false
 	}
-	if !lost.IsZero() && !r.id.time().After(lost) {
-		r.withdraw(e, a, r.notRun(query.ReasonUnsettled)) // this attempt
+	if !cutoff.IsZero() && !r.id.time().After(cutoff) {
+		r.withdraw(e, a, r.notRun(query.ReasonUnsettled)) // this attempt did not run; an earlier one may have
 		return unsettled(r.c.cfg.RetryAfter.Std()), false
 	}
-	r.c.mem.sent(a)
+	r.c.mem.markSent(a)
 	res = r.c.sender.Send(r.ctx, r.remaining(), a.rec.Target, a.id)
 	res.Target = a.rec.Target
 	if res.Outcome == outcome.Unknown {
 		res = r.settleOwn(a, res)
 	}
 	if !res.Outcome.NotRun() {
-		r.c.conclude(r.ctx, r.id, e, a, res)
+		r.c.recordOutcome(r.ctx, r.id, e, a, res)
 		return res, false
 	}
-	r.c.mem.end(a, res)
-	r.held, r.refused = a, res
+	r.c.mem.markEnded(a, res)
+	r.rejected, r.lastRejection = a, res
 	r.exclude = append(r.exclude, a.rec.Target)
 	return res, true
 }
 
-// remaining returns the request with the budget that is left of it.
+// remaining returns the request with its remaining budget.
 func (r *runner) remaining() query.Reserve {
 	req := r.req
 	if deadline, ok := r.ctx.Deadline(); ok {
@@ -188,8 +189,8 @@
 	return req
 }
 
-// settleOwn asks the target about an own attempt with no valid answer, where
-// the service's targets can be asked.
+// settleOwn settles one of this host's own attempts that got no valid response,
+// if the service supports it.
 func (r *runner) settleOwn(a *attempt, res query.Reservation) query.Reservation {
 	switch verdict, reply := r.settle(a.rec); verdict {
 	case ran:
@@ -200,84 +201,85 @@
 	return res
 }
 
-// dropHeld forgets the held attempt: no record names it any more.
-func (r *runner) dropHeld() {
-	if r.held != nil {
-		r.c.mem.recorded(r.held)
-		r.held = nil
+// evictRejected makes the rejected attempt evictable, as no record names it any
+// more.
+func (r *runner) evictRejected() {
+	if r.rejected != nil {
+		r.c.mem.markEvictable(r.rejected)
+		r.rejected = nil
 	}
 }
 
-// supersede ends an attempt whose record another one took first.
-func (r *runner) supersede(a *attempt) {
-	r.c.mem.end(a, refuse(query.ReasonUnsettled, 0))
-	r.c.mem.recorded(a)
-	r.dropHeld()
+// endSuperseded ends an attempt whose record another attempt claimed first.
+func (r *runner) endSuperseded(a *attempt) {
+	r.c.mem.markEnded(a, refuse(query.ReasonUnsettled, 0))
+	r.c.mem.markEvictable(a)
+	r.evictRejected()
 }
 
 // withdraw ends an own attempt that was never sent and releases its record.
 func (r *runner) withdraw(e entry, a *attempt, res query.Reservation) {
-	r.c.mem.end(a, res)
+	r.c.mem.markEnded(a, res)
 	r.c.release(r.id, e.version, a)
 }
 
-// giveUp ends an attempt that the record may or may not come to name. It is
-// never sent.
-func (r *runner) giveUp(base entry, a *attempt, doubt bool) query.Reservation {
+// endUnclaimed ends an attempt that is not confirmed to be in the record, and
+// may still get there. The attempt is never sent.
+func (r *runner) endUnclaimed(base entry, a *attempt, maybeApplied bool) query.Reservation {
 	reason := query.ReasonPlatform
-	if r.ctx.Err() != nil && !doubt {
+	if r.ctx.Err() != nil && !maybeApplied {
 		reason = query.ReasonBudget
 	}
 	res := r.notRun(reason)
-	r.c.mem.end(a, res)
-	if !doubt && r.held == nil {
-		r.c.mem.recorded(a)
+	r.c.mem.markEnded(a, res)
+	if !maybeApplied && r.rejected == nil {
+		r.c.mem.markEvictable(a)
 		return res
 	}
-	mine := []*attempt{a}
-	if r.held != nil {
-		mine = append(mine, r.held)
+	attempts := []*attempt{a}
+	if r.rejected != nil {
+		attempts = append(attempts, r.rejected)
 	}
-	r.c.release(r.id, base.version, mine...)
+	r.c.release(r.id, base.version, attempts...)
 	return res
 }
 
-// noTarget ends a run for which there is no target. A repeat may still have
-// its answer in the record.
+// noTarget ends a flight for which no target is available. If the request is a
+// repeat, the record may still contain its result.
 func (r *runner) noTarget(base entry, refusal *query.Refusal) query.Reservation {
 	res := r.notRun(refusal.Reason)
-	res.RetryAfter = max(refusal.RetryAfter, r.refused.RetryAfter)
-	if r.refused.Reason != "" {
-		res.Reason = r.refused.Reason
+	res.RetryAfter = max(refusal.RetryAfter, r.lastRejection.RetryAfter)
+	if r.lastRejection.Reason != "" {
+		res.Reason = r.lastRejection.Reason
 	}
 	e := entry{}
 	switch {
-	case r.held != nil:
-		e = r.releaseHeld(base)
+	case r.rejected != nil:
+		e = r.releaseRejected(base)
 	case base.version == 0:
-		e, _ = r.c.records.get(r.ctx, r.id) // a failure leaves the refusal, which is true as well
+		e, _ = r.c.records.get(r.ctx, r.id) // on an error the refusal is returned, which holds as well
 	}
 	if e.version == 0 {
 		return res
 	}
-	if _, found, stop := r.examine(e); stop {
+	if _, found, stop := r.evaluateRecord(e); stop {
 		return found
 	}
 	return res
 }
 
-// releaseHeld frees the record of the held attempt, in the background if the
-// platform takes long. It returns the record if another attempt has taken it
-// meanwhile.
-func (r *runner) releaseHeld(base entry) entry {
+// releaseRejected releases the record of the rejected attempt. If the platform
+// does not respond within OutcomeWait, the release continues in the background.
+// It returns the record if another attempt has claimed it meanwhile.
+func (r *runner) releaseRejected(base entry) entry {
 	ctx, cancel := context.WithTimeout(r.ctx, r.c.cfg.OutcomeWait.Std())
 	defer cancel()
-	e, result := r.c.records.put(ctx, r.id, base.version, r.held.rec.released())
+	e, result := r.c.records.put(ctx, r.id, base.version, r.rejected.rec.released())
 	if result != applied && result != conflict {
-		r.c.release(r.id, base.version, r.held)
+		r.c.release(r.id, base.version, r.rejected)
 		return entry{}
 	}
-	r.dropHeld()
+	r.evictRejected()
 	if result == applied {
 		return entry{}
 	}
@@ -287,6 +289,6 @@
 // notRun returns the result of a request none of whose attempts ran.
 func (r *runner) notRun(reason query.Reason) query.Reservation {
 	res := refuse(reason, r.c.cfg.RetryAfter.Std())
-	res.Outcome = outcome.Combine(res.Outcome, r.refused.Outcome)
+	res.Outcome = outcome.Combine(res.Outcome, r.lastRejection.Outcome)
 	return res
 }
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -20,24 +20,24 @@
 const (
 	cursorKind = objstore.KindClaim + "-cursor"
 	cursorName = "sweep"
-	// cursorLead is how many slices before the oldest record that may be
-	// removed a new cursor begins.
-	cursorLead = timeSlice(24 * time.Hour / sliceLength)
+	// initialCursorLead is how many slices a new cursor starts before the slice
+	// that is removeAfter old.
+	initialCursorLead = timeSlice(24 * time.Hour / sliceLength)
 )
 
-// cursor is the one platform object that names the next slice to sweep. It
-// never goes back, and only saves work: whether a record may be removed is
-// decided by its slice's time alone.
+// cursor is the platform object that names the next slice to sweep. It only
+// moves forward and only saves work: whether a record may be removed depends on
+// the time of its slice alone.
 type cursor struct {
 	Slice timeSlice `json:"slice"`
 }
 
-// sweepLoop removes old records, a bounded number of calls a round, while this
-// host is one of the few that sweep.
+// sweepLoop removes old records while this host is one of the sweeping hosts.
+// Each round makes at most MaxSweepCalls platform calls.
 func (c *Claims) sweepLoop(ctx context.Context) {
 	limit := rate.NewLimiter(rate.Limit(c.cfg.SweepRate), 1)
 	for {
-		every := c.cfg.SweepEvery.Std()
+		every := c.cfg.SweepInterval.Std()
 		if !await.Sleep(ctx, every/2+rand.N(every)) {
 			return
 		}
@@ -51,9 +51,10 @@
 	}
 }
 
-// sweepRank returns this host's place among the n hosts with the lowest
-// hashes, -1 if it is none of them. Hosts need not agree: one too many costs
-// calls, and one too few lasts no longer than the views differ.
+// sweepRank returns this host's rank among the n hosts with the lowest id
+// hashes, or -1 if it is not one of them. Hosts need not agree on the result: a
+// surplus sweeper only costs calls, and a missing one is missing only while the
+// membership views differ.
 func sweepRank(v member.View, n int) int {
 	hosts := slices.Clone(v.Hosts())
 	slices.SortFunc(hosts, func(a, b member.Host) int {
@@ -63,15 +64,15 @@
 	return slices.IndexFunc(hosts[:min(n, len(hosts))], func(h member.Host) bool { return h.ID == self })
 }
 
-// sweep removes records slice by slice from the cursor on, until it meets a
-// slice that is too young or has spent the calls of a round.
+// sweep removes records slice by slice, starting at the cursor, until it
+// reaches a slice that is too recent or has used up the calls of the round.
 func (c *Claims) sweep(ctx context.Context, limit *rate.Limiter, rank int) error {
-	s := &sweeper{c: c, limit: limit, left: c.cfg.SweepCalls, backwards: rank%2 == 1}
+	s := &sweeper{c: c, limit: limit, callsLeft: c.cfg.MaxSweepCalls, backwards: rank%2 == 1}
 	cur, version, err := s.readCursor(ctx)
 	if err != nil {
 		return err
 	}
-	for s.left > 0 {
+	for s.callsLeft > 0 {
 		now, known := c.store.Now()
 		if !known || now.Sub(cur.Slice.end()) <= removeAfter {
 			return nil
@@ -81,7 +82,7 @@
 			return err
 		}
 		if !empty {
-			continue // list it again: what it held was removed, or was changed meanwhile
+			continue // list again: the records were removed, or changed meanwhile
 		}
 		cur.Slice++
 		cur, version, err = s.writeCursor(ctx, version, cur)
@@ -92,23 +93,24 @@
 	return nil
 }
 
-// sweeper removes old records within the calls of one round.
+// sweeper is the state of one sweep round.
 type sweeper struct {
-	c     *Claims
-	limit *rate.Limiter
-	left  int // platform calls that the round may still make
-	// backwards is the order of every second sweeper, so that two of them
-	// share a slice and meet in its middle.
+	c         *Claims
+	limit     *rate.Limiter
+	callsLeft int // platform calls that the round may still make
+	// backwards is set for every second sweeper: two sweepers process a slice
+	// from both ends and meet in the middle.
 	backwards bool
 }
 
-// call waits for the rate limit and counts a call.
+// call counts a platform call and waits for the rate limiter.
 func (s *sweeper) call(ctx context.Context) error {
-	s.left--
+	s.callsLeft--
 	return s.limit.Wait(ctx)
 }
 
-// sweepSlice removes the records of one slice; empty if it had none.
+// sweepSlice removes the records of one slice. empty is true if the slice had
+// none.
 func (s *sweeper) sweepSlice(ctx context.Context, slice timeSlice) (empty bool, err error) {
 	if err := s.call(ctx); err != nil {
 		return false, err
@@ -122,7 +124,7 @@
 	}
 	removed := 0
 	for _, o := range list.Objects {
-		if s.left <= 0 {
+		if s.callsLeft <= 0 {
 			return false, nil
 		}
 		gone, err := s.remove(ctx, o)
@@ -135,13 +137,14 @@
 		removed++
 	}
 	if removed > 0 {
-		s.c.log.Event(evSwept).Int("removed", removed).Int64("slice", int64(slice)).Msg("")
+		s.c.log.Event(evRecordsRemoved).Int("removed", removed).Int64("slice", int64(slice)).Msg("")
 	}
 	return len(list.Objects) == 0, nil
 }
 
-// remove deletes one record; gone if it was not there as listed, since another
-// sweeper has come as far.
+// remove deletes one record. gone is true if the record was removed or changed
+// after it was listed, which means that another sweeper has reached the same
+// position.
 func (s *sweeper) remove(ctx context.Context, o objstore.Object) (gone bool, err error) {
 	if err := s.call(ctx); err != nil {
 		return false, err
@@ -165,7 +168,7 @@
 	obj, err := s.c.store.Get(ctx, cursorKind, cursorName)
 	if errors.Is(err, objstore.ErrNotFound) {
 		now, _ := s.c.store.Now()
-		return cursor{Slice: timeSliceOf(now.Add(-removeAfter)) - cursorLead}, 0, nil
+		return cursor{Slice: timeSliceOf(now.Add(-removeAfter)) - initialCursorLead}, 0, nil
 	}
 	if err != nil {
 		return cursor{}, 0, Error.New("read sweep cursor: %w", err)
@@ -173,8 +176,8 @@
 	return decodeCursor(obj)
 }
 
-// writeCursor moves the cursor, or adopts the one of another sweeper that
-// moved it first.
+// writeCursor stores the cursor. If another sweeper moved it first, it returns
+// the cursor of that sweeper.
 func (s *sweeper) writeCursor(ctx context.Context, version uint64, cur cursor) (cursor, uint64, error) {
 	value, err := json.Marshal(cur)
 	if err != nil {
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -33,12 +33,13 @@
 		a.sweepAll(is)
 		is.Equal(left(), 1)
 		time.Sleep(time.Hour)
-		b.sweepAll(is) // goes on from the other's cursor
+		b.sweepAll(is) // continues from the cursor of the other host
 		is.Equal(left(), 0)
 	})
 }
 
-// A round spends no more calls than it may, and the next one goes on.
+// A sweep round makes no more platform calls than configured, and the next
+// round continues.
 func TestSweepRoundIsBounded(t *testing.T) {
 	inFleet(t, 1, func(is *is.I, f *fleet) {
 		h := f.hosts[0]
@@ -48,18 +49,18 @@
 		}
 		time.Sleep(removeAfter + time.Hour)
 		h.reserve(newReservation())
-		h.claims.cfg.SweepCalls = 12
+		h.claims.cfg.MaxSweepCalls = 12
 		kind := mustID(newID(start)).kind()
 		for len(f.platform.Objects(kind)) > 0 {
 			before := f.platform.Calls("get", "put", "list", "delete")
 			is.NoErr(h.claims.sweep(context.Background(), rate.NewLimiter(rate.Inf, 1), 0))
 			after := f.platform.Calls("get", "put", "list", "delete")
-			is.True(after-before <= 13) // and one to move the cursor
+			is.True(after-before <= 13) // 12 calls, and one that moves the cursor
 		}
 	})
 }
 
-// Two hosts that sweep at once share the work.
+// Two hosts that sweep at the same time share the work.
 func TestSweepersShareASlice(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		start := time.Now()
@@ -69,7 +70,7 @@
 		time.Sleep(removeAfter)
 		for _, h := range f.hosts {
 			h.reserve(newReservation())
-			h.sweepAll(is) // the cursor stands at the slice
+			h.sweepAll(is) // the cursor is at the slice
 		}
 		time.Sleep(sliceLength + time.Minute)
 		var wg sync.WaitGroup
@@ -82,11 +83,12 @@
 		wg.Wait()
 		is.Equal(len(f.platform.Objects(mustID(newID(start)).kind())), 0)
 		took := time.Since(begun)
-		is.True(took < 6*time.Second) // 100 deletes at 10 a second and host, and a few calls
+		is.True(took < 6*time.Second) // 100 deletes at 10 per second and host, and a few other calls
 	})
 }
 
-// At 720 hosts two sweep, and the platform sees their rate and no more.
+// Of 720 hosts two sweep, and the platform gets no more calls than their
+// configured rate.
 func TestFewHostsSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,7 +119,7 @@
 	})
 }
 
-// manyHosts is a view of a large fleet.
+// manyHosts is the membership view of a large fleet.
 type manyHosts struct {
 	self  member.Host
 	hosts []member.Host
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -7,18 +7,18 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// conclude ends the attempt and writes its outcome into the record e. It
-// waits a short time for the write, so that a host lost right after its
-// answer leaves the outcome behind; the write goes on in the background.
-func (c *Claims) conclude(ctx context.Context, id reservationID, e entry, a *attempt, res query.Reservation) {
-	c.mem.end(a, res)
+// recordOutcome ends the attempt and writes its outcome into the record e. It
+// waits a short time for the write, so that the outcome is usually stored if
+// the host fails right after its reply. The write continues in the background.
+func (c *Claims) recordOutcome(ctx context.Context, id reservationID, e entry, a *attempt, res query.Reservation) {
+	c.mem.markEnded(a, res)
 	c.writeSettled(ctx, id, e.version, e.rec.settled(res), a)
 }
 
-// writeSettled writes a settled record; see conclude. The attempt, if any, is
-// remembered at least until the write has ended.
+// writeSettled writes a settled record; see recordOutcome. The attempt, which
+// may be nil, stays in memory at least until the write has ended.
 func (c *Claims) writeSettled(ctx context.Context, id reservationID, version uint64, rec Record, a *attempt) {
-	written := c.inBackground(id, func(ctx context.Context) bool {
+	written := c.writeInBackground(id, func(ctx context.Context) bool {
 		e, result := c.records.put(ctx, id, version, rec)
 		if result == conflict && (e.rec.Attempt != rec.Attempt || e.rec.Phase != Settled) {
 			c.log.Event(evRecordTaken).Str("reservation", id.String()).Str("attempt", rec.Attempt).
@@ -35,28 +35,29 @@
 	}
 }
 
-// release makes the record free for another attempt. The attempts are this
-// host's own and none of them ran or will; version is the one that their
-// writes were based on. If no record has landed yet, the released record
-// takes its place, so that a late write meets a conflict for ever.
-func (c *Claims) release(id reservationID, version uint64, mine ...*attempt) {
-	rec := mine[0].rec.released()
-	c.inBackground(id, func(ctx context.Context) bool {
+// release makes the record available to another attempt. The attempts are this
+// host's own; none of them ran or will run. version is the one on which their
+// writes were conditional. If none of these writes has been applied yet, the
+// released record is written in its place, so that a delayed write conflicts
+// from then on.
+func (c *Claims) release(id reservationID, version uint64, attempts ...*attempt) {
+	rec := attempts[0].rec.released()
+	c.writeInBackground(id, func(ctx context.Context) bool {
 		for {
 			e, result := c.records.put(ctx, id, version, rec)
 			if result != conflict {
 				return result == applied
 			}
-			if e.rec.Phase != Sending || !names(e.rec, mine) || e.version == version {
+			if e.rec.Phase != Sending || !namesAny(e.rec, attempts) || e.version == version {
 				return true
 			}
 			version = e.version
 		}
-	}, mine...)
+	}, attempts...)
 }
 
-// names reports whether the record names one of the attempts.
-func names(rec Record, attempts []*attempt) bool {
+// namesAny reports whether the record names one of the attempts.
+func namesAny(rec Record, attempts []*attempt) bool {
 	for _, a := range attempts {
 		if rec.Attempt == a.id {
 			return true
@@ -65,10 +66,11 @@
 	return false
 }
 
-// inBackground repeats try until it reports its end, for a bounded time. The
-// attempts are remembered until then: whoever meets the record before can ask.
-// The channel is closed at the end.
-func (c *Claims) inBackground(id reservationID, try func(ctx context.Context) bool, attempts ...*attempt) <-chan struct{} {
+// writeInBackground calls try until it returns true or BackgroundWriteTimeout
+// has passed. The attempts stay in memory until then, so that a host that reads
+// the record before can query their state. The returned channel is closed at
+// the end.
+func (c *Claims) writeInBackground(id reservationID, try func(ctx context.Context) bool, attempts ...*attempt) <-chan struct{} {
 	ended := make(chan struct{})
 	select {
 	case c.writeSlots <- struct{}{}:
@@ -90,32 +92,33 @@
 }
 
 func (c *Claims) retry(id reservationID, try func(ctx context.Context) bool, attempts []*attempt) {
-	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.GiveUpAfter.Std())
+	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.BackgroundWriteTimeout.Std())
 	defer cancel()
 	for n := 0; ; n++ {
 		if try(ctx) {
-			c.forget(attempts)
+			c.allowEviction(attempts)
 			return
 		}
 		if !c.backoff(ctx, n) {
-			c.abandon(id, "the platform did not take it in time", attempts)
+			c.abandon(id, "the platform did not accept the write in time", attempts)
 			return
 		}
 	}
 }
 
-// abandon ends a background write that was not done. The record stays as it
-// is and is never wrong: repeats read unknown once this host has forgotten.
-func (c *Claims) abandon(id reservationID, why string, attempts []*attempt) {
+// abandon ends a background write that did not succeed. The record keeps its
+// current phase, which is never wrong: repeats get the outcome unknown once
+// this host has evicted the attempt.
+func (c *Claims) abandon(id reservationID, cause string, attempts []*attempt) {
 	c.metrics.abandoned.Inc()
-	c.log.Event(evWriteAbandoned).Str("reservation", id.String()).Str("cause", why).Msg("")
-	c.forget(attempts)
+	c.log.Event(evWriteAbandoned).Str("reservation", id.String()).Str("cause", cause).Msg("")
+	c.allowEviction(attempts)
 }
 
-func (c *Claims) forget(attempts []*attempt) {
+func (c *Claims) allowEviction(attempts []*attempt) {
 	for _, a := range attempts {
 		if a != nil {
-			c.mem.recorded(a)
+			c.mem.markEvictable(a)
 		}
 	}
 }
