--- a/internal/delivery/api.go
+++ b/internal/delivery/api.go
@@ -1,6 +1,3 @@
-// Package delivery records who got what: it sums the answers of a host into
-// windows, keeps the windows in the platform, and merges them into reports
-// that state their own coverage.
 package delivery
 
 import (
@@ -10,22 +7,22 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Delivery is what one caller got for one request.
+// Delivery is the result that one caller received for one request.
 type Delivery struct {
 	RequestID     string
-	ReservationID string // reservations only
+	ReservationID string // only for reservations
 	Caller        string
-	Service       string // or the workload, if a whole one was asked, or the route of a forwarded request
+	Service       string // or the workload if a whole workload was queried, or the route of a forwarded request
 	Outcome       outcome.Outcome
-	Reason        query.Reason // empty for an answer
-	Coverage      float64      // 0..1; searches and forwarded requests
-	Snapshot      uint64       // searches; of a forwarded request the version of the configuration
+	Reason        query.Reason // empty if the request was answered
+	Coverage      float64      // 0..1; only for searches and forwarded requests
+	Snapshot      uint64       // only for searches and forwarded requests; for the latter the version of the configuration
 	Latency       time.Duration
-	Attempts      int
-	Needed        int
+	Attempts      int // attempts made, including repeated ones
+	Needed        int // attempts that the request needs if none is repeated
 }
 
-// Recorder takes deliveries. Record never blocks on the platform.
+// Recorder records deliveries. Record never blocks on the platform.
 type Recorder interface {
 	Record(d Delivery)
 }
--- a/internal/delivery/bench_test.go
+++ b/internal/delivery/bench_test.go
@@ -14,8 +14,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// traffic is deliveries of callers that ask services, with lognormal latency;
-// one in a hundred is in part.
+// traffic returns deliveries of random callers and services with lognormal
+// latency. One in a hundred is partial.
 func traffic(n, callers, services int) []Delivery { return trafficOf(1, n, callers, services) }
 
 func trafficOf(seed uint64, n, callers, services int) []Delivery {
@@ -36,8 +36,8 @@
 	return all
 }
 
-// sizes of callers, services and deliveries in one window. 6,336 is what a
-// host of 720 serves in 48 s.
+// sizes are numbers of callers, services and deliveries in one window. 6,336 is
+// the number of deliveries of one host of 720 in 48 s.
 var sizes = []struct{ callers, services, deliveries int }{
 	{1, 1, 6336}, {10, 5, 6336}, {50, 10, 6336}, {200, 10, 6336}, {500, 20, 6336}, {50, 10, 63360},
 }
@@ -60,14 +60,14 @@
 	return w
 }
 
-// BenchmarkRecord tells the time of one Record, and the memory of a window.
+// BenchmarkRecord measures the time of one Record, and the memory of a window.
 func BenchmarkRecord(b *testing.B) {
 	forSizes(b, func(b *testing.B, all []Delivery) {
 		cfg := DefaultConfig()
 		before := heap()
 		kept := windowOf(all)
 		memory := heap() - before
-		keys := float64(len(kept.Rows.sums))
+		keys := float64(len(kept.Rows.byKey))
 		i := 0
 		for b.Loop() {
 			d := all[i%len(all)]
@@ -81,7 +81,7 @@
 	})
 }
 
-// heap returns the bytes that are in use.
+// heap returns the number of heap bytes in use.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -89,7 +89,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkEncode tells the time and the bytes of a window's object.
+// BenchmarkEncode measures the time to encode a window and the size of its
+// object.
 func BenchmarkEncode(b *testing.B) {
 	forSizes(b, func(b *testing.B, all []Delivery) {
 		w := windowOf(all)
@@ -101,7 +102,8 @@
 	})
 }
 
-// BenchmarkDecode tells the time that a report or a sum takes for each window.
+// BenchmarkDecode measures the time that a report or an aggregation takes per
+// window.
 func BenchmarkDecode(b *testing.B) {
 	forSizes(b, func(b *testing.B, all []Delivery) {
 		value, _ := encodeWindow(windowOf(all))
@@ -111,14 +113,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			total.addMessage(rows, maxSumKeys)
+			total.addMessage(rows, maxAggregateKeys)
 		}
 	})
 }
 
-// site is a platform that holds the windows of a fleet, written minute by
-// minute and summed up.
-type site struct {
+// benchPlatform is a platform with the windows of a fleet, which are written
+// and aggregated minute by minute.
+type benchPlatform struct {
 	cfg       Config
 	platform  *objstoretest.Platform
 	compactor *Compactor
@@ -127,19 +129,21 @@
 	minutes   int
 }
 
-func newSite(hosts int) *site {
-	s := &site{cfg: DefaultConfig(), platform: objstoretest.New(), hosts: hosts, now: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}
-	s.cfg.WritesPerSecond = 1e9 // removals are not paced here
+func newBenchPlatform(hosts int) *benchPlatform {
+	s := &benchPlatform{cfg: DefaultConfig(), platform: objstoretest.New(), hosts: hosts, now: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}
+	s.cfg.WritesPerSecond = 1e9 // removals are not rate limited in this benchmark
 	s.platform.SetClock(func() time.Time { return s.now })
 	none := func() []Objective { return nil }
 	s.compactor = NewCompactor(s.cfg, s.platform.Client(), view{f: &fleet{}}, none, event.Discard(), nil)
 	return s
 }
 
-// variants is how many hosts differ in what they deliver.
+// variants is the number of hosts with different deliveries; further hosts
+// repeat them.
 const variants = 9
 
-// windowsOf returns what some hosts deliver in 60 s to callers of ten services.
+// windowsOf returns the windows of the variants, each with the deliveries of 60
+// s to callers of ten services.
 func windowsOf(callers int) []*Window {
 	var all []*Window
 	for i := range variants {
@@ -148,8 +152,9 @@
 	return all
 }
 
-// minute writes a window of each host and returns the bytes written.
-func (s *site) minute(b *testing.B, windows []*Window) (bytes int) {
+// writeMinute writes a window of each host and returns the number of bytes
+// written.
+func (s *benchPlatform) writeMinute(b *testing.B, windows []*Window) (bytes int) {
 	for h := range s.hosts {
 		w := windows[h%variants]
 		w.Incarnation = Incarnation{Host: fmt.Sprintf("host-%03d", h), Number: 1764691973}
@@ -168,24 +173,24 @@
 	return bytes
 }
 
-// round sums up what is due.
-func (s *site) round(b *testing.B) {
+// round aggregates what is due.
+func (s *benchPlatform) round(b *testing.B) {
 	if err := s.compactor.round(b.Context(), s.now.Add(slotGrace), 0); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// BenchmarkRound tells the time of one round on one shard, with callers that
-// ask ten services, and the bytes of its windows and of the sum.
+// BenchmarkRound measures the time of one round on one shard with callers of
+// ten services, and the sizes of its windows and of the aggregate.
 func BenchmarkRound(b *testing.B) {
 	for _, hosts := range []int{3, 9, 45, 90} {
 		for _, callers := range []int{50, 200} {
 			b.Run(fmt.Sprintf("hosts=%d/callers=%d", hosts, callers), func(b *testing.B) {
-				s, all, in := newSite(hosts), windowsOf(callers), 0
+				s, all, in := newBenchPlatform(hosts), windowsOf(callers), 0
 				b.ResetTimer()
 				for range b.N {
 					b.StopTimer()
-					in = s.minute(b, all)
+					in = s.writeMinute(b, all)
 					b.StartTimer()
 					s.round(b)
 				}
@@ -200,20 +205,20 @@
 	}
 }
 
-// BenchmarkReport tells the time of a report on an hour and of the burn, and
-// the bytes that the platform holds for it.
+// BenchmarkReport measures the time of a report on one hour, and the bytes that
+// the platform stores for it.
 func BenchmarkReport(b *testing.B) {
 	for _, hosts := range []int{3, 9, 45} {
-		s, all := newSite(hosts), windowsOf(50)
+		s, all := newBenchPlatform(hosts), windowsOf(50)
 		for range 90 {
-			s.minute(b, all)
+			s.writeMinute(b, all)
 			s.round(b)
 		}
-		s.minute(b, all)
-		held := 0
+		s.writeMinute(b, all)
+		storedBytes := 0
 		for _, kind := range []string{objstore.KindWindow, kindIndex, levels[0].kind, levels[1].kind} {
 			for _, o := range s.platform.Objects(kind) {
-				held += len(o.Value)
+				storedBytes += len(o.Value)
 			}
 		}
 		r := NewReporter(s.cfg, s.platform.Client(), view{f: &fleet{}}, event.Discard())
@@ -223,23 +228,23 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(held), "held-B")
+			b.ReportMetric(float64(storedBytes), "held-B")
 		})
 	}
 }
 
-// BenchmarkBurn tells the time of the burn over three days of one shard of 45
-// hosts, 50 callers and ten services.
+// BenchmarkBurn measures the time of the burn over three days of one shard with
+// 45 hosts, 50 callers and ten services.
 func BenchmarkBurn(b *testing.B) {
-	s, windows := newSite(45), windowsOf(50)
+	s, windows := newBenchPlatform(45), windowsOf(50)
 	end := s.now.Add(3 * 24 * time.Hour)
-	hour := end.Add(-levels[1].keep).Truncate(time.Hour)
-	s.sums(b, levels[2], s.now, hour, windows)
-	s.sums(b, levels[1], hour, end, windows)
-	held := 0
+	hour := end.Add(-levels[1].mergeDelay).Truncate(time.Hour)
+	s.writeAggregates(b, levels[2], s.now, hour, windows)
+	s.writeAggregates(b, levels[1], hour, end, windows)
+	storedBytes := 0
 	for _, kind := range []string{kindIndex, levels[1].kind, levels[2].kind} {
 		for _, o := range s.platform.Objects(kind) {
-			held += len(o.Value)
+			storedBytes += len(o.Value)
 		}
 	}
 	s.now = end
@@ -249,20 +254,20 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(held), "held-B")
+	b.ReportMetric(float64(storedBytes), "held-B")
 }
 
-// sums writes a sum for each slot.
-func (s *site) sums(b *testing.B, l level, from, to time.Time, windows []*Window) {
+// writeAggregates writes one aggregate per slot.
+func (s *benchPlatform) writeAggregates(b *testing.B, l level, from, to time.Time, windows []*Window) {
 	for slot := from; slot.Before(to); slot = slot.Add(l.slot) {
-		sum := newSum(l, 0, slot, nil)
+		agg := newAggregate(l, 0, slot, nil)
 		for h := range s.hosts {
 			w := *windows[h%variants]
 			w.Incarnation = Incarnation{Host: fmt.Sprintf("host-%03d", h), Number: 1764691973}
 			w.Number, w.Start, w.End = uint64(slot.Unix()/60), slot, slot.Add(l.slot)
-			sum.addWindow(&w, w.End, w.Rows.message(w.Rows.sorted()))
+			agg.addWindow(&w, w.End, w.Rows.message(w.Rows.sorted()))
 		}
-		if err := s.compactor.write(b.Context(), sum); err != nil {
+		if err := s.compactor.writeAggregate(b.Context(), agg); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/delivery/burn.go
+++ b/internal/delivery/burn.go
@@ -11,10 +11,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// BurnWindows are the spans over which burn is reported, shortest first.
+// BurnWindows are the durations over which burn rates are reported, shortest
+// first.
 var BurnWindows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 3 * 24 * time.Hour}
 
-// WindowLabel writes a burn window without its zero parts: 5m, 1h, 6h, 3d.
+// WindowLabel formats a burn window without zero parts: 5m, 1h, 6h, 3d.
 func WindowLabel(d time.Duration) string {
 	const day = 24 * time.Hour
 	if d >= day && d%day == 0 {
@@ -23,13 +24,13 @@
 	return strings.TrimSuffix(strings.TrimSuffix(d.String(), "0s"), "0m")
 }
 
-// Burn is how fast an objective's budget of bad requests was used over a time.
-// At 1 the budget lasts exactly as long as the objective's period.
+// Burn is the rate at which an objective's error budget was used over a window.
+// At rate 1 the budget lasts exactly for the objective's period.
 type Burn struct {
 	Window time.Duration
-	Total  uint64 // requests that count
+	Total  uint64 // requests to which the objective applies
 	Bad    uint64
-	Rate   float64 // bad ratio over allowed ratio; 0 when nothing counts
+	Rate   float64 // ratio of bad requests over the allowed ratio; 0 if Total is 0
 }
 
 // ObjectiveBurn is an objective with its burn over each of BurnWindows.
@@ -38,13 +39,14 @@
 	Burns     []Burn
 }
 
-// BurnReport is the burn of all objectives, and what is missing in it.
+// BurnReport is the burn of all objectives, and the completeness of its data.
 type BurnReport struct {
 	Objectives   []ObjectiveBurn // sorted by service and aim
 	Completeness Completeness
 }
 
-// Burn returns the burn of the objectives, which are sorted by service and aim.
+// Burn returns the burn of the objectives, which must be sorted by service and
+// aim.
 func (r *Reporter) Burn(ctx context.Context, objectives []Objective) (BurnReport, error) {
 	g, err := r.gather(ctx, BurnWindows[len(BurnWindows)-1], false)
 	if err != nil {
@@ -66,8 +68,8 @@
 	return b
 }
 
-// burn fills the burns of all objectives in one pass over the gathered rows.
-func (g *gathered) burn(all []ObjectiveBurn) {
+// burn computes the burn of all objectives in one pass over the rows.
+func (g *reportData) burn(all []ObjectiveBurn) {
 	byService := map[string][]*ObjectiveBurn{}
 	for i := range all {
 		byService[all[i].Objective.Service] = append(byService[all[i].Objective.Service], &all[i])
@@ -81,17 +83,17 @@
 	}
 	for _, o := range all {
 		for i := range o.Burns {
-			o.Burns[i].Rate = o.Objective.rate(o.Burns[i].Total, o.Burns[i].Bad)
+			o.Burns[i].Rate = o.Objective.burnRate(o.Burns[i].Total, o.Burns[i].Bad)
 		}
 	}
 }
 
-// add counts a row of this age in each window that reaches back so far.
+// add adds a row to each window that is longer than the row's age.
 func (b *ObjectiveBurn) add(age time.Duration, k Key, row *deliverypb.Row) {
-	if !b.Objective.counts(k) {
+	if !b.Objective.appliesTo(k) {
 		return
 	}
-	bad := row.GetCount() - b.Objective.good(k, row)
+	bad := row.GetCount() - b.Objective.goodCount(k, row)
 	for i := range b.Burns {
 		if age < b.Burns[i].Window {
 			b.Burns[i].Total += row.GetCount()
@@ -100,9 +102,10 @@
 	}
 }
 
-// counts reports whether a key falls under the objective. Requests that were
-// refused for the caller's own mistake count for none.
-func (o Objective) counts(k Key) bool {
+// appliesTo reports whether the objective applies to the requests of a key.
+// Requests that were refused because of the caller's own error count for no
+// objective.
+func (o Objective) appliesTo(k Key) bool {
 	if k.Service != o.Service || (o.Aim == AimCoverage && k.Band == BandReservation) {
 		return false
 	}
@@ -113,25 +116,25 @@
 	return true
 }
 
-// good returns how many of the key's deliveries met the objective.
-func (o Objective) good(k Key, row *deliverypb.Row) uint64 {
+// goodCount returns how many deliveries of the row met the objective.
+func (o Objective) goodCount(k Key, row *deliverypb.Row) uint64 {
 	switch {
 	case k.Outcome != outcome.Done || k.Reason != "":
 		return 0
 	case o.Aim == AimLatency:
-		return min(within(row, o.Threshold), row.GetCount())
+		return min(countWithin(row, o.Threshold), row.GetCount())
 	case k.Band == BandFull:
 		return row.GetCount()
 	}
 	return 0
 }
 
-// rate returns the burn rate. An objective of 1 allows nothing bad; its budget
-// counts as one in a million.
-func (o Objective) rate(total, bad uint64) float64 {
+// burnRate returns the burn rate. The error budget of an objective with ratio 1
+// would be 0; it is taken as one in a million.
+func (o Objective) burnRate(total, bad uint64) float64 {
 	if total == 0 {
 		return 0
 	}
-	const leastBudget = 1e-6
-	return float64(bad) / float64(total) / max(1-o.Ratio, leastBudget)
+	const minErrorBudget = 1e-6
+	return float64(bad) / float64(total) / max(1-o.Ratio, minErrorBudget)
 }
--- a/internal/delivery/burn_test.go
+++ b/internal/delivery/burn_test.go
@@ -15,12 +15,12 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// services are those whose burn is reported.
+// services are the services whose burn is reported.
 var services = []catalog.Service{{Name: "guest-01", Workload: "guest-portal", Rules: catalog.Rules{
 	LatencyObjective: unit.Duration(110 * time.Millisecond), LatencyRatio: 0.99, CoverageRatio: 0.9,
 }}}
 
-// serve records n searches of guest-01 that took so long and had this coverage.
+// serve records n searches of guest-01 with the given latency and coverage.
 func (f *fleet) serve(n int, latency time.Duration, coverage float64, reason query.Reason) {
 	o := outcome.Done
 	if reason != "" {
@@ -31,25 +31,25 @@
 	}
 }
 
-// TestBurn has an hour of good answers and then five minutes with bad ones.
+// Records an hour of good answers, and then five minutes that include bad ones.
 func TestBurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 1)
 		defer f.stopAll()
-		time.Sleep(time.Second) // off the edge of the slots
+		time.Sleep(time.Second) // away from the boundary of a slot
 		for range 12 {
 			f.serve(100, 50*time.Millisecond, 1, "")
 			time.Sleep(5 * time.Minute)
 		}
-		time.Sleep(2 * time.Minute) // sums tell the time to the minute
+		time.Sleep(2 * time.Minute) // aggregates have a resolution of one minute
 		f.serve(88, 50*time.Millisecond, 1, "")
 		f.serve(4, 200*time.Millisecond, 1, "")                  // too slow
-		f.serve(6, 50*time.Millisecond, 0.5, "")                 // in part
+		f.serve(6, 50*time.Millisecond, 0.5, "")                 // partial answer
 		f.serve(2, time.Millisecond, 0, query.ReasonOverload)    // refused
-		f.serve(50, time.Millisecond, 0, query.ReasonBadRequest) // the caller's own mistake
-		f.serve(1, 110*time.Millisecond-time.Microsecond, 1, "") // just in time
-		f.serve(1, 112*time.Millisecond, 1, query.Reason(""))    // just not
+		f.serve(50, time.Millisecond, 0, query.ReasonBadRequest) // the caller's own error
+		f.serve(1, 110*time.Millisecond-time.Microsecond, 1, "") // just within the threshold
+		f.serve(1, 112*time.Millisecond, 1, query.Reason(""))    // just above the threshold
 		time.Sleep(time.Minute)
 
 		report, err := f.reporter().Burn(context.Background(), Objectives(services))
@@ -64,7 +64,7 @@
 		is.True(near(latency.Burns[0].Rate, 7./102/0.01))
 		is.True(near(latency.Burns[2].Rate, 7./1302/0.01)) // over six hours
 		is.Equal(latency.Burns[3].Total, uint64(1302))
-		is.Equal(report.Objectives[2].Burns[0].Total, uint64(0)) // nobody asked the whole workload
+		is.Equal(report.Objectives[2].Burns[0].Total, uint64(0)) // no request to the whole workload
 	})
 }
 
@@ -75,7 +75,7 @@
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 3, services...)
 		defer f.stopAll()
-		time.Sleep(checkInterval + 5*time.Second) // between the checks, when the host that exported before has noticed
+		time.Sleep(checkInterval + 5*time.Second) // between two checks, so that the previous exporter has cleared its values
 		for range 60 {
 			f.serve(10, 200*time.Millisecond, 1, "")
 			time.Sleep(time.Minute)
@@ -100,7 +100,7 @@
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 1)
 		defer f.stopAll()
-		time.Sleep(time.Second) // off the edge of the slots
+		time.Sleep(time.Second) // away from the boundary of a slot
 		for i := range 6 {
 			f.serve(20, time.Duration(i)*50*time.Millisecond, 1, "")
 			time.Sleep(5 * time.Minute)
@@ -110,7 +110,7 @@
 		is.Equal(len(series), 2)
 		is.Equal(len(series[1].Points), 6)
 		is.Equal(series[1].Points[0].Rate, 0.0)
-		is.True(near(series[1].Points[5].Rate, 100)) // all too slow, and one in a hundred may be
+		is.True(near(series[1].Points[5].Rate, 100)) // all are too slow, and one in a hundred may be
 		for format, head := range map[string]string{"svg": "<?xml", "png": "\x89PNG"} {
 			var b bytes.Buffer
 			is.NoErr(PlotBurn(&b, format, series, c))
--- a/internal/delivery/clock.go
+++ b/internal/delivery/clock.go
@@ -6,16 +6,17 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// platformClock estimates the platform's clock between its answers by this
-// process's monotonic clock. It never goes back and is never ahead.
+// platformClock estimates the platform's clock between the platform's responses
+// from this process's monotonic clock. The estimate never goes backwards and is
+// never ahead of the platform's clock.
 type platformClock struct {
 	store          objstore.Store
 	anchorLocal    time.Time // monotonic reading at the anchor
-	anchorPlatform time.Time // the platform's clock at the anchor; zero: not known yet
+	anchorPlatform time.Time // the platform's clock at the anchor; zero: unknown
 }
 
-// at returns the platform's clock at a local moment; false before the
-// platform's first answer.
+// at returns the platform's clock at a local time. It returns false before the
+// platform's first response.
 func (c *platformClock) at(local time.Time) (time.Time, bool) {
 	c.observe(time.Now())
 	if c.anchorPlatform.IsZero() {
@@ -26,9 +27,9 @@
 
 func (c *platformClock) now() (time.Time, bool) { return c.at(time.Now()) }
 
-// observe moves the anchor when the platform's newest answer is ahead of the
-// estimate: that answer is older than the moment at which it is looked at, so
-// the greatest estimate is the best.
+// observe moves the anchor if the time of the platform's newest response is
+// ahead of the estimate. That time is always older than the moment at which it
+// is read, so the greatest estimate is the most accurate.
 func (c *platformClock) observe(local time.Time) {
 	newest, ok := c.store.Now()
 	if !ok {
@@ -39,7 +40,7 @@
 	}
 }
 
-// estimate carries the anchor on to a local moment.
+// estimate extrapolates the platform's clock from the anchor to a local time.
 func (c *platformClock) estimate(local time.Time) time.Time {
 	return c.anchorPlatform.Add(local.Sub(c.anchorLocal))
 }
--- a/internal/delivery/codec.go
+++ b/internal/delivery/codec.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	formatVersion = 1
-	maxValue      = objstore.MaxValue - 4096 // leaves room for what the platform adds
-	maxDecoded    = 64 << 20                 // of one object, against a corrupt one
+	formatVersion   = 1
+	maxValueBytes   = objstore.MaxValue - 4096 // leaves room for what the platform adds to a value
+	maxDecodedBytes = 64 << 20                 // of one object; limits the memory that a corrupt object can use
 )
 
-// envelope is the value of every object of this package: a protobuf message,
-// compressed.
+// envelope is the value of every object of this package. Data is a
+// gzip-compressed protobuf message.
 type envelope struct {
 	Format int    `json:"format"`
 	Data   []byte `json:"data"`
 }
 
-// gzip writers hold most of a megabyte each, so they are kept.
-var writers = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
+// gzipWriters reuses writers, because each one allocates most of a megabyte.
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
 func encode(m proto.Message) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
@@ -35,8 +35,8 @@
 		return nil, Error.New("encode: %w", err)
 	}
 	var buf bytes.Buffer
-	w := writers.Get().(*gzip.Writer)
-	defer writers.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&buf)
 	if _, err := w.Write(b); err != nil {
 		return nil, Error.New("compress: %w", err)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return Error.New("decompress: %w", err)
 	}
-	b, err := io.ReadAll(io.LimitReader(r, maxDecoded))
+	b, err := io.ReadAll(io.LimitReader(r, maxDecodedBytes))
 	if err != nil {
 		return Error.New("decompress: %w", err)
 	}
@@ -70,19 +70,20 @@
 	return nil
 }
 
-// encodeWindow returns the window's value, shrinking the window until it fits
-// one object.
+// encodeWindow returns the window's value. It shrinks the window until the
+// value fits into one object.
 func encodeWindow(w *Window) ([]byte, error) {
 	for {
 		value, err := encode(w.message())
-		if err != nil || len(value) <= maxValue {
+		if err != nil || len(value) <= maxValueBytes {
 			return value, err
 		}
 		w.shrink()
 	}
 }
 
-// decodeWindow returns a window without its rows, and the rows' message.
+// decodeWindow returns the window without its rows, and the rows as a checked
+// message.
 func decodeWindow(value []byte) (*Window, *deliverypb.Rows, error) {
 	m := &deliverypb.Window{}
 	if err := decode(value, m); err != nil {
@@ -91,8 +92,8 @@
 	return windowOfMessage(m), m.GetRows(), checkRows(m.GetRows())
 }
 
-// sameValue reports whether two values hold the same data. The platform may
-// lay out the JSON of a value in another way.
+// sameValue reports whether two values contain the same data. The platform may
+// format the JSON of a value differently.
 func sameValue(a, b []byte) bool {
 	var x, y envelope
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
--- a/internal/delivery/compact.go
+++ b/internal/delivery/compact.go
@@ -19,48 +19,50 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// Compactor sums windows up, level by level, and removes what is past
-// retention. Each round is one host's, chosen by hashing shard and time. Two
-// hosts that both think it theirs write the same, so nothing needs to be agreed.
+// Compactor aggregates windows level by level and removes data that is past
+// retention. Each round belongs to one host, which is chosen by hashing shard
+// and time slot. Two hosts that both consider a round their own write the same
+// objects, so no coordination is needed.
 type Compactor struct {
-	cfg      Config
-	store    objstore.Store
-	view     member.View
-	log      *event.Log
-	clock    platformClock
-	pace     *rate.Limiter        // of removals
-	last     [MaxShards]time.Time // slots of the last rounds that ended well
-	indexes  [MaxShards]map[string]*index
-	era      uint64 // of the platform, in which the indexes and what the round goes by were read
-	burn     *burnGauge
-	burnSlot time.Time // of the newest burn
+	cfg            Config
+	store          objstore.Store
+	view           member.View
+	log            *event.Log
+	clock          platformClock
+	removalLimiter *rate.Limiter                // limits the rate of removals
+	lastSlot       [MaxShards]time.Time         // by shard: slot of the last successful round
+	indexes        [MaxShards]map[string]*index // by shard and name: cache of decoded indexes
+	era            uint64                       // the platform's era in which the current round's listing and the cached indexes were read
+	burn           *burnGauge
+	burnSlot       time.Time // interval of the newest burn report
 
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
 const (
-	// checkInterval is how often a host looks whether a round is its own.
+	// checkInterval is how often a host checks whether a round is due on it.
 	checkInterval = 15 * time.Second
-	// burnInterval is how often the gauges of burn are set.
+	// burnInterval is how often the burn metrics are updated.
 	burnInterval = 5 * time.Minute
-	// paceShare is the part of the platform's writes for windows that one host
-	// takes for its removals; hosts may work on several shards at once.
-	paceShare = 0.25
+	// removalShare is the part of Config.WritesPerSecond that one host uses for
+	// its removals. It is less than 1 because hosts may work on several shards
+	// at the same time.
+	removalShare = 0.25
 )
 
-// NewCompactor returns a compactor. Every host has one. One host at a time
-// also sets the gauges of burn, for the objectives given.
+// NewCompactor returns a compactor. Every host runs one. One host at a time
+// also exports the burn metrics of the given objectives.
 func NewCompactor(cfg Config, store objstore.Store, view member.View, objectives func() []Objective,
 	log *event.Log, reg prometheus.Registerer) *Compactor {
 	return &Compactor{
 		cfg: cfg, store: store, view: view, log: log, clock: platformClock{store: store},
-		pace: rate.NewLimiter(rate.Limit(cfg.WritesPerSecond*paceShare), 1),
-		burn: newBurnGauge(NewReporter(cfg, store, view, log), objectives, reg),
+		removalLimiter: rate.NewLimiter(rate.Limit(cfg.WritesPerSecond*removalShare), 1),
+		burn:           newBurnGauge(NewReporter(cfg, store, view, log), objectives, reg),
 	}
 }
 
-// Start begins the rounds.
+// Start begins the compaction rounds.
 func (c *Compactor) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// Stop ends the rounds. Another host goes on with one that was cut short.
+// Stop ends the compaction rounds. Another host continues an interrupted round.
 func (c *Compactor) Stop(context.Context) error {
 	if c.cancel != nil {
 		c.cancel()
@@ -91,54 +93,57 @@
 			continue
 		}
 		for shard := range MaxShards {
-			c.check(ctx, now, shard)
+			c.runRoundIfDue(ctx, now, shard)
 		}
 		c.updateBurn(ctx, now)
 	}
 }
 
-// check does a round in the shard if the newest slot that is due is this
-// host's and not done yet.
-func (c *Compactor) check(ctx context.Context, now time.Time, shard int) {
+// runRoundIfDue runs a round on the shard if the newest due slot belongs to
+// this host and is not done yet.
+func (c *Compactor) runRoundIfDue(ctx context.Context, now time.Time, shard int) {
 	period := c.period(shard)
 	slot := now.UTC().Add(-slotGrace).Truncate(period).Add(-period)
-	if c.last[shard].IsZero() && shard >= c.cfg.Shards {
-		c.last[shard] = slot // what was due before this host started is another's
+	if c.lastSlot[shard].IsZero() && shard >= c.cfg.Shards {
+		c.lastSlot[shard] = slot // slots that were due before this host started belong to another host
 	}
-	if slot.Equal(c.last[shard]) || !c.owns(slot, shard) {
+	if slot.Equal(c.lastSlot[shard]) || !c.owns(slot, shard) {
 		return
 	}
 	if err := c.round(ctx, now, shard); err != nil {
 		c.log.Event(evCompactFailed).Err(err).Msg("")
 		return
 	}
-	c.last[shard] = slot
+	c.lastSlot[shard] = slot
 }
 
-// idlePeriod is the time between the rounds of a shard that no host writes to:
-// all there may be is left from a time with more shards. A round in each minute
-// for all 16 shards was 32 calls a minute, of which 30 found nothing.
-const idlePeriod = time.Hour
+// idleShardPeriod is the time between the rounds of a shard that no host writes
+// to. Such a shard only contains data from a time with more shards configured.
+// A round per minute on all 16 shards made 32 calls per minute, 30 of which
+// found nothing.
+const idleShardPeriod = time.Hour
 
 // period returns the time between the rounds of a shard.
 func (c *Compactor) period(shard int) time.Duration {
 	if shard < c.cfg.Shards {
 		return levels[0].slot
 	}
-	return idlePeriod
+	return idleShardPeriod
 }
 
-// noShard is hashed in place of a shard to choose the host that exports the burn.
-const noShard = -1
+// burnShard is hashed in place of a shard number to choose the host that
+// exports the burn metrics.
+const burnShard = -1
 
-// updateBurn sets the gauges of burn if the interval is this host's and not done
-// yet, and clears them if it is another's.
+// updateBurn updates the burn metrics if the current interval belongs to this
+// host and is not done yet. It clears them if the interval belongs to another
+// host.
 func (c *Compactor) updateBurn(ctx context.Context, now time.Time) {
 	slot := now.UTC().Truncate(burnInterval)
 	if c.burnSlot.IsZero() {
-		c.burnSlot = slot // another host's, or too short to tell anything
+		c.burnSlot = slot // skip the interval in which this host started: another host covers it, or it has too little data
 	}
-	if !c.owns(slot, noShard) {
+	if !c.owns(slot, burnShard) {
 		c.burn.clear()
 		return
 	}
@@ -152,8 +157,8 @@
 	c.burnSlot = slot
 }
 
-// owns reports whether this host has the highest hash together with the slot
-// and the shard.
+// owns reports whether this host has the highest hash of all usable hosts for
+// the slot and shard.
 func (c *Compactor) owns(slot time.Time, shard int) bool {
 	var best uint64
 	var id string
@@ -169,19 +174,19 @@
 	return id == c.view.Self().ID
 }
 
-// round sums up everything in the shard that is due, also what earlier rounds
-// left.
+// round aggregates all due data of the shard, including data that earlier
+// rounds left.
 func (c *Compactor) round(ctx context.Context, now time.Time, shard int) error {
 	listing, err := c.store.List(ctx, inShard(objstore.KindWindow, shard), inShard(kindIndex, shard))
 	if err != nil {
 		return Error.New("list windows of shard %d: %w", shard, err)
 	}
-	if listing.Era != c.era { // what is remembered by its version may have been lost and written anew
+	if listing.Era != c.era { // after a restore, an index with the cached version may have different content
 		c.era, c.indexes = listing.Era, [MaxShards]map[string]*index{}
 	}
 	indexes, windows := readIndexes(listing.Objects, c.indexes[shard], c.unreadable)
-	c.remember(shard, indexes)
-	summed := coveredBy(allSpans(indexes))
+	c.cacheIndexes(shard, indexes)
+	aggregated := windowSetOf(allSpans(indexes))
 	l := levels[0]
 	due := map[time.Time][]objstore.Object{}
 	for _, o := range windows {
@@ -190,20 +195,20 @@
 		}
 	}
 	for _, slot := range sortedKeys(due) {
-		if err := c.sumWindows(ctx, newSum(l, shard, slot, indexes), due[slot], summed); err != nil {
+		if err := c.aggregateWindows(ctx, newAggregate(l, shard, slot, indexes), due[slot], aggregated); err != nil {
 			return err
 		}
 	}
 	for i := range len(levels) - 1 {
-		if err := c.sumLevel(ctx, now, shard, levels[i], levels[i+1], indexes); err != nil {
+		if err := c.aggregateLevel(ctx, now, shard, levels[i], levels[i+1], indexes); err != nil {
 			return err
 		}
 	}
 	return c.retain(ctx, now, indexes)
 }
 
-// remember keeps the indexes of a shard for the host's next round.
-func (c *Compactor) remember(shard int, indexes []*index) {
+// cacheIndexes caches the indexes of a shard for the host's next round.
+func (c *Compactor) cacheIndexes(shard int, indexes []*index) {
 	c.indexes[shard] = map[string]*index{}
 	for _, x := range indexes {
 		c.indexes[shard][x.name()] = x
@@ -214,24 +219,24 @@
 	return slices.SortedFunc(maps.Keys(m), time.Time.Compare)
 }
 
-// sumWindows sums the windows of a slot and removes them. Windows that a sum
-// holds already, left by a round that was cut short or written a second time
-// by a delayed write, are only removed.
-func (c *Compactor) sumWindows(ctx context.Context, s *sum, objects []objstore.Object, summed covered) error {
+// aggregateWindows aggregates the windows of a slot and removes them. Windows
+// that are already in an aggregate are only removed: an interrupted round left
+// them, or a delayed write created them again.
+func (c *Compactor) aggregateWindows(ctx context.Context, s *aggregate, objects []objstore.Object, aggregated windowSet) error {
 	var removable []objstore.Object
 	for _, o := range objects {
 		w, rows, err := decodeWindow(o.Value)
 		if err != nil {
-			c.unreadable(o, err) // stays, so that reports go on naming it
+			c.unreadable(o, err) // not removed, so that reports continue to list it
 			continue
 		}
 		removable = append(removable, o)
-		if !summed.holds(w.Incarnation, w.Number) {
-			s.addWindow(w, endOf(w, o), rows)
+		if !aggregated.contains(w.Incarnation, w.Number) {
+			s.addWindow(w, windowEnd(w, o), rows)
 		}
 	}
 	if s.index.Windows > 0 {
-		if err := c.write(ctx, s); err != nil {
+		if err := c.writeAggregate(ctx, s); err != nil {
 			return err
 		}
 	}
@@ -244,8 +249,9 @@
 	return nil
 }
 
-// removeWindow removes a window that is in a sum, and puts it back if the platform came back from an older copy meanwhile: that may
-// lack the sum.
+// removeWindow removes a window that is in an aggregate. If the platform was
+// restored from an older copy meanwhile, it puts the window back, because the
+// copy may lack the aggregate.
 func (c *Compactor) removeWindow(ctx context.Context, o objstore.Object) error {
 	if err := c.remove(ctx, o.Kind, o.Name, o.Version); err != nil {
 		return err
@@ -260,36 +266,36 @@
 	return Error.Wrap(errRestored)
 }
 
-// sumLevel sums the sums of a level whose time is over into the next level's,
-// and removes them.
-func (c *Compactor) sumLevel(ctx context.Context, now time.Time, shard int, from, to level, indexes []*index) error {
-	over := superseded(indexes)
+// aggregateLevel merges the due aggregates of level from into aggregates of
+// level to, and removes them.
+func (c *Compactor) aggregateLevel(ctx context.Context, now time.Time, shard int, from, to level, indexes []*index) error {
+	redundant := superseded(indexes)
 	slots := map[time.Time][]*index{}
 	var removable []*index
 	for _, x := range indexes {
 		slot := to.slotOf(x.Slot)
-		if x.level != from || now.Before(slot.Add(to.slot+from.keep)) {
+		if x.level != from || now.Before(slot.Add(to.slot+from.mergeDelay)) {
 			continue
 		}
 		removable = append(removable, x)
-		if !over[x] {
+		if !redundant[x] {
 			slots[slot] = append(slots[slot], x)
 		}
 	}
 	for _, slot := range sortedKeys(slots) {
-		if err := c.sumSums(ctx, newSum(to, shard, slot, indexes), slots[slot]); err != nil {
+		if err := c.mergeAggregates(ctx, newAggregate(to, shard, slot, indexes), slots[slot]); err != nil {
 			return err
 		}
 	}
 	for _, x := range removable {
-		if err := c.removeSum(ctx, x, false); err != nil {
+		if err := c.removeAggregate(ctx, x, false); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Compactor) sumSums(ctx context.Context, s *sum, parts []*index) error {
+func (c *Compactor) mergeAggregates(ctx context.Context, s *aggregate, parts []*index) error {
 	reader, err := newPartReader(ctx, c.store, nil)
 	if err != nil {
 		return err
@@ -301,16 +307,16 @@
 			return err
 		}
 	}
-	return c.write(ctx, s)
+	return c.writeAggregate(ctx, s)
 }
 
-// retain removes sums that are past retention.
+// retain removes aggregates that are past retention.
 func (c *Compactor) retain(ctx context.Context, now time.Time, indexes []*index) error {
 	for _, x := range indexes {
 		if now.Before(x.end().Add(c.cfg.Retention.Std())) {
 			continue
 		}
-		if err := c.removeSum(ctx, x, true); err != nil {
+		if err := c.removeAggregate(ctx, x, true); err != nil {
 			return err
 		}
 	}
--- a/internal/delivery/completeness.go
+++ b/internal/delivery/completeness.go
@@ -6,102 +6,105 @@
 	"time"
 )
 
-// Gap is windows that an incarnation wrote, or was to write, and that the
-// report does not have.
+// Gap is a range of windows of an incarnation that the report lacks. First and
+// Last are inclusive.
 type Gap struct {
 	Incarnation
 	First uint64
 	Last  uint64
 }
 
-// String names the host and the windows.
+// String describes the missing windows and their host.
 func (g Gap) String() string {
 	return fmt.Sprintf("windows %d to %d of host %s, incarnation %d", g.First, g.Last, g.Host, g.Number)
 }
 
-// Ending is what is known of an incarnation whose newest windows the report
-// does not have.
-type Ending string
+// IncompleteReason is the reason why the newest windows of an incarnation are
+// missing from the report.
+type IncompleteReason string
 
-// Endings.
+// Reasons for missing newest windows.
 const (
-	EndedUnwritten Ending = "ended"  // it is gone, and its last window was never written
-	Late           Ending = "late"   // it lives, and its newest window is overdue
-	NeverWrote     Ending = "unseen" // others saw it, and it never wrote a window
+	EndedUnwritten IncompleteReason = "ended"  // the incarnation ended without writing its final window
+	WriteOverdue   IncompleteReason = "late"   // the incarnation is alive, and its next window is overdue
+	NeverWrote     IncompleteReason = "unseen" // other hosts saw the incarnation, and it never wrote a window
 )
 
-// Open is an incarnation that may have delivered more than the report has.
-type Open struct {
+// IncompleteIncarnation is an incarnation that may have made deliveries that
+// the report lacks.
+type IncompleteIncarnation struct {
 	Incarnation
-	Ending Ending
-	After  time.Time // nothing is known after this moment; zero: nothing at all
+	Reason IncompleteReason
+	After  time.Time // end of the newest window in the report; zero if unknown
 }
 
-// String says what is not known.
-func (o Open) String() string {
+// String describes the incarnation and from when on its deliveries are unknown.
+func (o IncompleteIncarnation) String() string {
 	host := fmt.Sprintf("host %s, incarnation %d", o.Host, o.Incarnation.Number)
 	if o.After.IsZero() {
-		return fmt.Sprintf("%s (%s): nothing is known", host, o.Ending)
+		return fmt.Sprintf("%s (%s): nothing is known", host, o.Reason)
 	}
-	return fmt.Sprintf("%s (%s): nothing is known after %s", host, o.Ending, o.After.UTC().Format(time.RFC3339))
+	return fmt.Sprintf("%s (%s): nothing is known after %s", host, o.Reason, o.After.UTC().Format(time.RFC3339))
 }
 
-// Completeness is what a report says of itself.
+// Completeness states which data a report contains and which it lacks.
 type Completeness struct {
 	From       time.Time // by the platform's clock
-	To         time.Time // up to here the report has the windows of every live host
-	Windows    uint64    // merged
+	To         time.Time // the report has all windows of live hosts up to this time
+	Windows    uint64    // number of windows in the report
 	Missing    []Gap
-	Open       []Open
-	Folded     uint64   // deliveries that are summed without their caller or service
-	LeftOut    uint64   // single records that were not kept
-	Unreadable []string // objects that could not be read
+	Open       []IncompleteIncarnation // incarnations whose newest windows are missing
+	Folded     uint64                  // deliveries that are counted without their caller or service
+	LeftOut    uint64                  // individual records that were not kept
+	Unreadable []string                // objects that could not be decoded
 }
 
-// Complete reports whether every window up to To is in the report.
+// Complete reports whether the report contains every window up to To.
 func (c Completeness) Complete() bool {
 	return len(c.Missing) == 0 && len(c.Open) == 0 && len(c.Unreadable) == 0
 }
 
-// presence is what is known of the hosts: the spans of windows that are there,
-// the incarnations that were seen by others, and those that live now.
-type presence struct {
-	spans []Span
-	seen  []Incarnation
-	live  []Incarnation
-	from  time.Time
-	now   time.Time
-	late  time.Duration // after which a live host's next window is overdue
+// hostEvidence is the input from which missing windows are determined: the
+// spans of stored windows, the incarnations that other hosts have seen, and the
+// incarnations that are alive now.
+type hostEvidence struct {
+	spans        []Span
+	seen         []Incarnation
+	live         []Incarnation
+	from         time.Time
+	now          time.Time
+	overdueAfter time.Duration // time from the end of a live host's newest window after which the next one is overdue
 }
 
-// judge fills what is missing.
-func (p presence) judge(c *Completeness) {
-	byHost := coveredBy(joinSpans(p.spans))
+// fillIncomplete sets To, Missing and Open of c.
+func (p hostEvidence) fillIncomplete(c *Completeness) {
+	byHost := windowSetOf(joinSpans(p.spans))
 	c.To = p.now
 	for _, i := range p.incarnations(byHost) {
 		spans := byHost[i]
 		alive := slices.Contains(p.live, i)
 		if len(spans) == 0 {
-			c.Open = append(c.Open, Open{Incarnation: i, Ending: NeverWrote})
+			c.Open = append(c.Open, IncompleteIncarnation{Incarnation: i, Reason: NeverWrote})
 			continue
 		}
 		c.Missing = append(c.Missing, p.gaps(spans)...)
-		p.end(c, spans[len(spans)-1], alive)
+		p.checkNewest(c, spans[len(spans)-1], alive)
 	}
 }
 
-// punctual returns the incarnations whose next window is not overdue.
-func (p presence) punctual() []Incarnation {
+// notOverdue returns the incarnations whose next window is expected and not
+// overdue.
+func (p hostEvidence) notOverdue() []Incarnation {
 	var all []Incarnation
 	for _, s := range p.spans {
-		if !s.Final && !s.End.Add(p.late).Before(p.now) {
+		if !s.Final && !s.End.Add(p.overdueAfter).Before(p.now) {
 			all = append(all, s.Incarnation)
 		}
 	}
 	return all
 }
 
-func (p presence) incarnations(byHost covered) []Incarnation {
+func (p hostEvidence) incarnations(byHost windowSet) []Incarnation {
 	all := slices.Concat(p.seen, p.live)
 	for i := range byHost {
 		all = append(all, i)
@@ -110,9 +113,9 @@
 	return slices.Compact(all)
 }
 
-// gaps returns what is missing between spans, and before the first one if it
-// begins after the report does.
-func (p presence) gaps(spans []Span) []Gap {
+// gaps returns the windows that are missing between the spans, and those before
+// the first span if it starts after the beginning of the report.
+func (p hostEvidence) gaps(spans []Span) []Gap {
 	var gaps []Gap
 	first := spans[0]
 	if first.First > 0 && first.Start.After(p.from) {
@@ -124,14 +127,15 @@
 	return gaps
 }
 
-// end judges the newest window of an incarnation.
-func (p presence) end(c *Completeness, last Span, alive bool) {
+// checkNewest checks the newest window of an incarnation: it adds the
+// incarnation to Open, or moves To back to the end of that window.
+func (p hostEvidence) checkNewest(c *Completeness, last Span, alive bool) {
 	switch {
 	case last.Final:
 	case !alive:
-		c.Open = append(c.Open, Open{Incarnation: last.Incarnation, Ending: EndedUnwritten, After: last.End})
-	case last.End.Add(p.late).Before(p.now):
-		c.Open = append(c.Open, Open{Incarnation: last.Incarnation, Ending: Late, After: last.End})
+		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: EndedUnwritten, After: last.End})
+	case last.End.Add(p.overdueAfter).Before(p.now):
+		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: WriteOverdue, After: last.End})
 	case last.End.Before(c.To):
 		c.To = last.End
 	}
--- a/internal/delivery/config.go
+++ b/internal/delivery/config.go
@@ -7,38 +7,44 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config bounds what the delivery records of one host take of its memory, and
-// those of all hosts of the platform's calls.
+// Config limits the memory that the delivery records of one host use, and the
+// platform calls that those of all hosts use.
 type Config struct {
-	// MinInterval is the shortest time from one window to the next.
+	// MinInterval is the shortest interval between two windows.
 	MinInterval unit.Duration `json:"min_interval"`
-	// AnnounceStart makes a host write an empty window at its start, so that reports
-	// know it though it dies before its first one. Without, reports know such a
-	// host only if others have seen it; it saves a write and a removal a start.
+	// AnnounceStart makes a host write an empty window when it starts, so that
+	// reports include the host even if it fails before its first regular
+	// window. Without it, reports include such a host only if other hosts have
+	// seen it; this saves one write and one removal per start.
 	AnnounceStart bool `json:"announce_start"`
-	// WritesPerSecond is the share of the platform's writes that the windows of
-	// all hosts may take; each window costs one write, and one delete later.
-	// With many hosts the interval grows past MinInterval to keep to it.
+	// WritesPerSecond is the rate of platform writes available to the windows
+	// of all hosts together. Each window costs one write, and one delete later.
+	// With many hosts the interval grows beyond MinInterval to stay within this
+	// rate.
 	WritesPerSecond float64 `json:"writes_per_second"`
-	// WriteTimeout bounds one call to the platform.
+	// WriteTimeout is the timeout of one platform call.
 	WriteTimeout unit.Duration `json:"write_timeout"`
-	// StopTimeout bounds the writing of the last windows of a host that stops.
-	// While the platform is away they are lost then, and reports tell so.
+	// StopTimeout limits how long a stopping host writes its last windows.
+	// During a platform outage they are lost when it expires, and reports say
+	// so.
 	StopTimeout unit.Duration `json:"stop_timeout"`
-	// MaxKeys bounds the keys of a window; past it callers, then services, are
-	// folded into "(other)", which the report tells.
+	// MaxKeys limits the keys of a window. Beyond it first callers, then
+	// services are folded into "(other)", and the report counts these
+	// deliveries.
 	MaxKeys int `json:"max_keys"`
-	// MaxPending bounds the windows that wait for the platform; past it the two
-	// oldest become one.
+	// MaxPending limits the windows that are waiting to be written. Beyond it
+	// the two oldest are merged.
 	MaxPending int `json:"max_pending"`
-	// MaxReservations and MaxExceptions bound the single records of a window:
-	// reservations, and refused or partial searches. Those left out are counted.
+	// MaxReservations and MaxExceptions limit the individual records of a
+	// window: reservations, and refused or partially answered searches. Records
+	// beyond the limits are left out and counted.
 	MaxReservations int `json:"max_reservations"`
 	MaxExceptions   int `json:"max_exceptions"`
-	// Shards is how many shards the hosts' windows are spread over, at most
-	// MaxShards; about one for 45 hosts. All are always read.
+	// Shards is the number of shards that the hosts' windows are distributed
+	// over, at most MaxShards; about one per 45 hosts. Reports read all
+	// MaxShards shards.
 	Shards int `json:"shards"`
-	// Retention is how long reports reach back.
+	// Retention is how far back reports reach.
 	Retention unit.Duration `json:"retention"`
 }
 
@@ -57,14 +63,15 @@
 	minMinInterval = time.Second
 	maxMinInterval = 2 * time.Minute
 	minMaxKeys     = 16
-	minMaxPending  = 3 // one in doubt, and two that can become one
+	minMaxPending  = 3 // one with an unknown write result, and two that can be merged
 	minRetention   = 12 * time.Hour
 
-	// callsPerWindow is a window's write, and its delete when it is compacted.
+	// callsPerWindow counts a window's write, and its delete when the window is
+	// compacted.
 	callsPerWindow = 2
 )
 
-// DefaultConfig returns the settings that suit 3 to 720 hosts.
+// DefaultConfig returns settings that suit fleets of 3 to 720 hosts.
 func DefaultConfig() Config {
 	return Config{
 		MinInterval:     unit.Duration(defaultMinInterval),
@@ -81,7 +88,7 @@
 	}
 }
 
-// Validate reports every problem of the settings.
+// Validate returns all invalid settings of c, joined in one error.
 func (c Config) Validate() error {
 	var problems []error
 	check := func(ok bool, format string, args ...any) {
@@ -103,7 +110,8 @@
 	return errors.Join(problems...)
 }
 
-// interval returns the time from one window to the next in a fleet of so many hosts.
+// interval returns the interval between two windows of a host in a fleet of the
+// given size.
 func (c Config) interval(hosts int) time.Duration {
 	seconds := callsPerWindow * float64(hosts) / c.WritesPerSecond
 	return max(c.MinInterval.Std(), time.Duration(seconds*float64(time.Second)))
--- a/internal/delivery/convert.go
+++ b/internal/delivery/convert.go
@@ -8,8 +8,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// The functions below turn the package's types into their messages and back.
-
+// The functions below convert the package's types to protobuf messages and
+// back. Times are in Unix milliseconds; 0 is the zero time.
 func millis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -57,7 +57,8 @@
 	}
 }
 
-// windowOfMessage returns the window with empty rows; those stay in the message.
+// windowOfMessage returns the window with empty rows. The rows are read from
+// the message; see eachRow.
 func windowOfMessage(m *deliverypb.Window) *Window {
 	w := &Window{
 		Incarnation: incarnationOf(m.GetIncarnation()), Number: m.GetNumber(),
@@ -102,7 +103,7 @@
 	return all
 }
 
-// stringTable keeps each text once; rows refer to texts by index.
+// stringTable stores each string once. Rows refer to strings by index.
 type stringTable struct {
 	indexes map[string]uint32
 	all     []string
@@ -118,22 +119,23 @@
 	return p
 }
 
-// message returns the rows of the keys.
+// message returns the message of the rows with the given keys.
 func (r *rows) message(keys []Key) *deliverypb.Rows {
 	t := stringTable{indexes: map[string]uint32{}}
 	messages := make([]*deliverypb.Row, 0, len(keys))
 	for _, k := range keys {
-		s := r.sums[k]
+		s := r.byKey[k]
 		messages = append(messages, &deliverypb.Row{
 			Caller: t.index(k.Caller), Service: t.index(k.Service), Reason: t.index(string(k.Reason)), Band: t.index(string(k.Band)),
 			Outcome: uint32(k.Outcome), Snapshot: k.Snapshot,
-			Count: s.Count, Attempts: s.Attempts, Needed: s.Needed, Latency: s.pairs(),
+			Count: s.Count, Attempts: s.Attempts, Needed: s.Needed, Latency: s.latencyPairs(),
 		})
 	}
 	return &deliverypb.Rows{Texts: t.all, Rows: messages}
 }
 
-// eachRow calls f for every row, with its key.
+// eachRow calls f for each row with its key. The message must have passed
+// checkRows.
 func eachRow(m *deliverypb.Rows, f func(Key, *deliverypb.Row)) {
 	all := m.GetTexts()
 	for _, row := range m.GetRows() {
@@ -144,7 +146,7 @@
 	}
 }
 
-// checkRows makes sure that eachRow can read the rows.
+// checkRows checks that the indexes and outcomes in the rows are valid.
 func checkRows(m *deliverypb.Rows) error {
 	for _, row := range m.GetRows() {
 		last := max(row.GetCaller(), row.GetService(), row.GetReason(), row.GetBand())
@@ -155,10 +157,10 @@
 	return nil
 }
 
-// addMessage adds the rows of a message, which has been checked.
+// addMessage adds the rows of a message that has passed checkRows.
 func (r *rows) addMessage(m *deliverypb.Rows, maxKeys int) {
 	eachRow(m, func(k Key, row *deliverypb.Row) {
-		s, folded := r.sumsFor(k, maxKeys)
+		s, folded := r.totalsFor(k, maxKeys)
 		s.addRow(row)
 		if folded {
 			r.folded += row.GetCount()
@@ -166,7 +168,7 @@
 	})
 }
 
-func (s *Sums) addRow(row *deliverypb.Row) {
+func (s *Totals) addRow(row *deliverypb.Row) {
 	s.Count += row.GetCount()
 	s.Attempts += row.GetAttempts()
 	s.Needed += row.GetNeeded()
@@ -176,8 +178,8 @@
 	})
 }
 
-// eachBucket calls f for the buckets of a row, in order of value, until it
-// returns false.
+// eachBucket calls f for each latency bucket of a row, in order of value, until
+// f returns false.
 func eachBucket(row *deliverypb.Row, f func(value, count int64) bool) {
 	pairs := row.GetLatency()
 	var value int64
@@ -189,9 +191,9 @@
 	}
 }
 
-// within returns how many deliveries of a row took at most d, to the
+// countWithin returns how many deliveries of a row took at most d, with the
 // histogram's resolution of one percent.
-func within(row *deliverypb.Row, d time.Duration) uint64 {
+func countWithin(row *deliverypb.Row, d time.Duration) uint64 {
 	var n uint64
 	limit := int64(d / latencyUnit)
 	eachBucket(row, func(value, count int64) bool {
@@ -204,7 +206,8 @@
 	return n
 }
 
-func (s *Sums) pairs() []int64 {
+// latencyPairs returns the histogram as pairs of delta-encoded value and count.
+func (s *Totals) latencyPairs() []int64 {
 	pairs := make([]int64, 0, 2*s.Latency.Populated())
 	var last int64
 	s.Latency.ForEachBucket(func(value, count int64) bool {
@@ -246,7 +249,7 @@
 func indexOfMessage(m *deliverypb.Index) (*index, error) {
 	l, ok := levelOf(m.GetKind())
 	if !ok {
-		return nil, Error.New("no level %q", m.GetKind())
+		return nil, Error.New("index has unknown level %q", m.GetKind())
 	}
 	x := &index{
 		level: l, Slot: fromMillis(m.GetSlotMs()), Shard: int(m.GetShard()), Serial: int(m.GetSerial()), Parts: int(m.GetParts()),
--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -17,19 +17,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// fleet is hosts that record deliveries, and the count of what each recorded.
+// fleet is a set of hosts that record deliveries, with a count of what each
+// recorded.
 type fleet struct {
-	t        fataler
-	cfg      Config
-	platform *objstoretest.Platform
-	live     atomic.Pointer[[]member.Host]
-	hosts    map[string]*host
-	recorded map[string]uint64 // by host and incarnation
-	runs     int
-	services []catalog.Service // whose burn is reported
+	t               fataler
+	cfg             Config
+	platform        *objstoretest.Platform
+	live            atomic.Pointer[[]member.Host]
+	hosts           map[string]*host
+	recorded        map[string]uint64 // by host and incarnation
+	lastIncarnation int
+	services        []catalog.Service // services whose burn is reported
 }
 
-// fataler is a test or a property.
+// fataler is implemented by tests and property checks.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
@@ -43,7 +44,7 @@
 	client    *objstoretest.Client
 }
 
-// view is the membership as one host sees it: all live hosts of the fleet.
+// view is the membership as seen by one host: all live hosts of the fleet.
 type view struct {
 	f    *fleet
 	self member.Host
@@ -64,8 +65,8 @@
 }
 
 func (f *fleet) start(id string) {
-	f.runs++
-	h := &host{info: member.Host{ID: id, Incarnation: uint64(f.runs), State: member.Alive}, client: f.platform.Client(), metrics: prometheus.NewRegistry()}
+	f.lastIncarnation++
+	h := &host{info: member.Host{ID: id, Incarnation: uint64(f.lastIncarnation), State: member.Alive}, client: f.platform.Client(), metrics: prometheus.NewRegistry()}
 	f.setHosts(append(slices.Clone(f.hostsNow()), h.info))
 	h.Windows = New(f.cfg, h.client, view{f, h.info}, event.Discard(), nil)
 	h.compactor = NewCompactor(f.cfg, h.client, view{f, h.info}, func() []Objective { return Objectives(f.services) }, event.Discard(), h.metrics)
@@ -74,8 +75,8 @@
 	_ = h.compactor.Start(context.Background())
 }
 
-// leave takes the host out of the membership and stops it; killed, it gets no
-// window out any more.
+// leave removes the host from the membership and stops it. A killed host writes
+// no more windows.
 func (f *fleet) leave(id string, killed bool) {
 	h := f.hosts[id]
 	delete(f.hosts, id)
@@ -109,7 +110,7 @@
 	}
 }
 
-// record gives each host n deliveries.
+// record records n deliveries on each host.
 func (f *fleet) record(n int) {
 	for _, id := range f.ids() {
 		h := f.hosts[id]
@@ -123,8 +124,8 @@
 func (h *host) key() string { return fmt.Sprintf("%s/%d", h.info.ID, h.info.Incarnation) }
 
 // delivery returns one of a few kinds of delivery. Its service is the run of
-// the host that records it, so that a report can be held against the fleet's
-// count run by run.
+// the recording host, so that a report can be compared with the fleet's counts
+// run by run.
 func delivery(run string, i int) Delivery {
 	return Delivery{
 		RequestID: fmt.Sprint("q", i), Caller: fmt.Sprint("shop", i%3), Service: run, Outcome: outcome.Done,
@@ -136,7 +137,7 @@
 	return NewReporter(f.cfg, f.platform.Client(), view{f, member.Host{}}, event.Discard())
 }
 
-// report returns the report on a time, by host and incarnation.
+// report returns the report on the last since, grouped by host and incarnation.
 func (f *fleet) report(since time.Duration) Report {
 	f.t.Helper()
 	r, err := f.reporter().Report(context.Background(), Query{Since: since, By: []Field{FieldService}})
@@ -146,17 +147,17 @@
 	return r
 }
 
-// differences holds a report against what the hosts recorded. A run that the
-// report vouches for must be there to the last delivery; of any other there
-// must not be more than was recorded.
+// differences compares a report with the deliveries that the hosts recorded.
+// For a run that the report states to be complete, the counts must be equal.
+// For any other run the report must not contain more than was recorded.
 func (f *fleet) differences(r Report) []string {
-	unvouched := map[string]bool{}
-	name := func(i Incarnation) { unvouched[fmt.Sprintf("%s/%d", i.Host, i.Number)] = true }
+	incomplete := map[string]bool{}
+	markIncomplete := func(i Incarnation) { incomplete[fmt.Sprintf("%s/%d", i.Host, i.Number)] = true }
 	for _, gap := range r.Completeness.Missing {
-		name(gap.Incarnation)
+		markIncomplete(gap.Incarnation)
 	}
 	for _, open := range r.Completeness.Open {
-		name(open.Incarnation)
+		markIncomplete(open.Incarnation)
 	}
 	reported := map[string]uint64{}
 	for _, l := range r.Lines {
@@ -164,9 +165,9 @@
 	}
 	var differences []string
 	for _, run := range slices.Sorted(maps.Keys(f.recorded)) {
-		vouched := !unvouched[run]
-		if n := f.recorded[run]; reported[run] > n || vouched && reported[run] != n {
-			differences = append(differences, fmt.Sprintf("%s: %d reported, %d recorded, vouched for: %t", run, reported[run], n, vouched))
+		complete := !incomplete[run]
+		if n := f.recorded[run]; reported[run] > n || complete && reported[run] != n {
+			differences = append(differences, fmt.Sprintf("%s: %d reported, %d recorded, stated complete: %t", run, reported[run], n, complete))
 		}
 	}
 	return differences
--- a/internal/delivery/flush.go
+++ b/internal/delivery/flush.go
@@ -7,26 +7,28 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// flush writes the pending windows, oldest first, until one fails or as many
-// as given are written, and those again that the platform may have lost.
-func (w *Windows) flush(ctx context.Context, most int) {
-	defer w.rewrite(ctx)
-	for range most {
+// flush writes at most maxWrites pending windows, oldest first, and stops at
+// the first failure. It then rewrites recent windows that a restore of the
+// platform may have lost.
+func (w *Windows) flush(ctx context.Context, maxWrites int) {
+	defer w.rewriteLostWindows(ctx)
+	for range maxWrites {
 		p := w.queue.head()
 		if p == nil {
 			return
 		}
 		if err := w.write(ctx, p); err != nil {
-			w.failed(p, err)
+			w.noteFailure(p, err)
 			return
 		}
-		w.written(p)
+		w.noteSuccess(p)
 	}
 }
 
-// write writes one window under a name that is its own, so that a write whose
-// answer was lost is told from one that was not applied, and never counts
-// twice. The value of a window in doubt stays what it was.
+// write writes one window under a name that no other window has. A retry
+// therefore conflicts with its own earlier write if that was applied, and the
+// window is never counted twice. While the result of a write is unknown, the
+// value of the window does not change.
 func (w *Windows) write(ctx context.Context, p *pending) error {
 	value, err := w.value(p)
 	if err != nil {
@@ -41,62 +43,64 @@
 	switch {
 	case err == nil:
 		w.metrics.bytes.Add(float64(len(value)))
-		w.keep(kind, name, value, o.Era)
+		w.addRecentWrite(kind, name, value, o.Era)
 		return nil
 	case errors.As(err, &conflict) && sameValue(conflict.Current.Value, value):
-		w.keep(kind, name, value, conflict.Current.Era) // an earlier try was applied
+		w.addRecentWrite(kind, name, value, conflict.Current.Era) // an earlier attempt was applied
 		return nil
 	case errors.As(err, &conflict):
-		return w.takeNextNumber(p)
+		return w.skipTakenNumber(p)
 	case errors.As(err, &unavailable):
-		return Error.New("write window %s: %w", p.window.name(), err) // not applied: it may still be joined
+		return Error.New("write window %s: %w", p.window.name(), err) // not applied: the window may still be merged with the next one
 	}
 	p.value = value
 	return Error.New("write window %s: %w", p.window.name(), err)
 }
 
-// kind returns the kind of the host's windows.
+// kind returns the platform kind of the host's windows.
 func (w *Windows) kind(host string) string {
 	return inShard(objstore.KindWindow, shardOf(host, w.cfg.Shards))
 }
 
-// value returns what to write: for a window in doubt the same as before.
+// value returns the value to write. If the result of an earlier write is
+// unknown, it is the same value as before.
 func (w *Windows) value(p *pending) ([]byte, error) {
 	if p.inDoubt() {
 		return p.value, nil
 	}
-	if w.numbered != p.window.Incarnation {
-		w.numbered, w.next = p.window.Incarnation, 0
+	if w.numberedIncarnation != p.window.Incarnation {
+		w.numberedIncarnation, w.nextNumber = p.window.Incarnation, 0
 	}
-	p.window.Number = w.next
+	p.window.Number = w.nextNumber
 	p.window.Start, _ = w.clock.at(p.opened)
 	p.window.End, _ = w.clock.at(p.closed)
 	return encodeWindow(p.window)
 }
 
-// takeNextNumber leaves a name that another process has taken.
-func (w *Windows) takeNextNumber(p *pending) error {
+// skipTakenNumber moves to the next number, as another process has written a
+// window with this one.
+func (w *Windows) skipTakenNumber(p *pending) error {
 	w.log.Event(evNameTaken).Str("window", p.window.name()).Msg("")
 	name := p.window.name()
-	w.next++
-	p.value = nil // it can't be applied any more under that name
-	return Error.New("write window %s: the name is taken", name)
+	w.nextNumber++
+	p.value = nil // the write can no longer be applied under the old name
+	return Error.New("write window %s: another process has written an object with this name", name)
 }
 
-// failed counts and logs a write that failed.
-func (w *Windows) failed(p *pending, err error) {
-	w.failures++
+// noteFailure counts and logs a failed write.
+func (w *Windows) noteFailure(p *pending, err error) {
+	w.consecutiveFailures++
 	w.metrics.failures.Inc()
 	w.log.Event(evWriteFailed).Str("window", p.window.name()).Int("pending", len(w.queue.items)).Err(err).Msg("")
 }
 
-// written takes the window off the queue and counts it.
-func (w *Windows) written(p *pending) {
-	if w.failures > 0 {
-		w.log.Event(evRecovered).Str("window", p.window.name()).Int("failures", w.failures).Msg("")
+// noteSuccess removes the written window from the queue and counts it.
+func (w *Windows) noteSuccess(p *pending) {
+	if w.consecutiveFailures > 0 {
+		w.log.Event(evRecovered).Str("window", p.window.name()).Int("failures", w.consecutiveFailures).Msg("")
 	}
-	w.failures = 0
-	w.next++
+	w.consecutiveFailures = 0
+	w.nextNumber++
 	w.queue.pop()
 	w.metrics.written.Inc()
 	w.metrics.pending.Set(float64(len(w.queue.items)))
--- a/internal/delivery/gather.go
+++ b/internal/delivery/gather.go
@@ -10,15 +10,15 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// timedRows are the sums of the deliveries of a slot, or of a window that no sum
-// holds yet.
+// timedRows are the rows of one slot of an aggregate, or of a window that is
+// not in an aggregate yet. end is the end of the slot or window.
 type timedRows struct {
 	end  time.Time
 	rows *deliverypb.Rows
 }
 
-// gathered is all that a report is made of.
-type gathered struct {
+// reportData is the data from which a report is built.
+type reportData struct {
 	now          time.Time // by the platform's clock
 	rows         []timedRows
 	records      []Record
@@ -27,15 +27,15 @@
 	completeness Completeness
 }
 
-// gatherTries bounds how often a report begins anew because a sum that it was
-// reading was replaced.
-const gatherTries = 3
+// maxGatherAttempts limits how often a shard is read for one report. A read
+// starts over if an aggregate is replaced by a coarser one meanwhile.
+const maxGatherAttempts = 3
 
-// gather reads what was delivered in the time since; single records only if they
-// are wanted.
-func (r *Reporter) gather(ctx context.Context, since time.Duration, withRecords bool) (*gathered, error) {
+// gather reads the deliveries of the last since. Individual records are read
+// only if withRecords is set.
+func (r *Reporter) gather(ctx context.Context, since time.Duration, withRecords bool) (*reportData, error) {
 	if _, ok := r.store.Now(); !ok {
-		if _, err := r.store.Hosts(ctx); err != nil { // any answer tells the time
+		if _, err := r.store.Hosts(ctx); err != nil { // any response carries the platform's time
 			return nil, Error.New("ask the platform for its time: %w", err)
 		}
 	}
@@ -43,26 +43,26 @@
 	if !ok {
 		return nil, Error.New("the platform has not told its time")
 	}
-	g := &gathered{now: now}
+	g := &reportData{now: now}
 	g.completeness.From = now.Add(-min(since, r.cfg.Retention.Std()))
 	for shard := range MaxShards {
 		if err := r.gatherShard(ctx, g, shard, withRecords); err != nil {
 			return nil, err
 		}
 	}
-	r.judge(g)
+	r.findMissing(g)
 	return g, nil
 }
 
-// gatherShard reads one shard, and begins anew if a sum was replaced by a
-// coarser one while it was read.
-func (r *Reporter) gatherShard(ctx context.Context, g *gathered, shard int, withRecords bool) error {
+// gatherShard reads one shard. It starts over if an aggregate was replaced by a
+// coarser one during the read.
+func (r *Reporter) gatherShard(ctx context.Context, g *reportData, shard int, withRecords bool) error {
 	var err error
-	for range gatherTries {
-		one := &gathered{completeness: Completeness{From: g.completeness.From}}
-		err = r.readShard(ctx, one, shard, withRecords)
+	for range maxGatherAttempts {
+		shardData := &reportData{completeness: Completeness{From: g.completeness.From}}
+		err = r.readShard(ctx, shardData, shard, withRecords)
 		if err == nil {
-			g.join(one)
+			g.merge(shardData)
 			return nil
 		}
 		if !errors.Is(err, errPartGone) {
@@ -73,8 +73,8 @@
 }
 
 // readShard lists windows and indexes at one revision, so that each window is
-// in exactly one place: in a sum, or by itself.
-func (r *Reporter) readShard(ctx context.Context, g *gathered, shard int, withRecords bool) error {
+// found in exactly one place: in an aggregate, or as an object of its own.
+func (r *Reporter) readShard(ctx context.Context, g *reportData, shard int, withRecords bool) error {
 	listing, err := r.store.List(ctx, inShard(objstore.KindWindow, shard), inShard(kindIndex, shard))
 	if err != nil {
 		return Error.New("list windows: %w", err)
@@ -83,18 +83,18 @@
 		g.now = now
 	}
 	indexes, windows := readIndexes(listing.Objects, nil, func(o objstore.Object, err error) { r.unreadable(g, o, err) })
-	summed := coveredBy(allSpans(indexes))
-	if err := r.addSums(ctx, g, indexes, withRecords); err != nil {
+	aggregated := windowSetOf(allSpans(indexes))
+	if err := r.addAggregates(ctx, g, indexes, withRecords); err != nil {
 		return err
 	}
 	for _, o := range windows {
-		r.addWindow(g, o, summed)
+		r.addWindow(g, o, aggregated)
 	}
 	return nil
 }
 
-// join adds what was read of a shard.
-func (g *gathered) join(from *gathered) {
+// merge adds the data of one shard.
+func (g *reportData) merge(from *reportData) {
 	if from.now.After(g.now) {
 		g.now = from.now
 	}
@@ -109,12 +109,13 @@
 	c.Unreadable = append(c.Unreadable, from.completeness.Unreadable...)
 }
 
-// addSums takes the sums of the report's time. A sum that is in a coarser one
-// too is on its way out.
-func (r *Reporter) addSums(ctx context.Context, g *gathered, indexes []*index, withRecords bool) error {
-	over := superseded(indexes)
+// addAggregates adds the aggregates within the time of the report. Aggregates
+// whose windows are all in coarser ones are skipped; they are about to be
+// removed.
+func (r *Reporter) addAggregates(ctx context.Context, g *reportData, indexes []*index, withRecords bool) error {
+	redundant := superseded(indexes)
 	wanted := slices.DeleteFunc(slices.Clone(indexes), func(x *index) bool {
-		return !x.end().After(g.completeness.From) || over[x]
+		return !x.end().After(g.completeness.From) || redundant[x]
 	})
 	reader, err := newPartReader(ctx, r.store, wanted)
 	if err != nil {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-func (g *gathered) addIndex(x *index) {
+func (g *reportData) addIndex(x *index) {
 	g.spans = append(g.spans, x.Spans...)
 	g.seen = append(g.seen, x.Seen...)
 	g.completeness.Windows += x.Windows
@@ -145,13 +146,13 @@
 	g.completeness.LeftOut += x.LeftOut
 }
 
-func (g *gathered) addRows(p timedRows) {
+func (g *reportData) addRows(p timedRows) {
 	if p.end.After(g.completeness.From) {
 		g.rows = append(g.rows, p)
 	}
 }
 
-func (g *gathered) addRecords(records []Record) {
+func (g *reportData) addRecords(records []Record) {
 	for _, rec := range records {
 		if rec.Until.After(g.completeness.From) {
 			g.records = append(g.records, rec)
@@ -159,19 +160,19 @@
 	}
 }
 
-// addWindow takes one window that no sum holds.
-func (r *Reporter) addWindow(g *gathered, o objstore.Object, summed covered) {
+// addWindow adds a window unless an aggregate contains it.
+func (r *Reporter) addWindow(g *reportData, o objstore.Object, aggregated windowSet) {
 	w, rows, err := decodeWindow(o.Value)
 	if err != nil {
 		r.unreadable(g, o, err)
 		return
 	}
-	if summed.holds(w.Incarnation, w.Number) {
+	if aggregated.contains(w.Incarnation, w.Number) {
 		return
 	}
 	g.spans = append(g.spans, spanOf(w))
 	g.seen = append(g.seen, w.Seen...)
-	end := endOf(w, o)
+	end := windowEnd(w, o)
 	if !end.After(g.completeness.From) {
 		return
 	}
@@ -182,42 +183,48 @@
 	g.addRecords(w.datedRecords(end))
 }
 
-// endOf returns when a window ended; if its host did not know, when it was written.
-func endOf(w *Window, o objstore.Object) time.Time {
+// windowEnd returns the end time of a window, or its write time if its host did
+// not know the platform's clock.
+func windowEnd(w *Window, o objstore.Object) time.Time {
 	if w.End.IsZero() {
 		return o.Created
 	}
 	return w.End
 }
 
-func (r *Reporter) unreadable(g *gathered, o objstore.Object, err error) {
+func (r *Reporter) unreadable(g *reportData, o objstore.Object, err error) {
 	name := o.Kind + "/" + o.Name
 	r.log.Event(evUnreadable).Str("object", name).Err(err).Msg("")
 	g.completeness.Unreadable = append(g.completeness.Unreadable, name)
 }
 
-// judge finds what is missing, by the hosts that live now.
-func (r *Reporter) judge(g *gathered) {
-	p := presence{spans: g.spans, seen: g.seen, from: g.completeness.From, now: g.now}
+// findMissing determines which windows are missing, based on the hosts that are
+// alive now. Without a membership view a host counts as alive until its next
+// window is overdue.
+func (r *Reporter) findMissing(g *reportData) {
+	p := hostEvidence{spans: g.spans, seen: g.seen, from: g.completeness.From, now: g.now}
 	if r.view == nil {
-		p.late = r.overdue(len(g.hosts()))
-		p.live = p.punctual()
-		p.judge(&g.completeness)
+		p.overdueAfter = r.overdueAfter(len(g.hosts()))
+		p.live = p.notOverdue()
+		p.fillIncomplete(&g.completeness)
 		return
 	}
 	hosts := r.view.Hosts()
-	p.late = r.overdue(len(hosts))
+	p.overdueAfter = r.overdueAfter(len(hosts))
 	for _, h := range hosts {
 		p.live = append(p.live, Incarnation{Host: h.ID, Number: h.Incarnation})
 	}
-	p.judge(&g.completeness)
+	p.fillIncomplete(&g.completeness)
 }
 
-// overdue returns how long after a host's newest window the next one is overdue.
-func (r *Reporter) overdue(hosts int) time.Duration { return 2*r.cfg.interval(hosts) + lateGrace }
+// overdueAfter returns the time from the end of a host's newest window after
+// which its next one is overdue.
+func (r *Reporter) overdueAfter(hosts int) time.Duration {
+	return 2*r.cfg.interval(hosts) + maxWriteDelay
+}
 
-// hosts returns the hosts that have written windows.
-func (g *gathered) hosts() map[string]bool {
+// hosts returns the ids of the hosts that have written windows.
+func (g *reportData) hosts() map[string]bool {
 	hosts := map[string]bool{}
 	for _, s := range g.spans {
 		hosts[s.Host] = true
@@ -225,5 +232,6 @@
 	return hosts
 }
 
-// lateGrace is what a window may take from its end into the platform.
-const lateGrace = 5 * time.Second
+// maxWriteDelay is the time allowed from the end of a window until it is stored
+// in the platform.
+const maxWriteDelay = 5 * time.Second
--- a/internal/delivery/gauge.go
+++ b/internal/delivery/gauge.go
@@ -7,10 +7,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// burnGauge exports the burn of all objectives as metrics. Only the host that
-// computed it last has values, so that a fleet computes them once; the host
-// before it drops its values within checkInterval. A metric beside them says how
-// much the report lacks. A scrape sees one report, whole.
+// burnGauge exports the burn rates of all objectives as metrics. Only the host
+// that computed them last exports values, so that a fleet computes them once;
+// the previous host clears its values within checkInterval. A second metric
+// counts the hosts that the report lacks windows of. All values of a scrape are
+// from one report.
 type burnGauge struct {
 	reporter   *Reporter
 	objectives func() []Objective
@@ -18,7 +19,7 @@
 	missing    *prometheus.Desc
 
 	mu     sync.Mutex
-	report *BurnReport // nil: this host exports none
+	report *BurnReport // nil: this host exports no values
 }
 
 func newBurnGauge(r *Reporter, objectives func() []Objective, reg prometheus.Registerer) *burnGauge {
@@ -60,7 +61,7 @@
 	ch <- prometheus.MustNewConstMetric(g.missing, prometheus.GaugeValue, float64(missing))
 }
 
-// clear drops the values of this host.
+// clear stops the export of values from this host.
 func (g *burnGauge) clear() { g.setReport(nil) }
 
 func (g *burnGauge) setReport(r *BurnReport) {
@@ -69,7 +70,7 @@
 	g.report = r
 }
 
-// update computes the burn and exports it from this host.
+// update computes the burn rates and exports them from this host.
 func (g *burnGauge) update(ctx context.Context) error {
 	objectives := g.objectives()
 	if len(objectives) == 0 {
--- a/internal/delivery/kept.go
+++ b/internal/delivery/kept.go
@@ -8,59 +8,58 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// The platform may come back from an older copy, without the windows that were written since. A host keeps its last ones for that
-// long, and writes them again.
+// recentWriteRetention is how long a host keeps a window after it was written. The platform may be restored from an
+// older copy that lacks the newest windows; the host then rewrites those it has kept. The time is longer than the age
+// of a restored copy, and shorter than the time after which windows are aggregated and removed.
+const recentWriteRetention = 30 * time.Second
 
-// keepWritten is how long a window is kept after it was written: more than the age of a copy, and less than the time after which
-// windows are summed up and removed.
-const keepWritten = 30 * time.Second
-
-// writtenWindow is a window that is in the platform, as far as an era goes.
+// writtenWindow is a window that was written to the platform.
 type writtenWindow struct {
 	kind, name string
 	value      []byte
-	at         time.Time
-	era        uint64 // in which it was written
+	writtenAt  time.Time
+	era        uint64 // the platform's era in which it was last written
 }
 
-// keep keeps a window that was written, and forgets those from before.
-func (w *Windows) keep(kind, name string, value []byte, era uint64) {
+// addRecentWrite adds a written window and drops those that are past recentWriteRetention.
+func (w *Windows) addRecentWrite(kind, name string, value []byte, era uint64) {
 	now := time.Now()
-	kept := w.kept[:0]
-	for _, one := range w.kept {
-		if now.Sub(one.at) < keepWritten {
-			kept = append(kept, one)
+	kept := w.recentWrites[:0]
+	for _, written := range w.recentWrites {
+		if now.Sub(written.writtenAt) < recentWriteRetention {
+			kept = append(kept, written)
 		}
 	}
-	w.kept = append(kept, writtenWindow{kind, name, value, now, era})
+	w.recentWrites = append(kept, writtenWindow{kind, name, value, now, era})
 }
 
-// rewrite writes the windows again that an older copy may lack. It goes on with the next flush where a write fails.
-func (w *Windows) rewrite(ctx context.Context) {
+// rewriteLostWindows rewrites the recent windows that were written in an earlier era and may have been lost. It stops
+// at the first failure; the next flush continues.
+func (w *Windows) rewriteLostWindows(ctx context.Context) {
 	era := w.store.Era()
-	for i, one := range w.kept {
-		if one.era >= era || time.Since(one.at) >= keepWritten {
+	for i, written := range w.recentWrites {
+		if written.era >= era || time.Since(written.writtenAt) >= recentWriteRetention {
 			continue
 		}
-		if err := w.writeAgain(ctx, one); err != nil {
-			w.log.Event(evRewriteFailed).Str("window", one.name).Uint64("era", era).Err(err).Msg("")
+		if err := w.rewriteWindow(ctx, written); err != nil {
+			w.log.Event(evRewriteFailed).Str("window", written.name).Uint64("era", era).Err(err).Msg("")
 			return
 		}
-		w.log.Event(evRewritten).Str("window", one.name).Uint64("before", one.era).Uint64("era", era).Msg("")
-		w.kept[i].era = era
+		w.log.Event(evRewritten).Str("window", written.name).Uint64("before", written.era).Uint64("era", era).Msg("")
+		w.recentWrites[i].era = era
 	}
 }
 
-// writeAgain writes a window unless the copy has it.
-func (w *Windows) writeAgain(ctx context.Context, one writtenWindow) error {
+// rewriteWindow writes a window unless the platform still has it.
+func (w *Windows) rewriteWindow(ctx context.Context, written writtenWindow) error {
 	ctx, cancel := context.WithTimeout(ctx, w.cfg.WriteTimeout.Std())
 	defer cancel()
-	_, err := w.store.Put(ctx, one.kind, one.name, 0, one.value)
+	_, err := w.store.Put(ctx, written.kind, written.name, 0, written.value)
 	if conflict := (*objstore.Conflict)(nil); errors.As(err, &conflict) {
 		return nil
 	}
 	if err != nil {
-		return Error.New("write window %s again: %w", one.name, err)
+		return Error.New("rewrite window %s: %w", written.name, err)
 	}
 	return nil
 }
--- a/internal/delivery/key.go
+++ b/internal/delivery/key.go
@@ -12,8 +12,8 @@
 // Band is a range of coverage.
 type Band string
 
-// Bands of coverage. BandNone has no shard answered; BandReservation is the
-// band of what has no coverage.
+// Bands of coverage. BandNone means that no shard answered. BandReservation is
+// the band of reservations, which have no coverage.
 const (
 	BandFull        Band = "full"
 	BandOver99      Band = "over_99"
@@ -42,7 +42,7 @@
 	return BandNone
 }
 
-// Key is what deliveries are summed by.
+// Key identifies the group in which deliveries are counted.
 type Key struct {
 	Caller   string
 	Service  string
@@ -52,7 +52,7 @@
 	Snapshot uint64
 }
 
-// Other stands for the callers and services that were folded into one.
+// Other replaces callers and services that were folded together.
 const Other = "(other)"
 
 func keyOf(d Delivery) Key {
@@ -72,7 +72,7 @@
 	)
 }
 
-// Field is a part of the key by which a report filters and groups.
+// Field is a part of the key by which reports filter and group.
 type Field string
 
 // Fields of the key.
@@ -85,10 +85,10 @@
 	FieldSnapshot Field = "snapshot"
 )
 
-// Fields are all fields, in the order of a report's columns.
+// Fields lists all fields, in the order of a report's columns.
 var Fields = []Field{FieldCaller, FieldService, FieldOutcome, FieldReason, FieldCoverage, FieldSnapshot}
 
-// Value returns the field of the key as text.
+// Value returns the value of a field as text.
 func (k Key) Value(f Field) string {
 	switch f {
 	case FieldCaller:
@@ -107,7 +107,7 @@
 	return ""
 }
 
-// project returns the key with only the given fields set.
+// project returns a key with only the given fields set.
 func (k Key) project(by []Field) Key {
 	var p Key
 	for _, f := range by {
@@ -129,4 +129,4 @@
 	return p
 }
 
-func known(f Field) bool { return slices.Contains(Fields, f) }
+func isField(f Field) bool { return slices.Contains(Fields, f) }
--- a/internal/delivery/metrics.go
+++ b/internal/delivery/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics of the windows that this host writes.
+// metrics are the metrics of the windows that this host writes.
 type metrics struct {
 	answers  *prometheus.CounterVec
 	folded   prometheus.Counter
--- a/internal/delivery/objective.go
+++ b/internal/delivery/objective.go
@@ -10,27 +10,28 @@
 	"rhubarbwood.example/rhubarbwood/internal/routing"
 )
 
-// Aim is what an objective is about.
+// Aim is the quantity that an objective is about.
 type Aim string
 
 // Aims.
 const (
-	AimLatency  Aim = "latency"  // answered, within the threshold
+	AimLatency  Aim = "latency"  // answered within the threshold
 	AimCoverage Aim = "coverage" // answered from every shard
 )
 
-// Objective is what a service promises: of the requests that count, at least
-// Ratio are good.
+// Objective is a service-level objective: of the requests to which it applies,
+// at least the fraction Ratio is good.
 type Objective struct {
-	Service   string // or a workload, for requests that ask the whole of one, or the route of forwarded ones
+	Service   string // or a workload, for requests to the whole workload, or the route of forwarded requests
 	Aim       Aim
-	Threshold time.Duration // of AimLatency
+	Threshold time.Duration // only for AimLatency
 	Ratio     float64       // 0..1
 }
 
-// Objectives returns the objectives that services name in their rules, and
-// those of the workloads: a request to a whole workload is as slow as its
-// slowest service may be, and as complete as its least complete one.
+// Objectives returns the objectives from the rules of the services, and those
+// of their workloads. A request to a whole workload may be as slow as its
+// slowest service and as incomplete as its least complete service, so its
+// objective has the loosest values of its services.
 func Objectives(services []catalog.Service) []Objective {
 	byKey := map[[2]string]Objective{}
 	for _, s := range services {
@@ -55,8 +56,8 @@
 	}
 }
 
-// RouteObjectives returns the objectives of routes. A route names the latency
-// only; the ratios are those that a service has by default.
+// RouteObjectives returns the objectives of routes. A route only configures the
+// latency threshold; the ratios are the defaults of a service.
 func RouteObjectives(routes []routing.Route) []Objective {
 	ratios := catalog.DefaultRules()
 	var all []Objective
--- a/internal/delivery/parts.go
+++ b/internal/delivery/parts.go
@@ -8,16 +8,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// partReader reads the parts of sums: each by itself when few are wanted, all
-// of a kind at once when many are.
+// partReader reads the parts of aggregates: with one read per part, or with one
+// list of a kind if many of its parts are needed.
 type partReader struct {
 	store  objstore.Store
-	listed map[string]map[string][]byte // by kind and name
+	listed map[string]map[string][]byte // values by kind and name
 }
 
-// manyParts is the number of parts from which one list of a kind is cheaper
-// than a read of each, in calls to the platform.
-const manyParts = 40
+// minPartsToList is the number of parts from which one list of a kind costs the
+// platform less than one read per part.
+const minPartsToList = 40
 
 func newPartReader(ctx context.Context, store objstore.Store, wanted []*index) (*partReader, error) {
 	r := &partReader{store: store, listed: map[string]map[string][]byte{}}
@@ -26,7 +26,7 @@
 		parts[x.partKind()] += x.Parts
 	}
 	for kind, n := range parts {
-		if n < manyParts {
+		if n < minPartsToList {
 			continue
 		}
 		if err := r.list(ctx, kind); err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// errPartGone means that a sum was replaced by a coarser one, or that its time
-// was over, after its index was read.
+// errPartGone means that an aggregate was removed after its index was read: it
+// was replaced by a coarser one, or was past retention.
 var errPartGone = Error.New("a part of a sum is gone")
 
 // part returns the value of a part.
@@ -71,22 +71,22 @@
 	return o.Value, nil
 }
 
-// rows calls take for each slot's rows in the parts of a sum.
-func (r *partReader) rows(ctx context.Context, x *index, take func(timedRows)) error {
+// rows calls visit for each slot's rows in the parts of an aggregate.
+func (r *partReader) rows(ctx context.Context, x *index, visit func(timedRows)) error {
 	for i := range x.Parts {
 		value, err := r.part(ctx, x.partKind(), partName(x.name(), i))
 		if err != nil {
 			return err
 		}
-		if err := eachSlot(value, take); err != nil {
+		if err := eachSlot(value, visit); err != nil {
 			return Error.New("read %s/%s: %w", x.partKind(), partName(x.name(), i), err)
 		}
 	}
 	return nil
 }
 
-// eachSlot calls take for each slot's rows in a part.
-func eachSlot(value []byte, take func(timedRows)) error {
+// eachSlot calls visit for each slot's rows in a part.
+func eachSlot(value []byte, visit func(timedRows)) error {
 	m := &deliverypb.RowPart{}
 	if err := decode(value, m); err != nil {
 		return err
@@ -95,12 +95,12 @@
 		if err := checkRows(slot.GetRows()); err != nil {
 			return err
 		}
-		take(timedRows{end: fromMillis(slot.GetEndMs()), rows: slot.GetRows()})
+		visit(timedRows{end: fromMillis(slot.GetEndMs()), rows: slot.GetRows()})
 	}
 	return nil
 }
 
-// records returns the single records of a sum.
+// records returns the individual records of an aggregate.
 func (r *partReader) records(ctx context.Context, x *index) ([]Record, error) {
 	var all []Record
 	for _, set := range x.Records {
--- a/internal/delivery/plot.go
+++ b/internal/delivery/plot.go
@@ -21,15 +21,15 @@
 	Rate float64
 }
 
-// Series is the burn of one objective over time.
+// Series is the burn rate of one objective over time.
 type Series struct {
 	Objective Objective
 	Points    []Point
 }
 
-// BurnSeries returns the burn of every objective over the time since, one
-// point for each step in which anything counts. The step is five minutes, or
-// an hour past six hours.
+// BurnSeries returns the burn rate of every objective over the last since, with
+// one point for each step that has requests to which the objective applies. The
+// step is five minutes, or an hour if since exceeds six hours.
 func (r *Reporter) BurnSeries(ctx context.Context, objectives []Objective, since time.Duration) ([]Series, Completeness, error) {
 	g, err := r.gather(ctx, since, false)
 	if err != nil {
@@ -48,10 +48,10 @@
 	return all, g.completeness, nil
 }
 
-func (g *gathered) series(o Objective, step level) Series {
+func (g *reportData) series(o Objective, step level) Series {
 	burns := map[time.Time]*ObjectiveBurn{}
 	for _, p := range g.rows {
-		end := step.ended(p.end)
+		end := step.slotEnd(p.end)
 		if burns[end] == nil {
 			burns[end] = &ObjectiveBurn{Objective: o, Burns: []Burn{{Window: step.slot}}}
 		}
@@ -60,7 +60,7 @@
 	s := Series{Objective: o}
 	for end, b := range burns {
 		if total := b.Burns[0].Total; total > 0 {
-			s.Points = append(s.Points, Point{End: end, Rate: o.rate(total, b.Burns[0].Bad)})
+			s.Points = append(s.Points, Point{End: end, Rate: o.burnRate(total, b.Burns[0].Bad)})
 		}
 	}
 	slices.SortFunc(s.Points, func(a, b Point) int { return a.End.Compare(b.End) })
@@ -72,8 +72,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// PlotBurn draws series as "svg" or "png". The title tells whether anything
-// is missing in them.
+// PlotBurn draws series as "svg" or "png". The title states whether windows are
+// missing.
 func PlotBurn(w io.Writer, format string, series []Series, c Completeness) error {
 	p := plot.New()
 	p.Title.Text = "Service-level burn"
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// addBudgetLine draws the rate at which the budget lasts exactly its period.
+// addBudgetLine draws burn rate 1, at which the error budget lasts exactly for
+// its period.
 func addBudgetLine(p *plot.Plot, c Completeness) {
 	if c.From.IsZero() || !c.To.After(c.From) {
 		return
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// pending is a closed window that is not yet known to be in the platform.
+// pending is a closed window whose write to the platform is not confirmed.
 type pending struct {
 	window *Window
 	opened time.Time // monotonic
 	closed time.Time // monotonic
-	value  []byte    // set once a write may have been applied; from then on the window is not changed
+	value  []byte    // set once a write may have been applied; from then on the window does not change
 }
 
+// inDoubt reports whether an earlier write of the window may have been applied.
 func (p *pending) inDoubt() bool { return p.value != nil }
 
-// queue holds the pending windows, oldest first. Only the first is ever
-// written, so only the first can be in doubt.
+// queue holds the pending windows, oldest first. Only the first one is ever
+// written, so only the first one can be in doubt.
 type queue struct {
 	items  []*pending
-	merged uint64 // windows that were joined to an older one
+	merged uint64 // number of windows that were merged into an older one
 }
 
-// push adds a closed window. Past the bound two old ones that follow each
-// other become one: totals stay, only the moments grow coarser.
+// push adds a closed window. Beyond MaxPending, the two oldest consecutive
+// windows that can be merged become one: totals are kept, and only the time
+// resolution becomes coarser.
 func (q *queue) push(p *pending, cfg Config) {
 	q.items = append(q.items, p)
 	if len(q.items) <= cfg.MaxPending {
--- a/internal/delivery/record.go
+++ b/internal/delivery/record.go
@@ -8,8 +8,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Record is one delivery that is kept as it was: a reservation, a refusal or
-// a partial answer.
+// Record is an individual delivery that is stored unaggregated: a reservation,
+// a refusal or a partial answer.
 type Record struct {
 	Request     string
 	Reservation string
@@ -21,8 +21,8 @@
 	Snapshot    uint64
 	Latency     time.Duration
 	Attempts    int
-	Host        string    // that answered; set when read
-	Until       time.Time // end of its window; set when read
+	Host        string    // host that answered the request; set when read
+	Until       time.Time // end of the record's window; set when read
 }
 
 func recordOf(d Delivery) Record {
@@ -33,12 +33,12 @@
 	}
 }
 
-// exceptional reports whether a search was refused or answered in part.
+// exceptional reports whether a search was refused or only partially answered.
 func exceptional(d Delivery) bool {
 	return d.Reason != "" || d.Outcome != outcome.Done || d.Coverage < 1
 }
 
-// records are the single records of a window, bounded in number.
+// records holds the individual records of a window, limited in number.
 type records struct {
 	reservations sample
 	exceptions   sample
@@ -66,8 +66,8 @@
 	return append(all, r.exceptions.kept...)
 }
 
-// sample keeps at most a number of records, each offered one with the same
-// chance, and knows how many were offered.
+// sample is a uniform random sample of limited size (reservoir sampling) that
+// counts how many records were offered to it.
 type sample struct {
 	kept    []Record
 	offered uint64
@@ -75,9 +75,9 @@
 
 func (s *sample) leftOut() uint64 { return s.offered - uint64(len(s.kept)) }
 
-func (s *sample) add(r Record, most int) {
+func (s *sample) add(r Record, maxKept int) {
 	s.offered++
-	if len(s.kept) < most {
+	if len(s.kept) < maxKept {
 		s.kept = append(s.kept, r)
 		return
 	}
@@ -86,20 +86,20 @@
 	}
 }
 
-// merge takes records of both samples, as many of each as it has in the sum
-// of what was offered.
-func (s *sample) merge(from *sample, most int) {
+// merge merges two samples. Each contributes in proportion to the number of
+// records that it was offered.
+func (s *sample) merge(from *sample, maxKept int) {
 	offered := s.offered + from.offered
-	if len(s.kept)+len(from.kept) <= most {
+	if len(s.kept)+len(from.kept) <= maxKept {
 		s.kept = append(s.kept, from.kept...)
 		s.offered = offered
 		return
 	}
-	share := uint64(most) * s.offered / offered
-	mine := min(len(s.kept), max(int(share), most-len(from.kept)))
-	s.kept = append(s.kept[:mine:mine], from.kept[:most-mine]...)
+	share := uint64(maxKept) * s.offered / offered
+	ownCount := min(len(s.kept), max(int(share), maxKept-len(from.kept)))
+	s.kept = append(s.kept[:ownCount:ownCount], from.kept[:maxKept-ownCount]...)
 	s.offered = offered
 }
 
-// halve leaves out the second half of the records.
+// halve drops the second half of the records.
 func (s *sample) halve() { s.kept = s.kept[:len(s.kept)/2] }
--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -12,58 +12,59 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// Filter keeps the deliveries whose field has, or with Not has not, the value.
+// Filter selects the deliveries whose field has the value, or with Not set
+// those whose field has another value.
 type Filter struct {
 	Field Field
 	Not   bool
 	Value string
 }
 
-func (f Filter) keeps(k Key) bool { return (k.Value(f.Field) == f.Value) != f.Not }
+func (f Filter) matches(k Key) bool { return (k.Value(f.Field) == f.Value) != f.Not }
 
-// Query asks for a report on the time since.
+// Query specifies a report.
 type Query struct {
-	Since time.Duration // back from now; 0: an hour
-	Where []Filter      // all must hold
-	By    []Field       // what to sum by; none: one line for all
+	Since time.Duration // length of the reported period, which ends now; 0: an hour
+	Where []Filter      // all must match
+	By    []Field       // fields to group by; none: one line for all deliveries
 }
 
-const defaultSince = time.Hour
+const defaultReportPeriod = time.Hour
 
-// Validate reports unknown fields.
+// Validate returns an error if the query names an unknown field.
 func (q Query) Validate() error {
 	for _, f := range q.Where {
-		if !known(f.Field) {
+		if !isField(f.Field) {
 			return Error.New("no field %q, want one of %v", f.Field, Fields)
 		}
 	}
 	for _, f := range q.By {
-		if !known(f) {
+		if !isField(f) {
 			return Error.New("no field %q, want one of %v", f, Fields)
 		}
 	}
 	return nil
 }
 
-func (q Query) keeps(k Key) bool {
-	return !slices.ContainsFunc(q.Where, func(f Filter) bool { return !f.keeps(k) })
+func (q Query) matches(k Key) bool {
+	return !slices.ContainsFunc(q.Where, func(f Filter) bool { return !f.matches(k) })
 }
 
-// Line is the deliveries of one group. Only the fields of the key by which
-// the report is summed are set.
+// Line contains the deliveries of one group. Only the key fields by which the
+// report is grouped are set.
 type Line struct {
 	Key  Key
-	Sums *Sums
+	Sums *Totals
 }
 
-// Report is the answer to a Query. Lines are sorted by key.
+// Report is the result of a Query. Lines are sorted by key.
 type Report struct {
 	Query        Query
 	Lines        []Line
 	Completeness Completeness
 }
 
-// Total returns the deliveries in the report.
+// Total returns the number of deliveries in the report.
 func (r Report) Total() uint64 {
 	var n uint64
 	for _, l := range r.Lines {
@@ -72,7 +73,7 @@
 	return n
 }
 
-// Reporter merges windows of all hosts from the platform.
+// Reporter merges the windows of all hosts from the platform.
 type Reporter struct {
 	cfg   Config
 	store objstore.Store
@@ -80,25 +81,26 @@
 	log   *event.Log
 }
 
-// NewReporter returns a reporter. Any host can have one. Without a view of the
-// hosts one counts as alive until its next window is overdue.
+// NewReporter returns a reporter. Any host can run one. If view is nil, a host
+// counts as alive until its next window is overdue.
 func NewReporter(cfg Config, store objstore.Store, view member.View, log *event.Log) *Reporter {
 	return &Reporter{cfg: cfg, store: store, view: view, log: log}
 }
 
-// Report sums the deliveries of the query's time and says what it lacks. It
-// fails only if the platform does not answer or the query is wrong.
+// Report returns the deliveries of the query's period, and states what is
+// missing. It fails only if the platform cannot be read or the query is
+// invalid.
 func (r *Reporter) Report(ctx context.Context, q Query) (Report, error) {
 	if err := q.Validate(); err != nil {
 		return Report{}, err
 	}
-	g, err := r.gather(ctx, cmp.Or(q.Since, defaultSince), false)
+	g, err := r.gather(ctx, cmp.Or(q.Since, defaultReportPeriod), false)
 	if err != nil {
 		return Report{}, err
 	}
-	lines := map[Key]*Sums{}
+	lines := map[Key]*Totals{}
 	for _, p := range g.rows {
-		q.sum(lines, p.rows)
+		q.addRows(lines, p.rows)
 	}
 	report := Report{Query: q, Completeness: g.completeness}
 	for k, s := range lines {
@@ -108,22 +110,23 @@
 	return report, nil
 }
 
-func (q Query) sum(lines map[Key]*Sums, from *deliverypb.Rows) {
+func (q Query) addRows(lines map[Key]*Totals, from *deliverypb.Rows) {
 	eachRow(from, func(k Key, row *deliverypb.Row) {
-		if !q.keeps(k) {
+		if !q.matches(k) {
 			return
 		}
 		group := k.project(q.By)
 		if lines[group] == nil {
-			lines[group] = newSums()
+			lines[group] = newTotals()
 		}
 		lines[group].addRow(row)
 	})
 }
 
-// Records returns the single records of the query's time, newest first.
+// Records returns the individual records of the last since that keep accepts,
+// newest first.
 func (r *Reporter) Records(ctx context.Context, since time.Duration, keep func(Record) bool) ([]Record, Completeness, error) {
-	g, err := r.gather(ctx, cmp.Or(since, defaultSince), true)
+	g, err := r.gather(ctx, cmp.Or(since, defaultReportPeriod), true)
 	if err != nil {
 		return nil, Completeness{}, err
 	}
--- a/internal/delivery/restore_test.go
+++ b/internal/delivery/restore_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The platform comes back from a copy that lacks the last windows of running hosts. Reports have them all the same: each host
-// writes its own again.
-func TestWindowsOutliveAnOlderCopy(t *testing.T) {
+// The platform is restored from a copy that lacks the last windows of running hosts. Reports still contain them,
+// because each host rewrites its own.
+func TestWindowsSurviveRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 3)
@@ -36,8 +36,9 @@
 	})
 }
 
-// Hosts are killed, stopped and started again, over a platform that goes down, loses requests and answers, and comes back from
-// older copies, while windows are summed up: reports never tell more than was recorded, and name what they lack.
+// Kills, stops and restarts hosts while the platform has outages, loses requests and responses, and is restored from
+// older copies. Windows are aggregated meanwhile. Reports never contain more than was recorded, and list what they
+// lack.
 func TestTotalsOverRestores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(inBubble{t}, func(rt *rapid.T) {
--- a/internal/delivery/rollup.go
+++ b/internal/delivery/rollup.go
@@ -13,17 +13,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// Kinds of the objects that hold the sums of many windows, apart from the kind
-// of their parts, which is the level's. A sum is one index and its parts. The
-// index is written last, so a sum without one does not count; it tells which
-// windows the sum holds, so none counts twice.
+// kindIndex is the kind of the indexes of aggregates. The parts of an aggregate
+// have another kind, which depends on its level. An aggregate consists of one
+// index and its parts. The index is written last, and an aggregate without an
+// index does not count. The index lists the windows in the aggregate, so that
+// none is counted twice.
 const kindIndex = "window-index"
 
-// MaxShards is the number of shards that are read. A host's windows are all in
-// one shard, so shards are summed and read apart, each within bounds.
+// MaxShards is the number of shards that are read. All windows of a host are in
+// one shard, so shards are aggregated and read independently, each of limited
+// size.
 const MaxShards = 16
 
-// inShard returns the kind in a shard.
+// inShard returns the platform kind for kind in a shard.
 func inShard(kind string, shard int) string {
 	if shard == 0 {
 		return kind
@@ -36,20 +38,22 @@
 	return int(xxhash.Sum64String(host) % uint64(shards))
 }
 
-// level is one resolution of sums. Windows belong to the slot in which the
-// platform created them: once that has passed, no window can come to it.
+// level is one time resolution of aggregates. A window belongs to the slot in
+// which the platform created it: once the slot has passed, no window can be
+// added to it.
 type level struct {
-	order int    // in levels
-	kind  string // of its parts
-	slot  time.Duration
-	keep  time.Duration // after the next level's slot, in which its sums stay as they are
+	order      int    // index in levels
+	kind       string // of the parts of its aggregates
+	slot       time.Duration
+	mergeDelay time.Duration // time from the end of the next level's slot until this level's aggregates are merged into it
 }
 
-// levels are the resolutions, finest first. The burn over five minutes is known
-// to the minute, the burn over an hour and six to five minutes.
+// levels are the time resolutions, finest first. The burn rate over five
+// minutes has a resolution of one minute; the burn rates over one and six hours
+// have a resolution of five minutes.
 var levels = []level{
-	{order: 0, kind: "window-1m", slot: time.Minute, keep: 10 * time.Minute},
-	{order: 1, kind: "window-5m", slot: 5 * time.Minute, keep: 7 * time.Hour},
+	{order: 0, kind: "window-1m", slot: time.Minute, mergeDelay: 10 * time.Minute},
+	{order: 1, kind: "window-5m", slot: 5 * time.Minute, mergeDelay: 7 * time.Hour},
 	{order: 2, kind: "window-1h", slot: time.Hour},
 }
 
@@ -62,43 +66,44 @@
 	return level{}, false
 }
 
-// slotGrace is how long after the end of a slot its windows are summed up at the
-// earliest. It allows for hosts that know the platform's clock to a few seconds
-// only.
+// slotGrace is the minimum time from the end of a slot until its windows are
+// aggregated. It allows for hosts whose estimate of the platform's clock is off
+// by a few seconds.
 const slotGrace = 15 * time.Second
 
 func (l level) slotOf(t time.Time) time.Time { return t.UTC().Truncate(l.slot) }
 
-// ended returns the end of the slot in which t is the end of a window.
-func (l level) ended(t time.Time) time.Time { return l.slotOf(t.Add(-1)).Add(l.slot) }
+// slotEnd returns the end of the slot that contains a window ending at t.
+func (l level) slotEnd(t time.Time) time.Time { return l.slotOf(t.Add(-1)).Add(l.slot) }
 
-// partName names one of the objects that hold the rows or records of a sum.
+// partName returns the name of one part of the rows or records of an aggregate.
 func partName(name string, part int) string { return fmt.Sprintf("%s.%d", name, part) }
 
-// index is the head of a sum.
+// index describes an aggregate.
 type index struct {
 	level   level
 	Slot    time.Time
 	Shard   int
-	Serial  int // of several sums of one slot
+	Serial  int // distinguishes several aggregates of one slot
 	Parts   int
 	Records []recordSet
 	Windows uint64
 	Spans   []Span
-	Seen    []Incarnation // that have no window in the sum
+	Seen    []Incarnation // incarnations that were seen by other hosts and have no window in the aggregate
 	Folded  uint64
 	LeftOut uint64
 
-	version uint64 // in the platform
+	version uint64 // object version in the platform
 }
 
-// recordSet names the objects that hold the single records of a sum.
+// recordSet names the objects that contain individual records of an aggregate.
 type recordSet struct {
 	Name  string
 	Parts int
 }
 
-// name is that of the index; its parts have it with their number.
+// name returns the name of the index. The names of its parts add the part
+// number.
 func (x *index) name() string {
 	return fmt.Sprintf("%s.%d.%d.%d", x.level.kind, x.Shard, x.Slot.Unix(), x.Serial)
 }
@@ -109,19 +114,20 @@
 
 func (x *index) end() time.Time { return x.Slot.Add(x.level.slot) }
 
-// sum adds windows up.
-type sum struct {
+// aggregate accumulates the rows and records of many windows.
+type aggregate struct {
 	index   index
-	rows    map[time.Time]*rows // by end of the slot in which they were delivered, which may be earlier than the sum's
+	rows    map[time.Time]*rows // by end of the slot in which they were delivered, which may be earlier than the aggregate's slot
 	records []Record
 }
 
-// maxSumKeys bounds the keys of one slot in a sum.
-const maxSumKeys = 50_000
+// maxAggregateKeys limits the keys of one slot in an aggregate.
+const maxAggregateKeys = 50_000
 
-// newSum returns an empty sum for the slot, beside those that the slot has.
-func newSum(l level, shard int, slot time.Time, indexes []*index) *sum {
-	s := &sum{index: index{level: l, Shard: shard, Slot: slot}, rows: map[time.Time]*rows{}}
+// newAggregate returns an empty aggregate for the slot. Its serial is one more
+// than the highest serial of the slot in indexes.
+func newAggregate(l level, shard int, slot time.Time, indexes []*index) *aggregate {
+	s := &aggregate{index: index{level: l, Shard: shard, Slot: slot}, rows: map[time.Time]*rows{}}
 	for _, x := range indexes {
 		if x.level == l && x.Slot.Equal(slot) {
 			s.index.Serial = max(s.index.Serial, x.Serial+1)
@@ -130,7 +136,7 @@
 	return s
 }
 
-func (s *sum) addWindow(w *Window, end time.Time, rows *deliverypb.Rows) {
+func (s *aggregate) addWindow(w *Window, end time.Time, rows *deliverypb.Rows) {
 	s.index.Windows++
 	s.index.Spans = append(s.index.Spans, spanOf(w))
 	s.index.Seen = append(s.index.Seen, w.Seen...)
@@ -140,16 +146,17 @@
 	s.records = append(s.records, w.datedRecords(end)...)
 }
 
-func (s *sum) addRows(end time.Time, from *deliverypb.Rows) {
-	end = s.index.level.ended(end)
+func (s *aggregate) addRows(end time.Time, from *deliverypb.Rows) {
+	end = s.index.level.slotEnd(end)
 	if s.rows[end] == nil {
 		s.rows[end] = newRows()
 	}
-	s.rows[end].addMessage(from, maxSumKeys)
+	s.rows[end].addMessage(from, maxAggregateKeys)
 }
 
-// addIndex adds a finer sum without its rows and records.
-func (s *sum) addIndex(x *index) {
+// addIndex adds a finer aggregate without its rows, and with references to its
+// records.
+func (s *aggregate) addIndex(x *index) {
 	s.index.Windows += x.Windows
 	s.index.Spans = append(s.index.Spans, x.Spans...)
 	s.index.Seen = append(s.index.Seen, x.Seen...)
@@ -158,25 +165,25 @@
 	s.index.Folded += x.Folded
 }
 
-// finish completes the index but for the number of parts.
-func (s *sum) finish() {
+// finish completes the index except for the number of parts.
+func (s *aggregate) finish() {
 	x := &s.index
 	x.Spans = joinSpans(x.Spans)
-	held := coveredBy(x.Spans)
+	written := windowSetOf(x.Spans)
 	slices.SortFunc(x.Seen, Incarnation.compare)
-	x.Seen = slices.DeleteFunc(slices.Compact(x.Seen), func(i Incarnation) bool { return held[i] != nil })
+	x.Seen = slices.DeleteFunc(slices.Compact(x.Seen), func(i Incarnation) bool { return written[i] != nil })
 	for _, r := range s.rows {
 		x.Folded += r.folded
 	}
 }
 
-// timedKey is one row of a sum.
+// timedKey identifies one row of an aggregate.
 type timedKey struct {
 	end time.Time
 	key Key
 }
 
-func (s *sum) timedKeys() []timedKey {
+func (s *aggregate) timedKeys() []timedKey {
 	var all []timedKey
 	for _, end := range sortedKeys(s.rows) {
 		for _, k := range s.rows[end].sorted() {
@@ -186,8 +193,8 @@
 	return all
 }
 
-// part returns the message of some rows, which are sorted by slot.
-func (s *sum) part(keys []timedKey) proto.Message {
+// part returns the message of some rows, which must be sorted by slot.
+func (s *aggregate) part(keys []timedKey) proto.Message {
 	m := &deliverypb.RowPart{}
 	for len(keys) > 0 {
 		end := keys[0].end
@@ -201,14 +208,14 @@
 	return m
 }
 
-// chunkItems is how many items an object holds at most.
-const chunkItems = 4000
+// maxChunkItems is the maximum number of rows or records in one object.
+const maxChunkItems = 4000
 
-// encodeChunks encodes the items in as many values as it takes for each to fit
-// an object.
+// encodeChunks encodes the items into as many values as are needed for each to
+// fit into one object.
 func encodeChunks[T any](items []T, wrap func([]T) proto.Message) ([][]byte, error) {
 	var values [][]byte
-	for chunk := range slices.Chunk(items, chunkItems) {
+	for chunk := range slices.Chunk(items, maxChunkItems) {
 		more, err := encodeChunk(chunk, wrap)
 		if err != nil {
 			return nil, err
@@ -223,11 +230,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(value) <= maxValue {
+	if len(value) <= maxValueBytes {
 		return [][]byte{value}, nil
 	}
 	if len(items) == 1 {
-		return nil, Error.New("one item has %d bytes", len(value))
+		return nil, Error.New("encode: one item takes %d bytes, which does not fit into an object", len(value))
 	}
 	half := len(items) / 2
 	first, err := encodeChunk(items[:half], wrap)
@@ -238,8 +245,9 @@
 	return append(first, second...), err
 }
 
-// readIndexes takes the indexes out of a listing; the rest are windows. An
-// index never changes, so those that are known need no decoding.
+// readIndexes separates the indexes in a listing from the windows. An index
+// object never changes, so indexes in known with the same version are not
+// decoded again.
 func readIndexes(objects []objstore.Object, known map[string]*index, unreadable func(objstore.Object, error)) (indexes []*index, windows []objstore.Object) {
 	for _, o := range objects {
 		if !strings.HasPrefix(o.Kind, kindIndex) {
@@ -273,7 +281,7 @@
 	return x, nil
 }
 
-// allSpans returns the windows that are in sums.
+// allSpans returns the spans of the windows that are in aggregates.
 func allSpans(indexes []*index) []Span {
 	var spans []Span
 	for _, x := range indexes {
@@ -282,17 +290,18 @@
 	return joinSpans(spans)
 }
 
-// superseded returns the sums whose windows are all in coarser ones too.
+// superseded returns the aggregates whose windows are all contained in coarser
+// aggregates too.
 func superseded(indexes []*index) map[*index]bool {
-	over := map[*index]bool{}
+	redundant := map[*index]bool{}
 	for _, l := range levels {
 		coarser := slices.DeleteFunc(slices.Clone(indexes), func(x *index) bool { return x.level.order <= l.order })
-		held := coveredBy(allSpans(coarser))
+		inCoarser := windowSetOf(allSpans(coarser))
 		for _, x := range indexes {
 			if x.level == l {
-				over[x] = !slices.ContainsFunc(x.Spans, func(s Span) bool { return !held.holdsAll(s) })
+				redundant[x] = !slices.ContainsFunc(x.Spans, func(s Span) bool { return !inCoarser.containsAll(s) })
 			}
 		}
 	}
-	return over
+	return redundant
 }
--- a/internal/delivery/round_test.go
+++ b/internal/delivery/round_test.go
@@ -13,7 +13,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore/objstoretest"
 )
 
-// cutStore lets some writes through and refuses the rest.
+// cutStore accepts a number of writes and rejects the rest.
 type cutStore struct {
 	objstore.Store
 	left int
@@ -21,22 +21,22 @@
 
 func (s *cutStore) Put(ctx context.Context, kind, name string, version uint64, value []byte) (objstore.Object, error) {
 	if s.left--; s.left < 0 {
-		return objstore.Object{}, &objstore.Unavailable{Cause: errors.New("cut short")}
+		return objstore.Object{}, &objstore.Unavailable{Cause: errors.New("write limit of the test reached")}
 	}
 	return s.Store.Put(ctx, kind, name, version, value)
 }
 
 func (s *cutStore) Delete(ctx context.Context, kind, name string, version uint64) error {
 	if s.left--; s.left < 0 {
-		return &objstore.Unavailable{Cause: errors.New("cut short")}
+		return &objstore.Unavailable{Cause: errors.New("write limit of the test reached")}
 	}
 	return s.Store.Delete(ctx, kind, name, version)
 }
 
-// TestReportsWhileARoundIsCutShort ends a round, which sums windows and sums
-// of windows, after each of its writes. The report must be whole each time, and
-// the next round must bring about the same as one that was not cut short.
-func TestReportsWhileARoundIsCutShort(t *testing.T) {
+// Interrupts a round, which aggregates windows and merges aggregates, after
+// each of its writes. The report must be complete each time, and the next round
+// must have the same result as an uninterrupted one.
+func TestReportsWhileRoundIsInterrupted(t *testing.T) {
 	is := is.New(t)
 	ended := false
 	for writes := 0; !ended; writes++ {
@@ -45,9 +45,9 @@
 		p.SetClock(func() time.Time { return now })
 		store := &cutStore{Store: p.Client(), left: 1 << 20}
 		cfg := DefaultConfig()
-		cfg.WritesPerSecond = 1e9 // removals are not paced here
+		cfg.WritesPerSecond = 1e9 // removals are not rate limited in this test
 		c := NewCompactor(cfg, store, view{f: &fleet{}}, nil, event.Discard(), nil)
-		const minutes = 17 // the last three are left for the round that is cut short
+		const minutes = 17 // the last three are left for the round that is interrupted
 		for minute := range uint64(minutes) {
 			for _, host := range []string{"h0", "h1"} {
 				w := newWindow(Incarnation{Host: host, Number: 1})
@@ -63,7 +63,7 @@
 				is.NoErr(c.round(t.Context(), now.Add(slotGrace), 0))
 			}
 		}
-		whole := func() {
+		checkReport := func() {
 			r, err := NewReporter(cfg, p.Client(), view{f: &fleet{}}, event.Discard()).Report(t.Context(), Query{})
 			is.NoErr(err)
 			is.True(r.Completeness.Complete())
@@ -71,10 +71,10 @@
 		}
 		store.left = writes
 		ended = c.round(t.Context(), now.Add(slotGrace), 0) == nil
-		whole()
+		checkReport()
 		store.left = 1 << 20
 		is.NoErr(c.round(t.Context(), now.Add(slotGrace), 0))
-		whole()
+		checkReport()
 		is.Equal(len(p.Objects(objstore.KindWindow)), 0)
 		is.Equal(len(p.Objects(levels[0].kind)), minutes-5)
 		is.Equal(len(p.Objects(levels[1].kind)), 1)
--- a/internal/delivery/roundrestore_test.go
+++ b/internal/delivery/roundrestore_test.go
@@ -12,7 +12,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore/objstoretest"
 )
 
-// restoredStore comes back from a copy as an object is removed.
+// restoredStore runs restore at the next Delete, to simulate a restore of the
+// platform during a removal.
 type restoredStore struct {
 	objstore.Store
 	restore func()
@@ -26,26 +27,27 @@
 	return s.Store.Delete(ctx, kind, name, version)
 }
 
-// summing is a platform with windows of one host, whose slot is due.
-type summing struct {
+// compactionPlatform is a platform with windows of one host in a slot that is
+// due for compaction.
+type compactionPlatform struct {
 	*objstoretest.Platform
 	now time.Time
 }
 
-func newSumming() *summing {
-	s := &summing{objstoretest.New(), time.Date(2026, 12, 1, 0, 1, 0, 0, time.UTC)}
+func newCompactionPlatform() *compactionPlatform {
+	s := &compactionPlatform{objstoretest.New(), time.Date(2026, 12, 1, 0, 1, 0, 0, time.UTC)}
 	s.SetClock(func() time.Time { return s.now.Add(-30 * time.Second) })
 	return s
 }
 
-func (s *summing) compactor(store objstore.Store) *Compactor {
+func (s *compactionPlatform) compactor(store objstore.Store) *Compactor {
 	cfg := DefaultConfig()
-	cfg.WritesPerSecond = 1e9 // removals are not paced here
+	cfg.WritesPerSecond = 1e9 // removals are not rate limited in this test
 	return NewCompactor(cfg, store, view{f: &fleet{}}, nil, event.Discard(), nil)
 }
 
-// write writes the window of a number.
-func (s *summing) write(t *testing.T, number uint64) {
+// writeWindow writes the window with the given number.
+func (s *compactionPlatform) writeWindow(t *testing.T, number uint64) {
 	w := newWindow(Incarnation{Host: "h", Number: 1})
 	w.Number, w.Start, w.End, w.Final = number, s.now.Add(-time.Minute), s.now, number == 2
 	w.Rows.record(delivery("h", 0), DefaultConfig().MaxKeys)
@@ -58,8 +60,9 @@
 	}
 }
 
-// isWhole reports whether the report has three windows, and says so.
-func (s *summing) isWhole(t *testing.T) bool {
+// reportIsComplete reports whether the report is complete and contains the
+// deliveries of three windows.
+func (s *compactionPlatform) reportIsComplete(t *testing.T) bool {
 	r, err := NewReporter(DefaultConfig(), s.Client(), view{f: &fleet{}}, event.Discard()).Report(t.Context(), Query{})
 	if err != nil {
 		t.Fatal(err)
@@ -67,38 +70,40 @@
 	return r.Completeness.Complete() && r.Total() == 3
 }
 
-// A sum is lost, and another host sums anew what the copy holds, under the same name. The one that had made the first sum does not go
-// by what it remembers of it.
-func TestSumIsNotRememberedOverARestore(t *testing.T) {
+// A restore loses an aggregate, and another host aggregates the restored
+// windows again under the same name. The host that wrote the first aggregate
+// must not use its cached index.
+func TestCachedAggregateIsDroppedAfterRestore(t *testing.T) {
 	is := is.New(t)
-	s := newSumming()
+	s := newCompactionPlatform()
 	due := s.now.Add(slotGrace)
 	first, second := s.compactor(s.Client()), s.compactor(s.Client())
-	s.write(t, 0)
-	s.write(t, 1)
+	s.writeWindow(t, 0)
+	s.writeWindow(t, 1)
 	older := s.Copy()
-	s.write(t, 2)
+	s.writeWindow(t, 2)
 	is.NoErr(first.round(t.Context(), due, 0))
-	is.NoErr(first.round(t.Context(), due, 0)) // it remembers the sum now
+	is.NoErr(first.round(t.Context(), due, 0)) // caches the index of the aggregate
 	s.Restore(older)
 	is.NoErr(second.round(t.Context(), due, 0))
-	s.write(t, 2) // again
+	s.writeWindow(t, 2) // written again after the restore
 	is.NoErr(first.round(t.Context(), due, 0))
-	is.True(s.isWhole(t))
+	is.True(s.reportIsComplete(t))
 }
 
-// The platform comes back from a copy without the sum while its windows are removed.
-func TestWindowsOutliveARestoreWithinARound(t *testing.T) {
+// The platform is restored from a copy that lacks the aggregate while its
+// windows are being removed.
+func TestWindowsSurviveRestoreDuringRound(t *testing.T) {
 	is := is.New(t)
-	s := newSumming()
+	s := newCompactionPlatform()
 	due := s.now.Add(slotGrace)
 	for number := range uint64(3) {
-		s.write(t, number)
+		s.writeWindow(t, number)
 	}
 	older := s.Copy()
 	store := &restoredStore{s.Client(), func() { s.Restore(older) }}
 	c := s.compactor(store)
 	is.True(c.round(t.Context(), due, 0) != nil)
 	is.NoErr(c.round(t.Context(), due, 0))
-	is.True(s.isWhole(t))
+	is.True(s.reportIsComplete(t))
 }
--- a/internal/delivery/rows.go
+++ b/internal/delivery/rows.go
@@ -8,60 +8,60 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The latency histogram: microseconds, two significant digits.
+// Geometry of the latency histogram: microseconds, two significant digits.
 const (
-	latencyUnit   = time.Microsecond
-	latencyLowest = 10          // microseconds
-	latencyMost   = 120_000_000 // microseconds; longer ones count as this
-	latencyDigits = 2
+	latencyUnit      = time.Microsecond
+	minLatencyMicros = 10
+	maxLatencyMicros = 120_000_000 // longer latencies are recorded with this value
+	latencyDigits    = 2
 )
 
-// Sums are the deliveries of one key.
-type Sums struct {
+// Totals are the counts and the latency histogram of the deliveries of one key.
+type Totals struct {
 	Count    uint64
 	Attempts uint64
 	Needed   uint64
 	Latency  *hdrhistogram.PackedHistogram // in microseconds
 }
 
-func newSums() *Sums {
-	return &Sums{Latency: hdrhistogram.NewPacked(latencyLowest, latencyMost, latencyDigits)}
+func newTotals() *Totals {
+	return &Totals{Latency: hdrhistogram.NewPacked(minLatencyMicros, maxLatencyMicros, latencyDigits)}
 }
 
-func (s *Sums) record(d Delivery) {
+func (s *Totals) record(d Delivery) {
 	s.Count++
 	s.Attempts += uint64(max(d.Attempts, 0))
 	s.Needed += uint64(max(d.Needed, 0))
 	s.recordLatency(int64(d.Latency/latencyUnit), 1)
 }
 
-func (s *Sums) recordLatency(micros, count int64) {
-	_ = s.Latency.RecordValues(min(max(micros, 0), latencyMost), count) // in range, so it can't fail
+func (s *Totals) recordLatency(micros, count int64) {
+	_ = s.Latency.RecordValues(min(max(micros, 0), maxLatencyMicros), count) // cannot fail, as the value is in range
 }
 
-func (s *Sums) merge(from *Sums) {
+func (s *Totals) merge(from *Totals) {
 	s.Count += from.Count
 	s.Attempts += from.Attempts
 	s.Needed += from.Needed
-	s.Latency.Merge(from.Latency) // the same geometry, so nothing is dropped
+	s.Latency.Merge(from.Latency) // both histograms have the same geometry, so nothing is dropped
 }
 
-// Quantile returns the latency that the fraction q of the deliveries, 0..1,
-// stayed within.
-func (s *Sums) Quantile(q float64) time.Duration {
+// Quantile returns the latency that the fraction q, 0..1, of the deliveries did
+// not exceed.
+func (s *Totals) Quantile(q float64) time.Duration {
 	return time.Duration(s.Latency.ValueAtPercentile(q*100)) * latencyUnit
 }
 
-// rows are sums by key, bounded in number.
+// rows holds totals by key, limited in number.
 type rows struct {
-	sums   map[Key]*Sums
+	byKey  map[Key]*Totals
 	folded uint64 // deliveries whose caller or service was folded into Other
 }
 
-func newRows() *rows { return &rows{sums: map[Key]*Sums{}} }
+func newRows() *rows { return &rows{byKey: map[Key]*Totals{}} }
 
 func (r *rows) record(d Delivery, maxKeys int) {
-	s, folded := r.sumsFor(keyOf(d), maxKeys)
+	s, folded := r.totalsFor(keyOf(d), maxKeys)
 	s.record(d)
 	if folded {
 		r.folded++
@@ -70,69 +70,71 @@
 
 func (r *rows) merge(from *rows, maxKeys int) {
 	r.folded += from.folded
-	if len(r.sums)+len(from.sums) <= maxKeys { // nothing is folded, so the order does not matter
-		for k, sums := range from.sums {
-			s, _ := r.lookup(k, maxKeys)
-			s.merge(sums)
+	if len(r.byKey)+len(from.byKey) <= maxKeys { // nothing is folded, so the order does not matter
+		for k, totals := range from.byKey {
+			s, _ := r.getOrCreate(k, maxKeys)
+			s.merge(totals)
 		}
 		return
 	}
-	for _, k := range from.bySize() {
-		sums := from.sums[k]
-		s, folded := r.sumsFor(k, maxKeys)
-		s.merge(sums)
+	for _, k := range from.keysByCount() {
+		totals := from.byKey[k]
+		s, folded := r.totalsFor(k, maxKeys)
+		s.merge(totals)
 		if folded {
-			r.folded += sums.Count
+			r.folded += totals.Count
 		}
 	}
 }
 
-// sumsFor returns the sums for the key, or those of a folded key when there are
-// too many: callers go first, then everything but outcome, reason and band,
-// of which there are few.
-func (r *rows) sumsFor(k Key, maxKeys int) (sums *Sums, folded bool) {
-	if s, ok := r.lookup(k, maxKeys); ok {
+// totalsFor returns the totals of the key, or of a folded key if there are too
+// many keys. First the caller is folded, then everything except outcome, reason
+// and band, which have few values.
+func (r *rows) totalsFor(k Key, maxKeys int) (totals *Totals, folded bool) {
+	if s, ok := r.getOrCreate(k, maxKeys); ok {
 		return s, false
 	}
 	k.Caller = Other
-	if s, ok := r.lookup(k, maxKeys+maxKeys/4); ok {
+	if s, ok := r.getOrCreate(k, maxKeys+maxKeys/4); ok {
 		return s, true
 	}
 	k.Service, k.Snapshot = Other, 0
-	s, _ := r.lookup(k, len(r.sums)+1)
+	s, _ := r.getOrCreate(k, len(r.byKey)+1)
 	return s, true
 }
 
-func (r *rows) lookup(k Key, maxKeys int) (*Sums, bool) {
-	if s, ok := r.sums[k]; ok {
+// getOrCreate returns the totals of the key. It creates them unless there are
+// maxKeys keys already.
+func (r *rows) getOrCreate(k Key, maxKeys int) (*Totals, bool) {
+	if s, ok := r.byKey[k]; ok {
 		return s, true
 	}
-	if len(r.sums) >= maxKeys {
+	if len(r.byKey) >= maxKeys {
 		return nil, false
 	}
-	s := newSums()
-	r.sums[k] = s
+	s := newTotals()
+	r.byKey[k] = s
 	return s, true
 }
 
 // sorted returns the keys in the order of reports.
 func (r *rows) sorted() []Key {
-	return slices.SortedFunc(maps.Keys(r.sums), Key.compare)
+	return slices.SortedFunc(maps.Keys(r.byKey), Key.compare)
 }
 
-// bySize returns the keys with the most deliveries first, so that folding
-// spares them.
-func (r *rows) bySize() []Key {
+// keysByCount returns the keys with the most deliveries first, so that the
+// smallest ones are folded.
+func (r *rows) keysByCount() []Key {
 	keys := r.sorted()
 	slices.SortStableFunc(keys, func(a, b Key) int {
-		return int(min(r.sums[b].Count, 1<<31)) - int(min(r.sums[a].Count, 1<<31))
+		return int(min(r.byKey[b].Count, 1<<31)) - int(min(r.byKey[a].Count, 1<<31))
 	})
 	return keys
 }
 
 func (r *rows) count() uint64 {
 	var n uint64
-	for _, s := range r.sums {
+	for _, s := range r.byKey {
 		n += s.Count
 	}
 	return n
--- a/internal/delivery/span.go
+++ b/internal/delivery/span.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Span is a run of windows of one incarnation that is in the platform.
+// Span is a range of consecutive stored windows of one incarnation. First and
+// Last are inclusive.
 type Span struct {
 	Incarnation
 	First uint64
 	Last  uint64
 	Start time.Time // of the first window
 	End   time.Time // of the last window
-	Final bool
+	Final bool      // the last window is the final one of the incarnation
 }
 
 func spanOf(w *Window) Span {
 	return Span{Incarnation: w.Incarnation, First: w.Number, Last: w.Number, Start: w.Start, End: w.End, Final: w.Final}
 }
 
-func (s Span) holds(number uint64) bool { return s.First <= number && number <= s.Last }
+func (s Span) contains(number uint64) bool { return s.First <= number && number <= s.Last }
 
-// joinSpans sorts spans and joins those that touch or overlap.
+// joinSpans sorts spans and merges those that are adjacent or overlap.
 func joinSpans(spans []Span) []Span {
 	sorted := slices.SortedFunc(slices.Values(spans), func(a, b Span) int {
 		return cmp.Or(a.compare(b.Incarnation), cmp.Compare(a.First, b.First))
@@ -46,22 +47,23 @@
 	return cmp.Or(cmp.Compare(i.Host, o.Host), cmp.Compare(i.Number, o.Number))
 }
 
-// covered tells which windows spans hold.
-type covered map[Incarnation][]Span
+// windowSet is a set of windows, as spans by incarnation.
+type windowSet map[Incarnation][]Span
 
-func coveredBy(spans []Span) covered {
-	c := covered{}
+func windowSetOf(spans []Span) windowSet {
+	c := windowSet{}
 	for _, s := range spans {
 		c[s.Incarnation] = append(c[s.Incarnation], s)
 	}
 	return c
 }
 
-func (c covered) holds(i Incarnation, number uint64) bool {
-	return slices.ContainsFunc(c[i], func(s Span) bool { return s.holds(number) })
+func (c windowSet) contains(i Incarnation, number uint64) bool {
+	return slices.ContainsFunc(c[i], func(s Span) bool { return s.contains(number) })
 }
 
-// holdsAll reports whether one span holds every window of s.
-func (c covered) holdsAll(s Span) bool {
-	return slices.ContainsFunc(c[s.Incarnation], func(t Span) bool { return t.holds(s.First) && t.holds(s.Last) })
+// containsAll reports whether a single span of the set contains every window of
+// s.
+func (c windowSet) containsAll(s Span) bool {
+	return slices.ContainsFunc(c[s.Incarnation], func(t Span) bool { return t.contains(s.First) && t.contains(s.Last) })
 }
--- a/internal/delivery/sums_test.go
+++ b/internal/delivery/sums_test.go
@@ -14,9 +14,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// TestSumsKeepTotalsUntilRetention runs past the time of both levels of sums,
-// and past retention.
-func TestSumsKeepTotalsUntilRetention(t *testing.T) {
+// Runs long enough for merges into both coarser levels, and for the removal
+// past retention.
+func TestAggregatesKeepTotalsUntilRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestReportTellsALostWindow takes windows out of the platform.
-func TestReportTellsALostWindow(t *testing.T) {
+// Deletes windows from the platform. The report must list them as missing.
+func TestReportNamesLostWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 1)
@@ -75,9 +75,9 @@
 	})
 }
 
-// TestReportTellsHostsThatNeverWrote starts a host while the platform is down,
-// and kills it before it is up again. Another host has seen it.
-func TestReportTellsHostsThatNeverWrote(t *testing.T) {
+// Starts a host during a platform outage and kills it before the outage ends.
+// Another host has seen it, so the report must list it.
+func TestReportNamesHostsThatNeverWrote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 1)
@@ -91,12 +91,12 @@
 		time.Sleep(time.Minute)
 		f.stopAll()
 		c := f.report(time.Hour).Completeness
-		is.Equal(c.Open, []Open{{Incarnation: Incarnation{Host: "h1", Number: 2}, Ending: NeverWrote}})
+		is.Equal(c.Open, []IncompleteIncarnation{{Incarnation: Incarnation{Host: "h1", Number: 2}, Reason: NeverWrote}})
 	})
 }
 
-// TestMemoryIsBoundedThroughAnOutage gives a host more keys and refusals than
-// it may hold, over an outage of three hours.
+// Records more keys and refusals on a host than it may hold, during a platform
+// outage of three hours.
 func TestMemoryIsBoundedThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -114,10 +114,10 @@
 			}
 			time.Sleep(10 * time.Second)
 		}
-		synctest.Wait() // the host does nothing now
+		synctest.Wait() // wait until the host is idle
 		is.True(len(h.queue.items) <= cfg.MaxPending)
 		for _, p := range h.queue.items {
-			is.True(len(p.window.Rows.sums) <= cfg.MaxKeys+cfg.MaxKeys/4+1)
+			is.True(len(p.window.Rows.byKey) <= cfg.MaxKeys+cfg.MaxKeys/4+1)
 			is.True(len(p.window.Records.all()) <= cfg.MaxExceptions)
 		}
 		f.platform.Outage(false)
@@ -129,7 +129,7 @@
 	})
 }
 
-// TestHugeWindowFitsOneObject fills a window far past the size of an object.
+// Fills a window far beyond the size limit of an object.
 func TestHugeWindowFitsOneObject(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -138,7 +138,7 @@
 	const n = 20_000
 	for i := range n {
 		d := delivery("s", i)
-		d.Caller = fmt.Sprintf("%x", sha256.Sum256([]byte{byte(i), byte(i >> 8)})) // can't be compressed
+		d.Caller = fmt.Sprintf("%x", sha256.Sum256([]byte{byte(i), byte(i >> 8)})) // cannot be compressed
 		d.RequestID = d.Caller
 		d.Coverage = 0.5
 		w.Rows.record(d, cfg.MaxKeys)
--- a/internal/delivery/sumstore.go
+++ b/internal/delivery/sumstore.go
@@ -11,19 +11,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// write writes the parts of a sum and then its index, from which it counts.
-func (c *Compactor) write(ctx context.Context, s *sum) error {
+// writeAggregate writes the parts of an aggregate and then its index, which
+// makes the aggregate count.
+func (c *Compactor) writeAggregate(ctx context.Context, s *aggregate) error {
 	s.finish()
 	name := s.index.name()
 	records, err := encodeChunks(s.records, func(r []Record) proto.Message {
 		return &deliverypb.RecordPart{Records: recordMessages(r)}
 	})
 	if err != nil {
-		return Error.New("encode records of sum %s: %w", name, err)
+		return Error.New("encode records of aggregate %s: %w", name, err)
 	}
 	rows, err := encodeChunks(s.timedKeys(), s.part)
 	if err != nil {
-		return Error.New("encode rows of sum %s: %w", name, err)
+		return Error.New("encode rows of aggregate %s: %w", name, err)
 	}
 	if len(records) > 0 {
 		s.index.Records = append(s.index.Records, recordSet{Name: name, Parts: len(records)})
@@ -37,7 +38,7 @@
 	}
 	head, err := encode(s.index.message())
 	if err != nil {
-		return Error.New("encode index of sum %s: %w", name, err)
+		return Error.New("encode index of aggregate %s: %w", name, err)
 	}
 	return c.put(ctx, s.index.kind(), name, head)
 }
@@ -51,13 +52,14 @@
 	return nil
 }
 
-// put creates an object. If it exists with the same value, that is no error; an
-// index with another value is another host's sum and stays. A part with another
-// value is left from a round that was cut short, and is replaced.
+// put creates an object. An existing object with the same value is not an
+// error. An existing index with another value is the aggregate of another host
+// and is not replaced. An existing part with another value was left by an
+// interrupted round and is replaced.
 func (c *Compactor) put(ctx context.Context, kind, name string, value []byte) error {
 	var version uint64
 	for {
-		err := c.call(ctx, func(ctx context.Context) error {
+		err := c.callPlatform(ctx, func(ctx context.Context) error {
 			_, err := c.store.Put(ctx, kind, name, version, value)
 			return err
 		})
@@ -70,7 +72,7 @@
 		case sameValue(conflict.Current.Value, value):
 			return nil
 		case strings.HasPrefix(kind, kindIndex):
-			return Error.New("index %s was written by another host", name)
+			return Error.New("write index %s: another host has written a different one", name)
 		case conflict.Current.Version == version:
 			return Error.New("write %s/%s: %w", kind, name, err)
 		}
@@ -78,10 +80,11 @@
 	}
 }
 
-// removeSum removes a sum that no report reads any more, its index last, so
-// that the next round finishes one that was cut short. Records go only when their
-// time is over, as a coarser sum names them too.
-func (c *Compactor) removeSum(ctx context.Context, x *index, withRecords bool) error {
+// removeAggregate removes an aggregate that reports no longer read. The index
+// is removed last, so that the next round completes an interrupted removal.
+// Records are removed only at the end of retention, because coarser aggregates
+// refer to them too.
+func (c *Compactor) removeAggregate(ctx context.Context, x *index, withRecords bool) error {
 	for i := range x.Parts {
 		if err := c.remove(ctx, x.partKind(), partName(x.name(), i), 1); err != nil {
 			return err
@@ -106,15 +109,16 @@
 	return nil
 }
 
-// remove deletes an object at the version, or at its current one if that is
-// another. An object that is gone already is no error. Removals keep to the share of the platform's writes that
-// all hosts have for windows, as one host makes them for all.
+// remove deletes an object at the given version, or at its current version if
+// that differs. An object that does not exist is not an error. Removals are
+// rate limited to a share of the platform's writes for windows, as one host
+// makes the removals for all hosts.
 func (c *Compactor) remove(ctx context.Context, kind, name string, version uint64) error {
-	if err := c.pace.Wait(ctx); err != nil {
+	if err := c.removalLimiter.Wait(ctx); err != nil {
 		return Error.New("wait to delete %s/%s: %w", kind, name, err)
 	}
 	for {
-		err := c.call(ctx, func(ctx context.Context) error { return c.store.Delete(ctx, kind, name, version) })
+		err := c.callPlatform(ctx, func(ctx context.Context) error { return c.store.Delete(ctx, kind, name, version) })
 		var conflict *objstore.Conflict
 		switch {
 		case err == nil, errors.Is(err, objstore.ErrNotFound):
@@ -129,12 +133,14 @@
 	}
 }
 
-// errRestored means that the platform came back from an older copy while a round went on: it may lack the sum whose windows
-// the round is about to remove.
-var errRestored = errors.New("the platform came back from an older copy within the round")
+// errRestored means that the platform was restored from an older copy during a
+// round. The copy may lack the aggregate whose windows the round is about to
+// remove.
+var errRestored = errors.New("the platform was restored from an older copy during the compaction round")
 
-// call makes one call of a round to the platform within the write timeout.
-func (c *Compactor) call(ctx context.Context, f func(context.Context) error) error {
+// callPlatform makes one platform call of a round within WriteTimeout. It fails
+// if the platform's era has changed since the round started.
+func (c *Compactor) callPlatform(ctx context.Context, f func(context.Context) error) error {
 	if c.store.Era() != c.era {
 		return Error.Wrap(errRestored)
 	}
--- a/internal/delivery/windows.go
+++ b/internal/delivery/windows.go
@@ -13,9 +13,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// Windows is the Recorder of a host. It sums deliveries in memory and writes
-// the sums to the platform, one object a window. What the platform does not
-// take waits in bounded memory: totals are kept, only moments grow coarser.
+// Windows is the Recorder of a host. It aggregates deliveries in memory and
+// writes one object per window to the platform. Windows that cannot be written
+// wait in bounded memory: totals are kept, and only the time resolution becomes
+// coarser.
 type Windows struct {
 	cfg     Config
 	store   objstore.Store
@@ -27,25 +28,25 @@
 	open   *Window
 	opened time.Time // monotonic
 
-	// The rest belongs to the goroutine of run.
-	clock    platformClock
-	queue    queue
-	numbered Incarnation // of the window written last
-	next     uint64      // number of the next window to be written
-	failures int         // in a row
-	kept     []writtenWindow
-	seen     map[Incarnation]bool
-	// early is the part of an interval by which the first window is shorter, so that
-	// hosts that start together do not write together.
-	early float64
+	// The fields below are only used by the goroutine of run.
+	clock               platformClock
+	queue               queue
+	numberedIncarnation Incarnation // incarnation to which nextNumber applies
+	nextNumber          uint64      // number of the next window to be written
+	consecutiveFailures int
+	recentWrites        []writtenWindow
+	seen                map[Incarnation]bool // other hosts in the membership when the previous window was closed
+	// startJitter is the fraction of an interval by which the first window is
+	// shorter, so that hosts that start together do not write at the same time.
+	startJitter float64
 
 	started bool
 	stop    chan struct{}
-	stopCtx context.Context // of Stop; set before stop is closed
+	stopCtx context.Context // the context of Stop; set before stop is closed
 	done    chan struct{}
 }
 
-// New returns the recorder of the host that view calls itself.
+// New returns the recorder of the host that view.Self returns.
 func New(cfg Config, store objstore.Store, view member.View, log *event.Log, reg prometheus.Registerer) *Windows {
 	return &Windows{
 		cfg: cfg, store: store, view: view, log: log, metrics: newMetrics(reg),
@@ -56,21 +57,22 @@
 	}
 }
 
-// Start opens the first window and begins to write.
+// Start opens the first window and starts to write windows.
 func (w *Windows) Start(context.Context) error {
 	w.mu.Lock()
-	w.begin(time.Now())
+	w.openWindow(time.Now())
 	w.mu.Unlock()
 	w.started = true
 	go w.run()
 	return nil
 }
 
-// Stop writes the last windows and returns when they are in the platform, or
-// when StopTimeout has passed or ctx is done: then an event says what was
-// lost, and reports will tell that this host's last windows are missing. A
-// platform outage must not keep a host from stopping, so that is no error.
-// Modules that record must have stopped before.
+// Stop writes the last windows. It returns when they are stored in the
+// platform, when StopTimeout has passed or when ctx is done. Windows that are
+// not stored by then are lost: an event logs their number, and reports list
+// this host's last windows as missing. This is not an error, because a platform
+// outage must not keep a host from stopping. Modules that record deliveries
+// must have stopped before.
 func (w *Windows) Stop(ctx context.Context) error {
 	if !w.started {
 		return nil
@@ -89,52 +91,54 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.open == nil {
-		w.begin(time.Now())
+		w.openWindow(time.Now())
 	}
 	w.open.Rows.record(d, w.cfg.MaxKeys)
 	w.open.Records.record(d, w.cfg)
 }
 
-// begin opens a window; mu is held. The membership may raise the incarnation
-// while the host runs.
-func (w *Windows) begin(now time.Time) {
+// openWindow opens a window. The caller holds mu. The window gets the host's
+// current incarnation, which the membership may raise while the host is
+// running.
+func (w *Windows) openWindow(now time.Time) {
 	self := w.view.Self()
 	w.open, w.opened = newWindow(Incarnation{Host: self.ID, Number: self.Incarnation}), now
 }
 
-// run closes a window each interval and writes what is pending, until Stop.
+// run closes a window per interval and writes pending windows, until Stop.
 func (w *Windows) run() {
 	defer close(w.done)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if w.cfg.AnnounceStart {
-		w.close(false)
+		w.closeWindow(false)
 	} else {
-		w.early = rand.Float64()
+		w.startJitter = rand.Float64()
 	}
 	for {
 		w.flush(ctx, 1)
-		if w.sleep() {
+		if w.waitForWindow() {
 			break
 		}
 	}
-	w.finish()
+	w.writeFinal()
 }
 
-// sleep waits for the end of the window and closes it. While windows are
-// pending it returns earlier, for another try. It reports whether to stop.
-func (w *Windows) sleep() (stopped bool) {
+// waitForWindow waits for the end of the window and closes it. While windows
+// are pending it returns earlier, so that the caller retries their writes. It
+// reports whether the recorder is to stop.
+func (w *Windows) waitForWindow() (stopped bool) {
 	interval := w.cfg.interval(len(w.view.Hosts()))
 	w.mu.Lock()
-	rest := interval - time.Since(w.opened) - time.Duration(w.early*float64(interval))
+	remaining := interval - time.Since(w.opened) - time.Duration(w.startJitter*float64(interval))
 	w.mu.Unlock()
-	wait := max(rest, 0)
+	wait := max(remaining, 0)
 	switch {
 	case w.queue.head() == nil:
-	case w.failures > 0:
-		wait = min(wait, retryWait(w.failures))
+	case w.consecutiveFailures > 0:
+		wait = min(wait, retryWait(w.consecutiveFailures))
 	default:
-		wait = min(wait, interval/catchUp)
+		wait = min(wait, interval/catchUpWritesPerInterval)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -143,33 +147,34 @@
 		return true
 	case <-timer.C:
 	}
-	if wait == max(rest, 0) {
-		w.early = 0
-		w.close(false)
+	if wait == max(remaining, 0) {
+		w.startJitter = 0
+		w.closeWindow(false)
 	}
 	return false
 }
 
 const (
-	firstRetryWait = time.Second
-	lastRetryWait  = 16 * time.Second
-	maxDoublings   = 4
-
-	// catchUp is how many windows a host writes in the time of one after an
-	// outage, so that a fleet does not write all that is pending at once.
-	catchUp = 8
+	minRetryWait = time.Second
+	maxRetryWait = 16 * time.Second
+	maxDoublings = 4
+
+	// catchUpWritesPerInterval is how many pending windows a host writes per
+	// interval after an outage, so that the hosts of a fleet do not write all
+	// their pending windows at once.
+	catchUpWritesPerInterval = 8
 )
 
-// retryWait returns the time from a try that failed to the next, as the try
-// after each failure encodes the window anew.
+// retryWait returns the delay after a failed write. It grows with the number of
+// consecutive failures, because each retry encodes the window again.
 func retryWait(failures int) time.Duration {
-	return min(firstRetryWait<<min(max(failures-1, 0), maxDoublings), lastRetryWait)
+	return min(minRetryWait<<min(max(failures-1, 0), maxDoublings), maxRetryWait)
 }
 
-// finish closes the final window and writes until all is written or the
-// context of Stop is done.
-func (w *Windows) finish() {
-	w.close(true)
+// writeFinal closes the final window and writes until all windows are written
+// or the context of Stop is done.
+func (w *Windows) writeFinal() {
+	w.closeWindow(true)
 	for {
 		w.flush(w.stopCtx, len(w.queue.items))
 		if w.queue.head() == nil {
@@ -179,12 +184,12 @@
 		case <-w.stopCtx.Done():
 			w.logLost()
 			return
-		case <-time.After(firstRetryWait):
+		case <-time.After(minRetryWait):
 		}
 	}
 }
 
-// logLost logs how many windows and answers are lost with this host.
+// logLost logs how many windows and answers are lost when the host stops.
 func (w *Windows) logLost() {
 	var answers uint64
 	for _, p := range w.queue.items {
@@ -193,16 +198,17 @@
 	w.log.Event(evFinalLost).Int("pending", len(w.queue.items)).Uint64("answers", answers).Err(w.stopCtx.Err()).Msg("")
 }
 
-// close ends the open window, opens the next one and queues the closed one.
-func (w *Windows) close(final bool) {
+// closeWindow closes the open window, opens the next one and queues the closed
+// one.
+func (w *Windows) closeWindow(final bool) {
 	now := time.Now()
 	w.mu.Lock()
 	closed := &pending{window: w.open, opened: w.opened, closed: now}
-	w.begin(now)
-	raised := w.open.Incarnation != closed.window.Incarnation
+	w.openWindow(now)
+	incarnationChanged := w.open.Incarnation != closed.window.Incarnation
 	w.mu.Unlock()
-	closed.window.Final = final || raised
-	closed.window.Seen = w.firstSeen()
+	closed.window.Final = final || incarnationChanged
+	closed.window.Seen = w.newlySeen()
 	w.metrics.folded.Add(float64(closed.window.Rows.folded))
 	w.metrics.leftOut.Add(float64(closed.window.Records.leftOut()))
 	before := w.queue.merged
@@ -211,10 +217,10 @@
 	w.metrics.pending.Set(float64(len(w.queue.items)))
 }
 
-// firstSeen returns the other hosts that were not in the membership at the
-// close of the window before. It makes a host known to reports even if it
-// dies before it could write.
-func (w *Windows) firstSeen() []Incarnation {
+// newlySeen returns the other hosts that were not in the membership when the
+// previous window was closed. Through it reports include a host that fails
+// before its first write.
+func (w *Windows) newlySeen() []Incarnation {
 	var first []Incarnation
 	current := map[Incarnation]bool{}
 	for _, h := range w.view.Hosts() {
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportEqualsDriver kills one host and takes the platform down for a
-// while. The report must have every delivery but the last ones of the killed
-// host, and must name that host.
-func TestReportEqualsDriver(t *testing.T) {
+// Kills one host and simulates a platform outage. The report must contain every
+// delivery except the last ones of the killed host, and must list that host.
+func TestReportEqualsRecordedDeliveries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 3)
@@ -33,18 +32,19 @@
 		is.Equal(len(r.Completeness.Missing), 0)
 		is.Equal(len(r.Completeness.Open), 1) // the killed host
 		is.Equal(r.Completeness.Open[0].Host, "h2")
-		is.Equal(r.Completeness.Open[0].Ending, EndedUnwritten)
+		is.Equal(r.Completeness.Open[0].Reason, EndedUnwritten)
 		is.Equal(f.differences(r), nil)
-		is.True(f.recorded["h2/3"]-r.Lines[2].Sums.Count <= 6) // its last windows
+		is.True(f.recorded["h2/3"]-r.Lines[2].Sums.Count <= 6) // the deliveries of its last windows
 	})
 }
 
-// inBubble hides a test's deadline, which must not be asked for in a bubble.
+// inBubble hides the test's deadline, which must not be read in a synctest
+// bubble.
 type inBubble struct{ rapid.TB }
 
-// TestTotalsUnderFailures runs hosts that are killed, stopped and started
-// again, over a platform that goes down, loses requests and answers, and
-// applies writes long after they were given up, while windows are summed up.
+// Kills, stops and restarts hosts while the platform has outages, loses
+// requests and responses, and applies writes long after they were given up.
+// Windows are aggregated meanwhile.
 func TestTotalsUnderFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(inBubble{t}, func(rt *rapid.T) {
@@ -58,8 +58,8 @@
 				time.Sleep(time.Duration(rapid.IntRange(1, 100).Draw(rt, "seconds")) * time.Second)
 			}
 			f.heal()
-			time.Sleep(15 * time.Minute) // windows are summed up
-			f.platform.Release()         // writes come late, after their windows were removed
+			time.Sleep(15 * time.Minute) // windows are aggregated
+			f.platform.Release()         // delayed writes are applied after their windows were removed
 			time.Sleep(10 * time.Minute)
 			for _, id := range f.ids()[1:] {
 				f.leave(id, false)
@@ -72,7 +72,7 @@
 	})
 }
 
-// fail brings about one failure, or ends one.
+// fail starts or ends one fault.
 func (f *fleet) fail(t *rapid.T) {
 	id := rapid.SampledFrom(f.ids()).Draw(t, "host")
 	client := f.hosts[id].client
@@ -109,8 +109,8 @@
 	}
 }
 
-// A host that does not announce its start writes nothing before its first window,
-// and what it delivered meanwhile is in the report all the same.
+// A host that does not announce its start writes nothing before its first
+// window, and the report still contains what it delivered meanwhile.
 func TestFirstWindowWithoutAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
