--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// use is one place of the code that writes a line of an event.
-type use struct {
-	event  string // variable
+// logCall is a call in the source that writes a log line of an event.
+type logCall struct {
+	event  string // name of the event variable
 	fields []string
 	at     token.Position
 }
@@ -26,9 +26,9 @@
 	at     token.Position
 }
 
-// Every line of log carries the fields that its event declares, no more and
-// no fewer, so that the catalogue tells the truth. Lines that are built over
-// several statements can't be followed and are left out.
+// TestLinesCarryTheirFields checks that each log call writes exactly the fields
+// that its event declares, so that the catalogue is correct. It parses the
+// source; log lines that are built in several statements are not checked.
 func TestLinesCarryTheirFields(t *testing.T) {
 	files := token.NewFileSet()
 	dirs := map[string][]*ast.File{}
@@ -45,8 +45,8 @@
 	}
 	checked := 0
 	for _, dir := range dirs {
-		defined := definitions(files, dir)
-		for _, u := range usesOf(files, dir) {
+		defined := findDefinitions(files, dir)
+		for _, u := range findLogCalls(files, dir) {
 			d, known := defined[u.event]
 			if !known {
 				continue
@@ -54,16 +54,17 @@
 			checked++
 			slices.Sort(u.fields)
 			if !slices.Equal(u.fields, d.fields) {
-				t.Errorf("%s: line of event %d carries %v; %s declares %v", u.at, d.number, u.fields, d.at, d.fields)
+				t.Errorf("%s: log line of event %d has the fields %v; %s declares %v", u.at, d.number, u.fields, d.at, d.fields)
 			}
 		}
 	}
 	if checked == 0 {
-		t.Fatal("no line was checked")
+		t.Fatal("no log call was checked")
 	}
 }
 
-func definitions(files *token.FileSet, dir []*ast.File) map[string]definition {
+// findDefinitions returns the events that the files define, by variable name.
+func findDefinitions(files *token.FileSet, dir []*ast.File) map[string]definition {
 	all := map[string]definition{}
 	for _, f := range dir {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -72,13 +73,13 @@
 				return true
 			}
 			call, ok := v.Values[0].(*ast.CallExpr)
-			if !ok || selector(call) != "Define" || len(call.Args) < 5 {
+			if !ok || methodName(call) != "Define" || len(call.Args) < 5 {
 				return true
 			}
-			number, _ := strconv.Atoi(literal(call.Args[0]))
+			number, _ := strconv.Atoi(literalText(call.Args[0]))
 			d := definition{number: number, fields: []string{}, at: files.Position(v.Pos())}
 			for _, a := range call.Args[5:] {
-				d.fields = append(d.fields, literal(a))
+				d.fields = append(d.fields, literalText(a))
 			}
 			slices.Sort(d.fields)
 			all[v.Names[0].Name] = d
@@ -88,16 +89,16 @@
 	return all
 }
 
-// usesOf finds chains such as log.Event(ev).Str("a", x).Err(err).Msg("").
-func usesOf(files *token.FileSet, dir []*ast.File) []use {
-	var all []use
+// findLogCalls returns the call chains such as log.Event(ev).Str("a", x).Err(err).Msg("").
+func findLogCalls(files *token.FileSet, dir []*ast.File) []logCall {
+	var all []logCall
 	for _, f := range dir {
 		ast.Inspect(f, func(n ast.Node) bool {
 			call, ok := n.(*ast.CallExpr)
-			if !ok || selector(call) != "Msg" {
+			if !ok || methodName(call) != "Msg" {
 				return true
 			}
-			if u, whole := chain(call); whole {
+			if u, parsed := parseLogChain(call); parsed {
 				u.at = files.Position(call.Pos())
 				all = append(all, u)
 			}
@@ -107,8 +108,10 @@
 	return all
 }
 
-func chain(end *ast.CallExpr) (use, bool) {
-	u := use{fields: []string{}}
+// parseLogChain reads a call chain backwards from its Msg call. It reports false
+// if the chain does not begin with Event of a variable.
+func parseLogChain(end *ast.CallExpr) (logCall, bool) {
+	u := logCall{fields: []string{}}
 	for call := end; ; {
 		s, ok := call.Fun.(*ast.SelectorExpr)
 		if !ok {
@@ -125,7 +128,7 @@
 		case "Err":
 			u.fields = append(u.fields, "error")
 		default:
-			u.fields = append(u.fields, literal(call.Args[0]))
+			u.fields = append(u.fields, literalText(call.Args[0]))
 		}
 		call, ok = s.X.(*ast.CallExpr)
 		if !ok {
@@ -134,14 +137,17 @@
 	}
 }
 
-func selector(call *ast.CallExpr) string {
+// methodName returns the name of the called method or package function, or "".
+func methodName(call *ast.CallExpr) string {
 	if s, ok := call.Fun.(*ast.SelectorExpr); ok {
 		return s.Sel.Name
 	}
 	return ""
 }
 
-func literal(e ast.Expr) string {
+// literalText returns the value of a literal, unquoted, or "" for other
+// expressions.
+func literalText(e ast.Expr) string {
 	l, ok := e.(*ast.BasicLit)
 	if !ok {
 		return ""
--- a/internal/event/queue.go
+++ b/internal/event/queue.go
@@ -8,25 +8,27 @@
 	plog "github.com/phuslu/log"
 )
 
-// queueLength is how many lines may wait for a slow writer; about 1 MB.
-const queueLength = 4096
+// maxQueuedLines is the maximum number of lines that wait to be written, about 1 MB
+// of memory.
+const maxQueuedLines = 4096
 
-// Queue holds log lines until they are written, so that no request waits for
-// them. Lines that find it full are dropped and counted.
+// Queue buffers log lines for a background goroutine to write, so that requests
+// never block on a slow writer. When it is full, new lines are dropped and
+// counted.
 type Queue struct {
 	async   plog.AsyncWriter
 	dropped atomic.Uint64
 }
 
-// NewQueue returns a queue before a writer. It starts a goroutine at the first
+// NewQueue returns a queue that writes to w. Its goroutine starts with the first
 // line.
 func NewQueue(w io.Writer) *Queue {
 	return &Queue{async: plog.AsyncWriter{
-		ChannelSize: queueLength, DiscardOnFull: true, Writer: plog.IOWriter{Writer: w},
+		ChannelSize: maxQueuedLines, DiscardOnFull: true, Writer: plog.IOWriter{Writer: w},
 	}}
 }
 
-// WriteEntry implements the log library's Writer.
+// WriteEntry implements plog.Writer: it enqueues a log line.
 func (q *Queue) WriteEntry(e *plog.Entry) (int, error) {
 	n, err := q.async.WriteEntry(e)
 	if errors.Is(err, plog.ErrAsyncWriterFull) {
@@ -35,13 +37,13 @@
 	return n, err
 }
 
-// Dropped returns the lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// Close writes the lines that wait and ends the goroutine.
+// Close writes the queued lines and stops the goroutine.
 func (q *Queue) Close() error { return q.async.Close() }
 
-// NewQueued is New with a queue before the writer.
+// NewQueued returns a log like New that writes through q.
 func NewQueued(q *Queue, level plog.Level, host string) *Log {
 	l := New(io.Discard, level, host)
 	l.logger.Writer = q
--- a/internal/event/queue_test.go
+++ b/internal/event/queue_test.go
@@ -10,7 +10,7 @@
 	plog "github.com/phuslu/log"
 )
 
-// stuckWriter writes nothing until it is released.
+// stuckWriter blocks each write until release is closed.
 type stuckWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -30,11 +30,13 @@
 	q := NewQueue(w)
 	l := NewQueued(q, plog.InfoLevel, "h")
 	e := Event{Number: 1, Name: "x", Level: plog.InfoLevel}
-	const lines = queueLength + 100
+	const lines = maxQueuedLines + 100
 	for range lines {
-		l.Event(e).Msg("") // returns, though nothing is written
+		l.Event(e).Msg("") // must not block although the writer does
 	}
-	is.True(q.Dropped() >= 98) // one may be at the writer, another on its way
+	// Of the 100 lines past the queue length, one may be in the writer and one on
+	// its way there.
+	is.True(q.Dropped() >= 98)
 	close(w.release)
 	is.NoErr(q.Close())
 	is.Equal(uint64(strings.Count(w.buf.String(), "\n")), lines-q.Dropped())
--- a/internal/kernel/events.go
+++ b/internal/kernel/events.go
@@ -12,11 +12,11 @@
 	evModuleStopped = event.Define(8001, "module_stopped", plog.DebugLevel,
 		"A module of the host has stopped.", "none", "module", "took")
 	evModuleStartFailed = event.Define(8002, "module_start_failed", plog.ErrorLevel,
-		"A module did not start; the modules started before it are stopped and the host exits.",
-		"Read the error; it is most often an address in use or a wrong setting.", "module", "error")
+		"A module failed to start; the modules started before it are stopped and the host exits.",
+		"Read the error; the usual causes are an address in use and a wrong setting.", "module", "error")
 	evModuleStopFailed = event.Define(8003, "module_stop_failed", plog.ErrorLevel,
-		"A module stopped with an error or not within its deadline; the stop goes on.",
-		"Read the error: what the module had still to write may be lost. If it ran out of time, raise stop.module_timeout.", "module", "error", "took")
+		"A module returned an error from its stop or did not stop before its deadline; the remaining modules are still stopped.",
+		"Read the error: data that the module had not yet written may be lost. If the module did not stop in time, raise stop.module_timeout.", "module", "error", "took")
 	evStateChanged = event.Define(8004, "state_changed", plog.InfoLevel,
-		"The host changed its state: starting, ready, leaving, stopped.", "none", "state")
+		"The lifecycle state of the host changed; the states are starting, ready, leaving and stopped.", "none", "state")
 )
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,3 +1,8 @@
+// Package kernel builds, starts and stops the modules of a host process in
+// dependency order: a module starts after its dependencies and stops before
+// them. Modules look each other up by name. The kernel knows nothing of what
+// the modules do; package host registers those of a host. Begin reading at
+// Module and Kernel; Lifecycle holds the state that readiness is derived from.
 package kernel
 
 import (
@@ -12,21 +17,22 @@
 	"rhubarbwood.example/rhubarbwood/internal/event"
 )
 
-// Factory makes a module. It finds the modules that it depends on with Find
+// Factory constructs a module. It looks up the module's dependencies with Find
 // and must not start anything.
 type Factory func(f Finder) (Module, error)
 
-// Kernel holds the modules of one host. Its methods are for one goroutine.
+// Kernel manages the modules of one host. Its methods must not be called
+// concurrently.
 type Kernel struct {
-	life        *Lifecycle
-	log         *event.Log
-	stopTimeout time.Duration
-	injector    *do.RootScope
-	names       []string            // as registered
-	deps        map[string][]string // by module
-	problems    []error             // of Register, reported by Build
-	built       []namedModule       // dependencies first
-	started     int                 // how many of built have started
+	lifecycle    *Lifecycle
+	log          *event.Log
+	stopTimeout  time.Duration
+	injector     *do.RootScope
+	names        []string            // in registration order
+	deps         map[string][]string // dependencies by module name
+	problems     []error             // found by Register, returned by Build
+	built        []namedModule       // constructed modules, dependencies first
+	startedCount int                 // number of modules in built that are running
 }
 
 type namedModule struct {
@@ -34,11 +40,11 @@
 	module Module
 }
 
-// New returns a kernel without modules. stopTimeout bounds the stop of each
-// module.
-func New(life *Lifecycle, stopTimeout time.Duration, log *event.Log) *Kernel {
+// New returns a kernel without modules. stopTimeout limits how long Stop waits
+// for each module.
+func New(lifecycle *Lifecycle, stopTimeout time.Duration, log *event.Log) *Kernel {
 	return &Kernel{
-		life:        life,
+		lifecycle:   lifecycle,
 		log:         log,
 		stopTimeout: stopTimeout,
 		injector:    do.New(),
@@ -46,9 +52,9 @@
 	}
 }
 
-// Register adds a module under a name that no other module has. deps name the
-// modules that it finds and that start before it; they may be registered
-// later. A problem is reported by Build.
+// Register adds a module under a unique name. deps are the names of the modules
+// that its factory may look up and that start before it; they may be registered
+// later. Build returns an error for a name that is registered twice.
 func (k *Kernel) Register(name string, factory Factory, deps ...string) {
 	if _, taken := k.deps[name]; taken {
 		k.problems = append(k.problems, Error.New("module %q is registered twice", name))
@@ -61,8 +67,8 @@
 	})
 }
 
-// construct makes the dependencies of a module, then the module. The order in
-// which modules are finished is the order in which they start.
+// construct constructs the dependencies of a module, then the module. Modules
+// start in the order in which their construction completes.
 func (k *Kernel) construct(name string, factory Factory, i do.Injector) (Module, error) {
 	for _, dep := range k.deps[name] {
 		if _, err := do.InvokeNamed[Module](i, dep); err != nil {
@@ -77,8 +83,9 @@
 	return m, nil
 }
 
-// Build makes every module and starts none. The error names each module
-// registered twice, each unknown dependency, and the modules of a cycle.
+// Build constructs every module and starts none. The error names each module
+// registered twice and each unknown dependency or, if there are none, the
+// modules of a dependency cycle or the module whose factory failed.
 func (k *Kernel) Build() error {
 	problems := append(k.problems, k.unknownDependencies()...)
 	if len(problems) > 0 {
@@ -104,33 +111,33 @@
 	return problems
 }
 
-// Start starts the modules, each after those it depends on, and makes the
-// host ready. If one fails, those already started are stopped in reverse
-// order and every error is returned.
+// Start starts the modules, each after its dependencies, and then sets the state
+// to Ready. If a module fails to start, those already started are stopped in
+// reverse order, and the errors of both the start and the stops are returned.
 func (k *Kernel) Start(ctx context.Context) error {
-	for _, m := range k.built[k.started:] {
+	for _, m := range k.built[k.startedCount:] {
 		began := time.Now()
 		if err := m.module.Start(ctx); err != nil {
 			k.log.Event(evModuleStartFailed).Str("module", m.name).Err(err).Msg("")
 			err = fmt.Errorf("start module %q: %w", m.name, err)
 			return Error.Wrap(errors.Join(err, k.Stop(context.WithoutCancel(ctx))))
 		}
-		k.started++
+		k.startedCount++
 		k.log.Event(evModuleStarted).Str("module", m.name).Dur("took", time.Since(began)).Msg("")
 	}
 	k.Advance(Ready)
 	return nil
 }
 
-// Stop stops the started modules, each before those it depends on. A module
-// that fails or overruns the stop timeout doesn't keep the others from
-// stopping; every error is returned.
+// Stop stops the started modules, each before its dependencies. If a module
+// fails or exceeds the stop timeout, the remaining modules are still stopped;
+// all errors are returned.
 func (k *Kernel) Stop(ctx context.Context) error {
 	k.Advance(Leaving)
 	var problems []error
-	for k.started > 0 {
-		k.started--
-		if err := k.stop(ctx, k.built[k.started]); err != nil {
+	for k.startedCount > 0 {
+		k.startedCount--
+		if err := k.stop(ctx, k.built[k.startedCount]); err != nil {
 			problems = append(problems, err)
 		}
 	}
@@ -159,49 +166,51 @@
 	return nil
 }
 
-// returnGrace is how long a module may take to return once its stop deadline
-// has passed, so that its own error is reported rather than ours.
+// returnGrace is how long the kernel waits for a module's Stop to return after
+// its deadline has passed, so that the module's own error is reported instead
+// of the kernel's timeout error.
 const returnGrace = 100 * time.Millisecond
 
-// awaitReturn gives a module that has overrun its deadline a last moment to
-// return.
+// awaitReturn waits up to returnGrace for the Stop of a module whose deadline
+// has passed, and otherwise returns a timeout error.
 func awaitReturn(ctx context.Context, done <-chan error) error {
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(returnGrace):
-		return fmt.Errorf("still stopping, left behind: %w", ctx.Err())
+		return fmt.Errorf("module did not stop before its deadline and was abandoned: %w", ctx.Err())
 	}
 }
 
-// Advance moves the host's state and logs the change.
+// Advance moves the host to a later lifecycle state and logs the change.
 func (k *Kernel) Advance(s State) {
-	if k.life.Advance(s) {
+	if k.lifecycle.Advance(s) {
 		k.log.Event(evStateChanged).Str("state", s.String()).Msg("")
 	}
 }
 
-// Finder finds modules by name for a factory.
+// Finder looks up modules by name on behalf of one factory.
 type Finder struct {
 	injector do.Injector
 	module   string
 	deps     []string
 }
 
-// Find returns the module with this name as a T. The factory's module must
-// have named it as a dependency, so that the start order is known to be right.
+// Find returns the module registered under name, as a T. The module under
+// construction must have declared it as a dependency, which guarantees that it
+// starts first.
 func Find[T any](f Finder, name string) (T, error) {
-	var none T
+	var zero T
 	if !slices.Contains(f.deps, name) {
-		return none, Error.New("module %q finds %q, which is not among its dependencies", f.module, name)
+		return zero, Error.New("module %q finds %q, which is not among its dependencies", f.module, name)
 	}
 	m, err := do.InvokeNamed[Module](f.injector, name)
 	if err != nil {
-		return none, Error.Wrap(err)
+		return zero, Error.Wrap(err)
 	}
 	found, ok := m.(T)
 	if !ok {
-		return none, Error.New("module %q finds %q as %T, but it is %T", f.module, name, &none, m)
+		return zero, Error.New("module %q finds %q as %T, but it is %T", f.module, name, &zero, m)
 	}
 	return found, nil
 }
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -14,95 +14,97 @@
 	"rhubarbwood.example/rhubarbwood/internal/event"
 )
 
-type part struct {
-	name     string
-	journal  *[]string
-	startErr error
-	stopErr  error
-	hang     bool
+// fakeModule records the calls of its Start and Stop in a shared list.
+type fakeModule struct {
+	name       string
+	calls      *[]string
+	startErr   error
+	stopErr    error
+	hangOnStop bool
 }
 
-func (p *part) Start(context.Context) error {
-	*p.journal = append(*p.journal, "start "+p.name)
+func (p *fakeModule) Start(context.Context) error {
+	*p.calls = append(*p.calls, "start "+p.name)
 	return p.startErr
 }
 
-func (p *part) Stop(context.Context) error {
-	if p.hang {
+func (p *fakeModule) Stop(context.Context) error {
+	if p.hangOnStop {
 		time.Sleep(time.Hour)
 	}
-	*p.journal = append(*p.journal, "stop "+p.name)
+	*p.calls = append(*p.calls, "stop "+p.name)
 	return p.stopErr
 }
 
-func of(m Module) Factory { return func(Finder) (Module, error) { return m, nil } }
+// factoryOf returns a factory that returns m.
+func factoryOf(m Module) Factory { return func(Finder) (Module, error) { return m, nil } }
 
 func newKernel() *Kernel { return New(NewLifecycle(), time.Second, event.Discard()) }
 
 func TestStartsInDependencyOrderAndStopsInReverse(t *testing.T) {
 	is := is.New(t)
-	var journal []string
+	var calls []string
 	k := newKernel()
 	k.Register("entry", func(f Finder) (Module, error) {
-		relay, err := Find[*part](f, "relay")
+		relay, err := Find[*fakeModule](f, "relay")
 		is.NoErr(err)
 		is.Equal(relay.name, "relay")
-		return &part{name: "entry", journal: &journal}, nil
+		return &fakeModule{name: "entry", calls: &calls}, nil
 	}, "relay", "store")
-	k.Register("relay", of(&part{name: "relay", journal: &journal}), "store")
-	k.Register("store", of(&part{name: "store", journal: &journal}))
+	k.Register("relay", factoryOf(&fakeModule{name: "relay", calls: &calls}), "store")
+	k.Register("store", factoryOf(&fakeModule{name: "store", calls: &calls}))
 
 	is.NoErr(k.Build())
-	is.Equal(k.life.State(), Starting)
+	is.Equal(k.lifecycle.State(), Starting)
 	is.NoErr(k.Start(t.Context()))
-	is.Equal(k.life.State(), Ready)
+	is.Equal(k.lifecycle.State(), Ready)
 	is.NoErr(k.Stop(t.Context()))
-	is.Equal(k.life.State(), Stopped)
-	is.Equal(journal, []string{
+	is.Equal(k.lifecycle.State(), Stopped)
+	is.Equal(calls, []string{
 		"start store", "start relay", "start entry", "stop entry", "stop relay", "stop store",
 	})
 }
 
 func TestPartialStartIsRolledBack(t *testing.T) {
 	is := is.New(t)
-	var journal []string
+	var calls []string
 	full, broken := errors.New("disk full"), errors.New("bad stop")
 	k := newKernel()
-	k.Register("a", of(&part{name: "a", journal: &journal, stopErr: broken}))
-	k.Register("b", of(&part{name: "b", journal: &journal, startErr: full}), "a")
-	k.Register("c", of(&part{name: "c", journal: &journal}), "b")
+	k.Register("a", factoryOf(&fakeModule{name: "a", calls: &calls, stopErr: broken}))
+	k.Register("b", factoryOf(&fakeModule{name: "b", calls: &calls, startErr: full}), "a")
+	k.Register("c", factoryOf(&fakeModule{name: "c", calls: &calls}), "b")
 
 	is.NoErr(k.Build())
 	err := k.Start(t.Context())
 	is.True(errors.Is(err, full))
-	is.True(errors.Is(err, broken)) // the error of the roll-back isn't lost
-	is.Equal(journal, []string{"start a", "start b", "stop a"})
-	is.Equal(k.life.State(), Stopped)
+	is.True(errors.Is(err, broken)) // the error of the roll-back is returned too
+	is.Equal(calls, []string{"start a", "start b", "stop a"})
+	is.Equal(k.lifecycle.State(), Stopped)
 }
 
 func TestStopGoesOnPastErrors(t *testing.T) {
 	is := is.New(t)
-	var journal []string
+	var calls []string
 	first, second := errors.New("first"), errors.New("second")
 	k := newKernel()
-	k.Register("a", of(&part{name: "a", journal: &journal, stopErr: first}))
-	k.Register("b", of(&part{name: "b", journal: &journal, stopErr: second}), "a")
+	k.Register("a", factoryOf(&fakeModule{name: "a", calls: &calls, stopErr: first}))
+	k.Register("b", factoryOf(&fakeModule{name: "b", calls: &calls, stopErr: second}), "a")
 	is.NoErr(k.Build())
 	is.NoErr(k.Start(t.Context()))
 
 	err := k.Stop(t.Context())
 	is.True(errors.Is(err, first))
 	is.True(errors.Is(err, second))
-	is.True(slices.Contains(journal, "stop a"))
+	is.True(slices.Contains(calls, "stop a"))
 }
 
 func TestStopLeavesBehindAModuleThatOverruns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var journal []string
+		var calls []string
 		k := newKernel()
-		k.Register("a", of(&part{name: "a", journal: &journal}))
-		k.Register("slow", of(&part{name: "slow", journal: &journal, hang: true}), "a")
+		k.Register("a", factoryOf(&fakeModule{name: "a", calls: &calls}))
+		k.Register("slow", factoryOf(&fakeModule{name: "slow", calls: &calls, hangOnStop: true}), "a")
 		is.NoErr(k.Build())
 		is.NoErr(k.Start(t.Context()))
 
@@ -111,14 +113,14 @@
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.True(strings.Contains(err.Error(), `"slow"`))
 		is.Equal(time.Since(began), k.stopTimeout+returnGrace)
-		is.Equal(journal[len(journal)-1], "stop a")
-		time.Sleep(2 * time.Hour) // let the module end, as the bubble wants
+		is.Equal(calls[len(calls)-1], "stop a")
+		time.Sleep(2 * time.Hour) // synctest requires all goroutines to end: wait for the hanging Stop
 	})
 }
 
 func TestBuildNamesFaults(t *testing.T) {
-	var journal []string
-	any := of(&part{journal: &journal})
+	var calls []string
+	any := factoryOf(&fakeModule{calls: &calls})
 	tests := map[string]struct {
 		register func(k *Kernel)
 		want     []string
@@ -131,18 +133,18 @@
 			func(k *Kernel) { k.Register("a", any, "b"); k.Register("b", any, "c"); k.Register("c", any, "a") },
 			[]string{"circular", "`a` -> `b` -> `c` -> `a`"},
 		},
-		"a name taken twice": {
+		"a name registered twice": {
 			func(k *Kernel) { k.Register("a", any); k.Register("a", any) },
 			[]string{`"a" is registered twice`},
 		},
-		"a dependency that is found but not named": {
+		"a lookup of an undeclared dependency": {
 			func(k *Kernel) {
 				k.Register("a", any)
 				k.Register("b", func(f Finder) (Module, error) { return Find[Module](f, "a") })
 			},
 			[]string{`"b" finds "a", which is not among its dependencies`},
 		},
-		"a module of another type": {
+		"a lookup with the wrong type": {
 			func(k *Kernel) {
 				k.Register("a", any)
 				k.Register("b", func(f Finder) (Module, error) {
@@ -165,7 +167,7 @@
 					t.Errorf("%q does not contain %q", err, want)
 				}
 			}
-			is.Equal(len(journal), 0) // nothing was started
+			is.Equal(len(calls), 0) // nothing was started
 		})
 	}
 }
--- a/internal/kernel/lifecycle.go
+++ b/internal/kernel/lifecycle.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// State is how far a host is in its life. It only grows.
+// State is the lifecycle state of a host. It only moves forward.
 type State uint8
 
 const (
-	Starting State = iota // not every module has started
-	Ready                 // takes work
-	Leaving               // stops; takes no new work once its balancer has noticed
-	Stopped               // every module has stopped
+	Starting State = iota // not all modules have started
+	Ready                 // accepts requests
+	Leaving               // shutting down; readiness fails, and callers are served until the load balancer has reacted
+	Stopped               // all modules have stopped
 )
 
 var stateNames = [...]string{"starting", "ready", "leaving", "stopped"}
@@ -22,8 +22,8 @@
 	return "invalid"
 }
 
-// Lifecycle holds the state of a host for all modules to read. Every method
-// is safe for concurrent use.
+// Lifecycle holds the state of a host, shared by its modules. It is safe for
+// concurrent use.
 type Lifecycle struct {
 	mu      sync.Mutex
 	state   State
@@ -33,18 +33,20 @@
 // NewLifecycle returns a lifecycle in the state Starting.
 func NewLifecycle() *Lifecycle { return &Lifecycle{leaving: make(chan struct{})} }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Lifecycle) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Leaving is closed when the host begins to leave.
+// Leaving returns a channel that is closed when the host reaches the state
+// Leaving or a later one.
 func (l *Lifecycle) Leaving() <-chan struct{} { return l.leaving }
 
-// Advance moves to the state s and reports whether that was a change. A state
-// never goes back, so a host that leaves can't become ready again.
+// Advance moves to the state s and reports whether the state changed. A call
+// with the current or an earlier state has no effect, so a host that is leaving
+// can't become ready again.
 func (l *Lifecycle) Advance(s State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/kernel/lookup.go
+++ b/internal/kernel/lookup.go
@@ -1,14 +1,14 @@
 package kernel
 
-// Lookup finds several modules for one factory and keeps the first error, so
-// that the factory checks once.
+// Lookup looks up several modules for one factory and keeps the first error in
+// Err, so that the factory checks for errors once.
 type Lookup struct {
 	Finder Finder
 	Err    error
 }
 
-// FindIn returns the module with this name as a T, or the zero value and an
-// error in l.
+// FindIn returns the module registered under name, as a T. If that fails, it
+// returns the zero value and sets l.Err, unless an earlier lookup has set it.
 func FindIn[T any](l *Lookup, name string) T {
 	m, err := Find[T](l.Finder, name)
 	if err != nil && l.Err == nil {
--- a/internal/kernel/module.go
+++ b/internal/kernel/module.go
@@ -1,13 +1,11 @@
-// Package kernel starts and stops the modules of a host. Modules find each
-// other by name; a module starts after those it depends on and stops before
-// them.
 package kernel
 
 import "context"
 
-// Module is one part of a host. Start returns when the module is ready for
-// those that depend on it, and must not keep ctx. Stop ends what Start began
-// and returns when it has ended, or with an error when ctx is done first.
+// Module is a component of a host with its own start and stop. Start returns
+// once the modules that depend on it may use it; it must not retain ctx. Stop
+// shuts down everything that Start launched and returns when that is complete,
+// or with an error if ctx ends first.
 type Module interface {
 	Start(ctx context.Context) error
 	Stop(ctx context.Context) error
