--- a/internal/host/docs_test.go
+++ b/internal/host/docs_test.go
@@ -22,19 +22,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/settings"
 )
 
-var update = flag.Bool("update", false, "write the pages instead of comparing them")
+var update = flag.Bool("update", false, "write the generated pages before comparing them")
 
-const docs = "../../docs/"
+const docsDir = "../../docs/"
 
-// checkPage holds a page to its text; "make docs" writes it.
+// checkPage checks that the page has the text generated from the code. With
+// -update, as used by "make docs", it writes the page first.
 func checkPage(t *testing.T, name, want string) {
 	t.Helper()
 	if *update {
-		if err := os.WriteFile(docs+name, []byte(want), 0o644); err != nil {
+		if err := os.WriteFile(docsDir+name, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := os.ReadFile(docs + name)
+	got, err := os.ReadFile(docsDir + name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,18 +65,19 @@
 	var lines []string
 	for _, d := range descriptions(h.metrics) {
 		m := description.FindStringSubmatch(d)
-		is.True(m != nil) // the library's form of a description
+		is.True(m != nil) // the String format of prometheus.Desc
 		if strings.HasPrefix(m[1], "go_") || strings.HasPrefix(m[1], "process_") {
 			continue
 		}
 		is.True(strings.HasPrefix(m[1], "rhubarbwood_"))
-		is.True(m[2] != "") // its meaning is told
+		is.True(m[2] != "") // every metric has a help text
 		lines = append(lines, fmt.Sprintf("| %s | %s | %s |\n", m[1], strings.ReplaceAll(m[3], ",", ", "), m[2]))
 	}
 	sort.Strings(lines)
 	checkPage(t, "METRICS.md", metricsHead+strings.Join(lines, ""))
 }
 
+// descriptions returns the descriptions of all metrics in the registry.
 func descriptions(r *prometheus.Registry) []string {
 	ch := make(chan *prometheus.Desc)
 	go func() {
@@ -101,19 +103,20 @@
 `
 
 func TestSettingsPage(t *testing.T) {
-	p := settingsPage{comments: map[string]string{}, read: map[string]bool{}}
+	p := settingsPage{comments: map[string]string{}, parsedDirs: map[string]bool{}}
 	p.add(t, "", reflect.ValueOf(DefaultSettings()))
 	checkPage(t, "SETTINGS.md", settingsHead+p.text.String())
 }
 
-// settingsPage lists the fields of a settings type with the comments of the
-// source.
+// settingsPage builds the table of the fields of a settings type, with their
+// comments in the source as the meaning.
 type settingsPage struct {
-	text     strings.Builder
-	comments map[string]string // by package, type and field
-	read     map[string]bool
+	text       strings.Builder
+	comments   map[string]string // by directory, type and field
+	parsedDirs map[string]bool
 }
 
+// add adds the rows of the fields of v, a struct at the path prefix.
 func (p *settingsPage) add(t *testing.T, prefix string, v reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
@@ -130,17 +133,18 @@
 			if meaning == "" {
 				t.Errorf("%s.%s has no comment", v.Type(), f.Name)
 			}
-			fmt.Fprintf(&p.text, "| `%s` | %s | %s | %s |\n", at, kind(f.Type), defaultOf(v.Field(i)), meaning)
+			fmt.Fprintf(&p.text, "| `%s` | %s | %s | %s |\n", at, typeName(f.Type), defaultOf(v.Field(i)), meaning)
 		}
 	}
 }
 
-func kind(t reflect.Type) string {
+// typeName returns the name of the type as shown on the page.
+func typeName(t reflect.Type) string {
 	switch {
 	case t.Name() == "Duration":
 		return "time"
 	case t.Kind() == reflect.Slice:
-		return "array of " + kind(t.Elem()) + "s"
+		return "array of " + typeName(t.Elem()) + "s"
 	case t.Kind() == reflect.String:
 		return "string"
 	case t.Kind() == reflect.Bool:
@@ -151,6 +155,8 @@
 	return "whole number"
 }
 
+// defaultOf returns the default value as shown on the page; empty for a secret
+// and for the zero value of any type but int.
 func defaultOf(v reflect.Value) string {
 	if _, secret := v.Interface().(settings.Secret); secret || v.IsZero() && v.Kind() != reflect.Int {
 		return ""
@@ -158,17 +164,18 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// comment returns the doc or line comment of a field, in one line.
+// comment returns the doc or line comment of a field as one line.
 func (p *settingsPage) comment(t *testing.T, owner reflect.Type, field string) string {
 	t.Helper()
 	dir := "../" + path.Base(owner.PkgPath())
-	if !p.read[dir] {
-		p.read[dir] = true
+	if !p.parsedDirs[dir] {
+		p.parsedDirs[dir] = true
 		p.readDir(t, dir)
 	}
 	return p.comments[dir+"."+owner.Name()+"."+field]
 }
 
+// readDir reads the field comments of all structs in a directory.
 func (p *settingsPage) readDir(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -189,27 +196,28 @@
 	}
 }
 
+// readStruct reads the field comments of a struct type.
 func (p *settingsPage) readStruct(prefix string, e ast.Expr) {
 	s, ok := e.(*ast.StructType)
 	if !ok {
 		return
 	}
-	text := "" // a field without a comment shares that of the field before it
+	text := "" // a field without a comment has that of the previous field
 	for _, f := range s.Fields.List {
 		if own := f.Doc.Text() + f.Comment.Text(); own != "" {
 			text = own
 		}
 		for _, name := range f.Names {
-			p.comments[prefix+name.Name] = strings.ReplaceAll(byFileNames(s, strings.Join(strings.Fields(text), " ")), "|", "or")
+			p.comments[prefix+name.Name] = strings.ReplaceAll(useJSONNames(s, strings.Join(strings.Fields(text), " ")), "|", "or")
 		}
 	}
 }
 
 var jsonTag = regexp.MustCompile(`json:"(\w+)`)
 
-// byFileNames puts the fields' names in the file in the place of their Go
-// names, which say nothing to the reader of the page.
-func byFileNames(s *ast.StructType, text string) string {
+// useJSONNames replaces the Go names of the fields in the text by their names in
+// the settings file.
+func useJSONNames(s *ast.StructType, text string) string {
 	for _, f := range s.Fields.List {
 		if f.Tag == nil || len(f.Names) == 0 {
 			continue
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,3 +1,7 @@
+// Package host assembles a host process from its settings: it registers every
+// module by name with the kernel, opens the listeners, and runs a graceful stop.
+// The logic of the modules is in their own packages. Begin reading at Host and
+// at register, which lists the modules and their dependencies.
 package host
 
 import (
@@ -17,28 +21,28 @@
 	"rhubarbwood.example/rhubarbwood/internal/relayrpc"
 )
 
-// Host is one process of the system.
+// Host is a host process: its modules, listeners and lifecycle.
 type Host struct {
 	settings    Settings
 	log         *event.Log
-	clock       *clock.Clock // of ages
-	life        *kernel.Lifecycle
+	clock       *clock.Clock // includes suspensions of the machine; measures the age of cached state
+	lifecycle   *kernel.Lifecycle
 	kernel      *kernel.Kernel
 	metrics     *prometheus.Registry
 	peerMetrics *peer.Metrics
 	listeners   listeners
-	parts       parts
+	modules     modules
 }
 
-// parts are the modules that the host itself calls.
-type parts struct {
+// modules are the modules that the host calls directly.
+type modules struct {
 	members  *member.Members
 	catalog  *catalog.Catalog
 	relayRPC *relayrpc.Server
 }
 
-// New returns a host with every module built and every address taken, but
-// nothing started. An address in use is an error here.
+// New returns a host whose modules are constructed and whose listeners are open,
+// but nothing is started. It returns an error if an address is in use.
 func New(s Settings, log *event.Log) (*Host, error) {
 	ln, err := listenOn(s.Addresses)
 	if err != nil {
@@ -48,13 +52,13 @@
 		clock:     clock.New(),
 		settings:  s,
 		log:       log,
-		life:      kernel.NewLifecycle(),
+		lifecycle: kernel.NewLifecycle(),
 		metrics:   prometheus.NewRegistry(),
 		listeners: ln,
 	}
 	h.peerMetrics = peer.NewMetrics(h.metrics)
 	h.metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	h.kernel = kernel.New(h.life, s.Stop.ModuleTimeout.Std(), log)
+	h.kernel = kernel.New(h.lifecycle, s.Stop.ModuleTimeout.Std(), log)
 	h.register()
 	if err := h.kernel.Build(); err != nil {
 		h.listeners.close()
@@ -63,7 +67,7 @@
 	return h, nil
 }
 
-// Start starts every module. If one fails, none is left running.
+// Start starts every module. If one fails, those already started are stopped.
 func (h *Host) Start(ctx context.Context) error {
 	if err := h.kernel.Start(ctx); err != nil {
 		h.listeners.close()
@@ -75,31 +79,33 @@
 	return nil
 }
 
-// Addresses returns where the host listens, with the ports that were taken.
+// Addresses returns the addresses that the host listens on, with the actual ports.
 func (h *Host) Addresses() Addresses { return h.listeners.addresses() }
 
-// Ready returns why the host takes no callers, or nil; the balancer asks.
+// Ready returns nil if the host accepts callers, or an error with the reason why
+// not. The load balancer queries it through the readiness endpoint.
 func (h *Host) Ready() error {
-	if s := h.life.State(); s != kernel.Ready {
+	if s := h.lifecycle.State(); s != kernel.Ready {
 		return Error.New("the host is %s", s)
 	}
-	if h.parts.catalog.Stale() {
+	if h.modules.catalog.Stale() {
 		return Error.New("the host has lost touch with platform and peers")
 	}
 	return nil
 }
 
-// WaitReady waits until the host takes callers, or returns why it doesn't
-// when ctx is done.
+// WaitReady waits until the host accepts callers. If ctx ends first, it returns
+// the reason why the host is not ready.
 func (h *Host) WaitReady(ctx context.Context) error { return await.Ready(ctx, h.Ready) }
 
 // Leaving reports whether the host is stopping.
-func (h *Host) Leaving() bool { return h.life.State() >= kernel.Leaving }
+func (h *Host) Leaving() bool { return h.lifecycle.State() >= kernel.Leaving }
 
-// Stop leaves gracefully, so that no request is cut off: readiness fails, the
-// peers are told, relayed work is refused as not run, callers are served until
-// the balancer has noticed, and what is in flight ends by its own budget. The
-// hard limit of the settings ends all that; the error names what it cut.
+// Stop shuts the host down gracefully, so that no request is cut off: readiness
+// fails, the peers are notified, and relayed requests are refused as not run.
+// Callers are served until the balancer lag has passed, and requests in flight
+// may use up their budgets. The hard limit of the settings bounds the whole stop;
+// the error then names what was cut off.
 func (h *Host) Stop(ctx context.Context) error {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Stop.HardLimit.Std())
@@ -114,15 +120,16 @@
 	return nil
 }
 
-// leave turns new work away: the balancer's by readiness, relayed work by the
-// membership and by refusing it. Callers who still come are served.
+// leave stops new work from arriving: readiness fails for the load balancer, the
+// membership announces that the host is leaving, and relayed requests are
+// refused. Callers whose requests still arrive are served.
 func (h *Host) leave(ctx context.Context) {
 	h.kernel.Advance(kernel.Leaving)
 	h.log.Event(evHostLeaving).Stringer("balancer_lag", h.settings.Stop.BalancerLag).
 		Stringer("hard_limit", h.settings.Stop.HardLimit).Msg("")
-	h.parts.members.Leave(ctx)
-	h.parts.relayRPC.Drain()
+	h.modules.members.Leave(ctx)
+	h.modules.relayRPC.Drain()
 }
 
-// StopRepeated notes that a stop was asked for while one goes on.
+// StopRepeated logs that a stop was requested while one was already running.
 func (h *Host) StopRepeated() { h.log.Event(evStopRepeated).Msg("") }
--- a/internal/host/lasthost.go
+++ b/internal/host/lasthost.go
@@ -6,13 +6,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// lastHostView is the membership as entry and relay see it. A leaving host
-// gets no relayed work, but the last one has nobody to turn to: it then
-// counts itself as alive and relays its own callers' work, which the balancer
-// goes on sending until it has noticed.
+// lastHostView is the view of the membership that entry and relay use. A leaving
+// host gets no relayed requests. If there is no other usable host, however, the
+// leaving host treats itself as alive, so that it can still relay the requests of
+// its own callers, which arrive until the load balancer has reacted.
 type lastHostView struct{ member.View }
 
-// Hosts returns the hosts; one that leaves as the last one is alive here.
+// Hosts returns the hosts. If none is usable and this host is leaving, this host
+// is returned as alive.
 func (v lastHostView) Hosts() []member.Host {
 	hosts := v.View.Hosts()
 	if slices.ContainsFunc(hosts, member.Host.Usable) {
--- a/internal/host/listeners.go
+++ b/internal/host/listeners.go
@@ -6,9 +6,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/listen"
 )
 
-// listeners are the three addresses of a host.
+// listeners are the three open listeners of a host.
 type listeners struct{ callers, operators, peers net.Listener }
 
+// listenOn opens a listener on each of the addresses.
 func listenOn(a Addresses) (listeners, error) {
 	all, err := listen.All(
 		listen.Address{Name: "callers", Address: a.Callers},
@@ -21,9 +22,10 @@
 	return listeners{callers: all[0], operators: all[1], peers: all[2]}, nil
 }
 
-// close closes what is still open.
+// close closes the listeners that are still open.
 func (l listeners) close() { listen.Close(l.callers, l.operators, l.peers) }
 
+// addresses returns the addresses of the listeners, with the actual ports.
 func (l listeners) addresses() Addresses {
 	return Addresses{
 		Callers:   l.callers.Addr().String(),
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -18,26 +18,27 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Names of the modules.
+// Module names, as registered with the kernel.
 const (
-	modPlatform   = "platform"    // client of the platform
+	modPlatform   = "platform"    // client of the platform's object store
 	modPeerPool   = "peer_pool"   // connections to other hosts
 	modPeerServer = "peer_server" // listener for other hosts
 	modMembers    = "members"
 	modCatalog    = "catalog"
 	modRelay      = "relay"
 	modClaims     = "claims"
-	modRelayRPC   = "relay_rpc" // this host's relay, for other hosts
+	modRelayRPC   = "relay_rpc" // serves this host's relay to other hosts
 	modDelivery   = "delivery"
-	modCompactor  = "compactor" // of delivery windows
+	modCompactor  = "compactor" // compacts delivery windows
 	modEntry      = "entry"
 	modOperators  = "operators" // operators' listener
 	modCallers    = "callers"   // callers' listener
 )
 
-// register names every module with those it depends on. Modules stop in the
-// reverse order: callers first, so that all they need is still there, and the
-// platform and the connections to peers last.
+// register registers every module with its dependencies. Modules stop in the
+// reverse order of their start: the callers' listener first, while everything
+// that its requests use still runs, and the platform client and the connections
+// to peers last.
 func (h *Host) register() {
 	k := h.kernel
 	k.Register(modPlatform, h.newPlatform)
@@ -88,7 +89,7 @@
 		API:           h.Addresses().Callers,
 	}
 	m := member.New(h.settings.Member, self, store, member.DRPC{Dialer: pool}, h.log, h.metrics)
-	h.parts.members = m
+	h.modules.members = m
 	return m, m.Register(server)
 }
 
@@ -104,7 +105,7 @@
 	c := catalog.New(h.settings.Catalog, store, members, catalog.NewPeerPuller(pool), members, h.log, h.metrics)
 	members.Follow(c)
 	c.GoBy(h.clock)
-	h.parts.catalog = c
+	h.modules.catalog = c
 	return c, peerpb.DRPCRegisterConfiguration(server, c)
 }
 
@@ -147,17 +148,17 @@
 		return nil, l.Err
 	}
 	s := relayrpc.NewServer(searcher, reserver)
-	h.parts.relayRPC = s
+	h.modules.relayRPC = s
 	return relayRPCModule{s}, s.Register(server)
 }
 
-// relayRPCModule stops a relayrpc.Server by letting its work end.
+// relayRPCModule adapts a relayrpc.Server to kernel.Module.
 type relayRPCModule struct{ server *relayrpc.Server }
 
-// Start does nothing: the peer listener serves.
+// Start does nothing, as the peer server module serves the requests.
 func (m relayRPCModule) Start(context.Context) error { return nil }
 
-// Stop refuses new work and waits for what runs.
+// Stop refuses new requests and waits for those in progress.
 func (m relayRPCModule) Stop(ctx context.Context) error {
 	m.server.Drain()
 	return m.server.Wait(ctx)
@@ -189,7 +190,7 @@
 	pool := kernel.FindIn[peer.Dialer](&l, modPeerPool)
 	members := kernel.FindIn[member.View](&l, modMembers)
 	cat := kernel.FindIn[*catalog.Catalog](&l, modCatalog)
-	local := relays{
+	local := relayClients{
 		self:     h.settings.ID,
 		dialer:   pool,
 		searcher: kernel.FindIn[relay.Searcher](&l, modRelay),
--- a/internal/host/relays.go
+++ b/internal/host/relays.go
@@ -8,25 +8,25 @@
 	"rhubarbwood.example/rhubarbwood/internal/relayrpc"
 )
 
-// relays is the entry.Relays of a host: its own relay is called in process,
-// the others over drpc.
-type relays struct {
+// relayClients implements entry.Relays: it calls the host's own relay in process
+// and those of other hosts over DRPC.
+type relayClients struct {
 	self     string
 	dialer   peer.Dialer
 	searcher relay.Searcher
 	reserver claim.Reserver
 }
 
-// Searcher returns the relay of the host.
-func (r relays) Searcher(h member.Host) relay.Searcher {
+// Searcher returns the searcher of host h.
+func (r relayClients) Searcher(h member.Host) relay.Searcher {
 	if h.ID == r.self {
 		return r.searcher
 	}
 	return relayrpc.NewClient(r.dialer, h.Peer, r.self)
 }
 
-// Reserver returns the reserver of the host.
-func (r relays) Reserver(h member.Host) claim.Reserver {
+// Reserver returns the reserver of host h.
+func (r relayClients) Reserver(h member.Host) claim.Reserver {
 	if h.ID == r.self {
 		return r.reserver
 	}
--- a/internal/host/reload.go
+++ b/internal/host/reload.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// Top-level fields with a treatment of their own.
+// Top-level fields that a reload treats specially.
 const (
-	fieldLog       = "log" // can change while a host runs
-	fieldOperators = "operators"
+	fieldLog       = "log"       // applied without a restart
+	fieldOperators = "operators" // compared with the tokens, which JSON redacts
 )
 
-// Reload puts the log level of newly read settings in force. Everything else
-// needs a restart; what differs is named in the log. err is that of reading
-// the settings: with it nothing changes.
+// Reload applies the log level of newly read settings. All other fields need a
+// restart; those that have changed are named in the log. err is the error of
+// reading the settings; if it is not nil, it is logged and nothing is applied.
 func (h *Host) Reload(s Settings, err error) {
 	if err != nil {
 		h.log.Event(evReloadRefused).Err(err).Msg("")
 		return
 	}
 	h.log.SetLevel(s.Log.Plog())
-	restart := strings.Join(differing(h.settings, s), ",")
+	restart := strings.Join(changedFields(h.settings, s), ",")
 	h.log.Event(evReloaded).Str("level", s.Log.Level).Str("restart_needed", restart).Msg("")
 }
 
-// differing returns the top-level fields, but for the log, whose values are
-// not the same.
-func differing(a, b Settings) []string {
+// changedFields returns the names of the top-level fields, except the log's,
+// whose values differ between a and b.
+func changedFields(a, b Settings) []string {
 	var names []string
-	before := topLevel(a)
-	for name, value := range topLevel(b) {
+	before := topLevelFields(a)
+	for name, value := range topLevelFields(b) {
 		same := bytes.Equal(before[name], value)
-		if name == fieldOperators { // their tokens are hidden in JSON
+		if name == fieldOperators { // JSON redacts their tokens
 			same = slices.Equal(a.Operators, b.Operators)
 		}
 		if name != fieldLog && !same {
@@ -44,14 +44,15 @@
 	return names
 }
 
-func topLevel(s Settings) map[string]json.RawMessage {
+// topLevelFields returns the top-level fields of s as JSON, by name.
+func topLevelFields(s Settings) map[string]json.RawMessage {
 	var fields map[string]json.RawMessage
 	text, err := json.Marshal(s)
 	if err == nil {
 		err = json.Unmarshal(text, &fields)
 	}
 	if err != nil {
-		panic("settings have no JSON form: " + err.Error()) // they came from one
+		panic("encode settings as JSON: " + err.Error()) // can't fail: they were decoded from JSON
 	}
 	return fields
 }
--- a/internal/host/reload_test.go
+++ b/internal/host/reload_test.go
@@ -15,10 +15,10 @@
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	running, _ := load(t, good)
+	running, _ := loadSettings(t, validSettings)
 	h := &Host{settings: running, log: event.New(&out, plog.InfoLevel, "h")}
 
-	next, _ := load(t, good)
+	next, _ := loadSettings(t, validSettings)
 	next.Log.Level = "debug"
 	next.Operators = []Operator{{Name: "on-call", Token: "another-token-of-that-name"}}
 	next.Entry.MaxRelays++
@@ -28,11 +28,11 @@
 
 	out.Reset()
 	h.log.Event(event.Event{Level: plog.DebugLevel}).Msg("")
-	is.True(out.Len() > 0) // the new level is in force
+	is.True(out.Len() > 0) // the new level is applied
 
 	out.Reset()
 	next.Log.Level = "error"
 	h.Reload(next, errors.New("bad file"))
 	h.log.Event(event.Event{Level: plog.DebugLevel}).Msg("")
-	is.Equal(strings.Count(out.String(), "\n"), 2) // the refusal, and the level as it was
+	is.Equal(strings.Count(out.String(), "\n"), 2) // the refusal and the debug line: the level is unchanged
 }
--- a/internal/host/settings.go
+++ b/internal/host/settings.go
@@ -1,5 +1,3 @@
-// Package host builds one host of the system from its settings: every module,
-// wired by name, and the order of a graceful stop.
 package host
 
 import (
@@ -22,8 +20,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Settings are the settings of one host. Each part with rules of its own is the
-// Config of the package that uses it.
+// Settings are the settings of one host. The section of a package is that
+// package's Config, which validates itself.
 type Settings struct {
 	ID            string     `json:"host"`           // name of the host, the same at each start
 	FailureDomain string     `json:"failure_domain"` // failure domain that the host stands in, named as in the services' targets
@@ -42,42 +40,42 @@
 	API      api.Config      `json:"api"`
 }
 
-// Addresses are where the host listens, each an IP address with a port; port
-// 0 takes a free one. They are told to others as they stand, so none may be
-// the unspecified address.
+// Addresses are the addresses that the host listens on, each an IP address with
+// a port; port 0 selects a free port. The host publishes them for others to
+// connect to, so none may be the unspecified address.
 type Addresses struct {
 	Callers   string `json:"callers"`   // address of the callers' API and health
 	Operators string `json:"operators"` // address of the operators' API, health and metrics
 	Peers     string `json:"peers"`     // address that other hosts call
 }
 
-// Operator is a person or program that may run statements.
+// Operator is a person or program that is authorized to run statements.
 type Operator struct {
 	Name  string          `json:"name"`  // name that changes made by this operator are recorded under
 	Token settings.Secret `json:"token"` // bearer token, at least 16 characters
 }
 
-// Log is what is logged.
+// Log holds the settings of the log.
 type Log struct {
 	Level string `json:"level"` // least level that is logged: debug, info, warn or error
 }
 
-// Stop is how the host leaves.
+// Stop holds the settings of a graceful stop.
 type Stop struct {
 	BalancerLag   unit.Duration `json:"balancer_lag"`   // how long the balancer goes on sending callers after readiness fails
 	ModuleTimeout unit.Duration `json:"module_timeout"` // longest that one module may take to stop
 	HardLimit     unit.Duration `json:"hard_limit"`     // time after which the process ends and says what it cut off
 }
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
 	minTokenLength = 16
 	maxBalancerLag = time.Minute
 	maxHardLimit   = 10 * time.Minute
 )
 
-// DefaultSettings returns the defaults. It lacks what only the operator knows:
-// id, failure domain, addresses, token and the platform's address.
+// DefaultSettings returns the default settings. Fields without a default stay
+// empty: host, failure domain, addresses, operators and the platform's addresses.
 func DefaultSettings() Settings {
 	return Settings{
 		Log: Log{Level: "info"},
@@ -98,10 +96,11 @@
 	}
 }
 
+// validName matches the names that CheckName accepts.
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// Validate checks the host's own fields and what several parts must agree on;
-// the parts check themselves.
+// Validate checks the host's own fields and the rules that span several sections.
+// The sections validate themselves.
 func (s Settings) Validate() error {
 	return errors.Join(
 		CheckName("host", s.ID),
@@ -110,8 +109,8 @@
 	)
 }
 
-// checkStop makes sure that a stop has the time to end every request in
-// flight, however long its budget.
+// checkStop checks that a stop allows enough time for every request in flight to
+// complete, even one with the maximum budget.
 func (s Settings) checkStop() error {
 	budget := s.Entry.MaxBudget
 	var problems []error
@@ -126,7 +125,8 @@
 	return errors.Join(problems...)
 }
 
-// CheckName checks the name of a host, a failure domain or an operator.
+// CheckName checks the name of a host, a failure domain or an operator. field
+// names it in the error.
 func CheckName(field, value string) error {
 	if value == "" {
 		return fmt.Errorf("%s is missing; want a name such as \"salt-lake-1\"", field)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// Validate checks that every address is there and can be told to others.
+// Validate checks that every address is set, valid and not the unspecified one.
 func (a Addresses) Validate() error {
 	return errors.Join(
 		settings.CheckAddress("callers", a.Callers),
@@ -146,7 +146,7 @@
 	)
 }
 
-// Validate checks the name, and that the token can't be guessed.
+// Validate checks the name and the minimum length of the token.
 func (o Operator) Validate() error {
 	return errors.Join(CheckName("name", o.Name), o.checkToken())
 }
@@ -158,7 +158,7 @@
 	return fmt.Errorf("token: want at least %d characters, got %d", minTokenLength, len(o.Token))
 }
 
-// Validate checks that the level is a known one.
+// Validate checks that the level is valid.
 func (l Log) Validate() error {
 	switch l.Level {
 	case "debug", "info", "warn", "error":
@@ -167,10 +167,10 @@
 	return fmt.Errorf("level %q: want debug, info, warn or error", l.Level)
 }
 
-// Plog returns the level in the form of the log library.
+// Plog returns the level as a level of the log library.
 func (l Log) Plog() plog.Level { return plog.ParseLevel(l.Level) }
 
-// Validate checks the ranges.
+// Validate checks that the durations are in range.
 func (s Stop) Validate() error {
 	return errors.Join(
 		checkRange("balancer_lag", s.BalancerLag, 0, maxBalancerLag),
@@ -179,6 +179,7 @@
 	)
 }
 
+// checkRange returns an error unless low <= d <= high.
 func checkRange(field string, d unit.Duration, low, high time.Duration) error {
 	if d.Std() >= low && d.Std() <= high {
 		return nil
--- a/internal/host/settings_test.go
+++ b/internal/host/settings_test.go
@@ -14,7 +14,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/settings"
 )
 
-const good = `// A host of the registry.
+// validSettings is a settings file without problems. Tests edit it to introduce
+// some.
+const validSettings = `// A host of the registry.
 {
   "host": "salt-lake-1",
   "failure_domain": "salt-lake",
@@ -29,7 +31,9 @@
 }
 `
 
-func load(t *testing.T, text string) (Settings, []string) {
+// loadSettings loads a settings file with this text. It returns the settings and
+// the problems, without the file name.
+func loadSettings(t *testing.T, text string) (Settings, []string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "host.jsonc")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -38,7 +42,7 @@
 	h, err := settings.Load(path, DefaultSettings())
 	var problems settings.Problems
 	if err != nil && !errors.As(err, &problems) {
-		t.Fatalf("want Problems, got %v", err)
+		t.Fatalf("want an error of type Problems, got %v", err)
 	}
 	lines := make([]string, len(problems))
 	for i, p := range problems {
@@ -47,27 +51,27 @@
 	return h, lines
 }
 
-// loadOnFreePorts returns the good settings of a host that listens on free ports.
+// loadOnFreePorts returns valid settings of a host that listens on free ports.
 func loadOnFreePorts(t *testing.T) Settings {
 	t.Helper()
-	s, problems := load(t, strings.NewReplacer("7000", "0", "8080", "0").Replace(good))
+	s, problems := loadSettings(t, strings.NewReplacer("7000", "0", "8080", "0").Replace(validSettings))
 	is.New(t).Equal(len(problems), 0)
 	return s
 }
 
 func TestGoodFileWithDefaults(t *testing.T) {
 	is := is.New(t)
-	h, problems := load(t, good)
+	h, problems := loadSettings(t, validSettings)
 	is.Equal(len(problems), 0)
 	is.Equal(h.ID, "salt-lake-1")
-	is.Equal(h.Stop.HardLimit.Std(), 46*time.Second)  // of the file
+	is.Equal(h.Stop.HardLimit.Std(), 46*time.Second)  // from the file
 	is.Equal(h.Stop.BalancerLag.Std(), 5*time.Second) // default
 	is.Equal(h.Operators[0].Token.Reveal(), "sixteen-letters-or-more")
 }
 
 func TestEffectiveHidesSecrets(t *testing.T) {
 	is := is.New(t)
-	h, _ := load(t, good)
+	h, _ := loadSettings(t, validSettings)
 	text, err := settings.Effective(h)
 	is.NoErr(err)
 	is.True(strings.Contains(text, `"hard_limit": "46s"`))
@@ -121,7 +125,7 @@
 			[][2]string{{`"failure_domain"`, `"host"`}},
 			[]string{
 				`2:1: failure_domain: failure_domain is missing; want a name such as "salt-lake-1"`,
-				`4:3: host: field stands twice`,
+				`4:3: host: duplicate field`,
 			},
 		},
 		"not JSON": {
@@ -145,12 +149,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := good
+			text := validSettings
 			for _, e := range test.edit {
 				is.True(strings.Contains(text, e[0]))
 				text = strings.Replace(text, e[0], e[1], 1)
 			}
-			_, problems := load(t, text)
+			_, problems := loadSettings(t, text)
 			is.Equal(strings.Join(problems, "\n"), strings.Join(test.want, "\n"))
 		})
 	}
--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -32,16 +32,17 @@
 		Editor:  catalog.NewEditor(cat),
 		Reports: delivery.NewReporter(h.settings.Delivery, store, members, h.log),
 		Claims:  claims,
-		Relay:   targetStates{targets},
+		Relay:   relayTargets{targets},
 
 		Objectives: objectivesOf(cat),
 	})
-	s := api.NewOperators(h.settings.API, h.settings.Addresses.Operators, h.operators(), statements{exec}, h, h.metrics, h.log)
+	s := api.NewOperators(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
 	s.On(h.listeners.operators)
 	return s, nil
 }
 
-// objectivesOf returns the objectives of the services in force.
+// objectivesOf returns a function that returns the objectives of the services of
+// the current configuration.
 func objectivesOf(services catalog.View) func() []delivery.Objective {
 	return func() []delivery.Objective { return delivery.Objectives(services.Services()) }
 }
@@ -54,23 +55,23 @@
 	return operators
 }
 
-// statements is the api.Executor over the executor of statements.
-type statements struct{ exec *operate.Executor }
+// statementExecutor adapts operate.Executor to api.Executor.
+type statementExecutor struct{ executor *operate.Executor }
 
-// Execute runs a statement's text.
-func (s statements) Execute(ctx context.Context, operator, statement string, dryRun bool) (api.Result, error) {
-	t, err := s.exec.ExecuteText(ctx, operator, statement, dryRun)
+// Execute parses and runs a statement.
+func (s statementExecutor) Execute(ctx context.Context, operator, statement string, dryRun bool) (api.Result, error) {
+	t, err := s.executor.ExecuteText(ctx, operator, statement, dryRun)
 	if err != nil {
 		return api.Result{}, err
 	}
 	return api.Result{Columns: t.Columns, Rows: t.Rows, Message: t.Message}, nil
 }
 
-// targetStates tells the executor the targets that this host relays.
-type targetStates struct{ relay *relay.Relay }
+// relayTargets adapts the relay to the executor's source of target states.
+type relayTargets struct{ relay *relay.Relay }
 
-// TargetStates returns the relayed targets.
-func (s targetStates) TargetStates() []operate.Target {
+// TargetStates returns the states of the targets that this host is the relay of.
+func (s relayTargets) TargetStates() []operate.Target {
 	var relayed []operate.Target
 	for _, t := range s.relay.Targets() {
 		if !t.Relayed {
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -24,33 +24,33 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// bench is one host before targets that hold every shard request until the
-// test lets go.
-type bench struct {
-	host    *Host
-	log     *bytes.Buffer // read only after the host has stopped
-	arrived chan struct{} // one for each shard request
-	letGo   func()
+// testHost is a host whose targets block every shard request until the test calls
+// releaseTargets.
+type testHost struct {
+	host           *Host
+	log            *bytes.Buffer // read only after the host has stopped
+	shardRequests  chan struct{} // receives a value for each shard request
+	releaseTargets func()
 }
 
-func newBench(t *testing.T, hardLimit time.Duration) *bench {
+func newTestHost(t *testing.T, hardLimit time.Duration) *testHost {
 	t.Helper()
 	is := is.New(t)
 	release := make(chan struct{})
-	b := &bench{log: &bytes.Buffer{}, arrived: make(chan struct{}, 100), letGo: sync.OnceFunc(func() { close(release) })}
-	t.Cleanup(b.letGo)
+	h := &testHost{log: &bytes.Buffer{}, shardRequests: make(chan struct{}, 100), releaseTargets: sync.OnceFunc(func() { close(release) })}
+	t.Cleanup(h.releaseTargets)
 
 	addresses := map[string]string{}
 	for _, c := range fixture.Demo(fixture.Options{Address: func(string) string { return "" }}).Targets {
 		inner := target.New(c).Handler()
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == targetapi.PathShard {
-				b.arrived <- struct{}{}
+				h.shardRequests <- struct{}{}
 				<-release
 			}
 			inner.ServeHTTP(w, r)
 		}))
-		t.Cleanup(func() { b.letGo(); server.Close() })
+		t.Cleanup(func() { h.releaseTargets(); server.Close() })
 		addresses[c.ID] = server.Listener.Addr().String()
 	}
 	cfg := objectstore.DefaultConfig()
@@ -65,24 +65,25 @@
 	s.Platform.Addresses = []string{ln.Addr().String()}
 	s.Stop.BalancerLag = 0
 	s.Stop.HardLimit = unit.Duration(hardLimit)
-	b.host, err = New(s, event.New(b.log, plog.InfoLevel, s.ID))
+	h.host, err = New(s, event.New(h.log, plog.InfoLevel, s.ID))
 	is.NoErr(err)
-	is.NoErr(b.host.Start(t.Context()))
-	is.NoErr(b.host.WaitReady(t.Context()))
-	return b
+	is.NoErr(h.host.Start(t.Context()))
+	is.NoErr(h.host.WaitReady(t.Context()))
+	return h
 }
 
-// search asks for all shards and returns what came of it.
-func (b *bench) search() <-chan string {
+// search sends a search of all shards in the background. The channel receives the
+// status line and body of the response, or the error text.
+func (h *testHost) search() <-chan string {
 	done := make(chan string, 1)
 	go func() {
 		body := strings.NewReader(`{"workload": "guest-portal"}`)
-		req, err := http.NewRequest(http.MethodPost, "http://"+b.host.Addresses().Callers+"/v1/search", body)
+		req, err := http.NewRequest(http.MethodPost, "http://"+h.host.Addresses().Callers+"/v1/search", body)
 		if err != nil {
 			done <- err.Error()
 			return
 		}
-		req.Header.Set("X-Budget-Ms", "30000") // no budget ends while the test holds the targets
+		req.Header.Set("X-Budget-Ms", "30000") // long enough not to expire while the targets are blocked
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			done <- err.Error()
@@ -101,43 +102,44 @@
 
 func TestStopLetsRequestsInFlightEnd(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, time.Minute)
-	answer := b.search()
-	<-b.arrived
+	h := newTestHost(t, time.Minute)
+	answer := h.search()
+	<-h.shardRequests
 	stopped := make(chan error, 1)
-	go func() { stopped <- b.host.Stop(context.Background()) }()
-	for !b.host.Leaving() {
-		time.Sleep(time.Millisecond) // nothing is judged by it
+	go func() { stopped <- h.host.Stop(context.Background()) }()
+	for !h.host.Leaving() {
+		time.Sleep(time.Millisecond) // polling interval only; no check depends on it
 	}
-	is.True(b.host.Ready() != nil) // the balancer is told
-	b.letGo()
+	is.True(h.host.Ready() != nil) // the load balancer stops sending
+	h.releaseTargets()
 	got := <-answer
 	is.True(strings.HasPrefix(got, "200 "))
 	is.True(strings.Contains(got, `"complete":true`))
 	is.NoErr(<-stopped)
-	is.True(strings.Contains(b.log.String(), `"name":"host_stopped"`))
+	is.True(strings.Contains(h.log.String(), `"name":"host_stopped"`))
 }
 
-// While the balancer has not noticed, it still sends callers.
+// A leaving host must serve callers, since the load balancer sends them until it
+// has noticed that readiness fails.
 func TestLeavingHostServesCallers(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, time.Minute)
-	b.letGo()
-	b.host.leave(t.Context())
-	is.True(b.host.Ready() != nil)
-	is.Equal(b.host.parts.members.Self().State, member.Leaving)
-	is.True(strings.HasPrefix(<-b.search(), "200 "))
-	is.NoErr(b.host.Stop(context.Background()))
+	h := newTestHost(t, time.Minute)
+	h.releaseTargets()
+	h.host.leave(t.Context())
+	is.True(h.host.Ready() != nil)
+	is.Equal(h.host.modules.members.Self().State, member.Leaving)
+	is.True(strings.HasPrefix(<-h.search(), "200 "))
+	is.NoErr(h.host.Stop(context.Background()))
 }
 
 func TestHardLimitCutsAndSaysWhat(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, 100*time.Millisecond)
-	answer := b.search()
-	<-b.arrived
-	err := b.host.Stop(context.Background())
+	h := newTestHost(t, 100*time.Millisecond)
+	answer := h.search()
+	<-h.shardRequests
+	err := h.host.Stop(context.Background())
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "were cut off"))
-	is.True(strings.Contains(b.log.String(), `"name":"host_cut"`))
+	is.True(strings.Contains(h.log.String(), `"name":"host_cut"`))
 	is.True(!strings.HasPrefix(<-answer, "200 "))
 }
--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -5,7 +5,8 @@
 	"net/netip"
 )
 
-// CheckAddress reports a value that isn't a specified IP address with a port.
+// CheckAddress returns an error unless value is an IP address with a port and
+// not the unspecified address, such as 0.0.0.0. field names it in the error.
 func CheckAddress(field, value string) error {
 	if value == "" {
 		return fmt.Errorf("%s: address is missing; want ip:port", field)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -11,21 +11,22 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills a Go value from a file and collects the problems.
+// decoder decodes a file into a Go value and collects the problems.
 type decoder struct {
 	file      string
 	text      []byte
 	problems  Problems
-	undecoded map[string]bool // paths of the problems found while decoding
+	undecoded map[string]bool // paths of the values that could not be decoded
 }
 
-// reportUndecoded reports a value that can't be decoded.
-func (d *decoder) reportUndecoded(n node, format string, args ...any) {
+// addDecodeProblem adds a problem for a value that can't be decoded.
+func (d *decoder) addDecodeProblem(n node, format string, args ...any) {
 	d.undecoded[n.path] = true
-	d.report(n, format, args...)
+	d.addProblem(n, format, args...)
 }
 
-func (d *decoder) report(n node, format string, args ...any) {
+// addProblem adds a problem at the position and path of n.
+func (d *decoder) addProblem(n node, format string, args ...any) {
 	offset := n.value.StartOffset
 	before := d.text[:offset]
 	d.problems = append(d.problems, &Problem{
@@ -37,6 +38,7 @@
 	})
 }
 
+// decode sets v from n. It uses the UnmarshalJSON method of v if it has one.
 func (d *decoder) decode(n node, v reflect.Value) {
 	if u, ok := v.Addr().Interface().(json.Unmarshaler); ok {
 		d.unmarshal(n, u)
@@ -57,19 +59,20 @@
 	}
 }
 
+// unmarshal passes n to u as standard JSON.
 func (d *decoder) unmarshal(n node, u json.Unmarshaler) {
 	c := n.value.Clone()
 	c.Standardize()
 	c.Minimize()
 	if err := u.UnmarshalJSON(c.Pack()); err != nil {
-		d.reportUndecoded(n, "%s", strings.TrimPrefix(err.Error(), "json: "))
+		d.addDecodeProblem(n, "%s", strings.TrimPrefix(err.Error(), "json: "))
 	}
 }
 
 func (d *decoder) decodeStruct(n node, v reflect.Value) {
 	obj, ok := n.value.Value.(*hujson.Object)
 	if !ok {
-		d.reportUndecoded(n, "want an object, got %s", describe(n.value))
+		d.addDecodeProblem(n, "want an object, got %s", describeValue(n.value))
 		return
 	}
 	all := fieldsOf(v.Type())
@@ -80,9 +83,9 @@
 		field, known := all.byName[name]
 		switch {
 		case !known:
-			d.reportUndecoded(at, "unknown field; want one of %s", strings.Join(all.names, ", "))
+			d.addDecodeProblem(at, "unknown field; want one of %s", strings.Join(all.names, ", "))
 		case seen[name]:
-			d.reportUndecoded(at, "field stands twice")
+			d.addDecodeProblem(at, "duplicate field")
 		default:
 			seen[name] = true
 			d.decode(n.withMember(name, &obj.Members[i].Value), v.FieldByIndex(field))
@@ -93,7 +96,7 @@
 func (d *decoder) decodeSlice(n node, v reflect.Value) {
 	array, ok := n.value.Value.(*hujson.Array)
 	if !ok {
-		d.reportUndecoded(n, "want an array, got %s", describe(n.value))
+		d.addDecodeProblem(n, "want an array, got %s", describeValue(n.value))
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(array.Elements), len(array.Elements)))
@@ -105,7 +108,7 @@
 func (d *decoder) decodeMap(n node, v reflect.Value) {
 	obj, ok := n.value.Value.(*hujson.Object)
 	if !ok {
-		d.reportUndecoded(n, "want an object, got %s", describe(n.value))
+		d.addDecodeProblem(n, "want an object, got %s", describeValue(n.value))
 		return
 	}
 	v.Set(reflect.MakeMap(v.Type()))
@@ -113,7 +116,7 @@
 		name := obj.Members[i].Name.Value.(hujson.Literal).String()
 		key := reflect.ValueOf(name).Convert(v.Type().Key())
 		if v.MapIndex(key).IsValid() {
-			d.reportUndecoded(n.withMember(name, &obj.Members[i].Name), "key stands twice")
+			d.addDecodeProblem(n.withMember(name, &obj.Members[i].Name), "duplicate key")
 			continue
 		}
 		element := reflect.New(v.Type().Elem()).Elem()
@@ -131,43 +134,44 @@
 	switch v.Kind() {
 	case reflect.String:
 		if kind != '"' {
-			d.reportUndecoded(n, "want a string, got %s", describe(n.value))
+			d.addDecodeProblem(n, "want a string, got %s", describeValue(n.value))
 			return
 		}
 		v.SetString(n.value.Value.(hujson.Literal).String())
 	case reflect.Bool:
 		if kind != 't' && kind != 'f' {
-			d.reportUndecoded(n, "want true or false, got %s", describe(n.value))
+			d.addDecodeProblem(n, "want true or false, got %s", describeValue(n.value))
 			return
 		}
 		v.SetBool(kind == 't')
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		number, err := strconv.ParseInt(text, 10, v.Type().Bits())
 		if err != nil {
-			d.reportUndecoded(n, "want a whole number of %d bits, got %s", v.Type().Bits(), describe(n.value))
+			d.addDecodeProblem(n, "want a whole number of %d bits, got %s", v.Type().Bits(), describeValue(n.value))
 			return
 		}
 		v.SetInt(number)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		number, err := strconv.ParseUint(text, 10, v.Type().Bits())
 		if err != nil {
-			d.reportUndecoded(n, "want a whole number of %d bits, 0 or more, got %s", v.Type().Bits(), describe(n.value))
+			d.addDecodeProblem(n, "want a whole number of %d bits, 0 or more, got %s", v.Type().Bits(), describeValue(n.value))
 			return
 		}
 		v.SetUint(number)
 	case reflect.Float32, reflect.Float64:
 		number, err := strconv.ParseFloat(text, v.Type().Bits())
 		if err != nil || kind != '0' {
-			d.reportUndecoded(n, "want a number, got %s", describe(n.value))
+			d.addDecodeProblem(n, "want a number, got %s", describeValue(n.value))
 			return
 		}
 		v.SetFloat(number)
 	default:
-		d.reportUndecoded(n, "field of type %s can't be set from a file", v.Type())
+		d.addDecodeProblem(n, "field of type %s can't be set from a file", v.Type())
 	}
 }
 
-func describe(v *hujson.Value) string {
+// describeValue returns the value as shown in a problem.
+func describeValue(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// fields are the members that a struct takes from a file.
+// fields are the fields of a struct that can be set from a file, by JSON name.
 type fields struct {
-	names  []string         // in the order of the struct
+	names  []string         // in declaration order
 	byName map[string][]int // index for reflect.Value.FieldByIndex
 }
 
-// fieldsOf lists the fields with a json tag. Fields of an embedded struct
-// without a tag count as the outer struct's own.
+// fieldsOf returns the exported fields of t that have a json tag. The fields of
+// an embedded struct without a tag are included as fields of t.
 func fieldsOf(t reflect.Type) fields {
 	all := fields{byName: map[string][]int{}}
 	for i := range t.NumField() {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,9 +10,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads a settings file into a copy of defaults. Fields that the file
-// leaves out keep their default. The error is Problems if the file could be
-// read at all; then nothing of the file may be used.
+// Load reads a settings file into a copy of defaults. Fields that are missing
+// from the file keep their default. If the file was read but its content is not
+// valid, the error is of type Problems. With any error the returned settings
+// must not be used.
 func Load[T any](path string, defaults T) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +22,8 @@
 	return Parse(path, text, defaults)
 }
 
-// Parse is Load for a text already read; file names it in problems.
+// Parse is like Load for the text of a file. The name file is used in problems
+// only.
 func Parse[T any](file string, text []byte, defaults T) (T, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -32,18 +34,18 @@
 	d.decode(node{value: &root}, v)
 	d.validate(node{value: &root}, v)
 	if len(d.problems) > 0 {
-		return defaults, d.sorted()
+		return defaults, d.sortedProblems()
 	}
 	return defaults, nil
 }
 
-var syntaxPlace = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
+var syntaxErrorPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-// syntaxProblem takes the place out of the parser's error text, the only
-// form in which it tells it.
+// syntaxProblem converts an error of the JSON parser. It extracts the position
+// from the error text, as the parser provides it nowhere else.
 func syntaxProblem(file string, err error) *Problem {
 	p := &Problem{File: file, Line: 1, Column: 1, Text: err.Error()}
-	if m := syntaxPlace.FindStringSubmatch(err.Error()); m != nil {
+	if m := syntaxErrorPattern.FindStringSubmatch(err.Error()); m != nil {
 		p.Line, _ = strconv.Atoi(m[1])
 		p.Column, _ = strconv.Atoi(m[2])
 		p.Text = "not JSON with comments: " + m[3]
@@ -51,7 +53,8 @@
 	return p
 }
 
-func (d *decoder) sorted() Problems {
+// sortedProblems sorts the problems by position and returns them.
+func (d *decoder) sortedProblems() Problems {
 	sort.SliceStable(d.problems, func(i, j int) bool {
 		a, b := d.problems[i], d.problems[j]
 		if a.Line != b.Line {
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -1,6 +1,3 @@
-// Package settings reads settings files: JSON with comments and trailing
-// commas, checked against a Go type. A file is taken whole or not at all, and
-// every fault in it is reported at once with its place.
 package settings
 
 import (
@@ -13,16 +10,16 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-// Problem is one fault of a settings file.
+// Problem is an error in a settings file, with its position.
 type Problem struct {
 	File   string
 	Line   int    // from 1
 	Column int    // from 1, in bytes
-	Path   string // of the field, such as "stop.hard_limit"; empty for the file
+	Path   string // path of the field, such as "stop.hard_limit"; empty for the whole file
 	Text   string // what is wrong and what was expected
 }
 
-// Error returns the form "file:line:column: path: text".
+// Error returns the problem as "file:line:column: path: text".
 func (p *Problem) Error() string {
 	place := fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	if p.Path == "" {
@@ -31,10 +28,10 @@
 	return place + ": " + p.Path + ": " + p.Text
 }
 
-// Problems are all faults of a settings file, in the order of their places.
+// Problems are all the errors in a settings file, sorted by position.
 type Problems []*Problem
 
-// Error returns one line for each problem.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -13,6 +13,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
+// TestMain fixes the seed of the property tests, so that every run has the same
+// result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	flag.Parse()
@@ -36,7 +38,7 @@
 	}
 }
 
-// What is printed as effective reads back as the same settings.
+// The output of Effective parses to the same settings.
 func TestEffectiveReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, err := Effective(drawFleet(t))
@@ -49,12 +51,13 @@
 		}
 		again, err := Effective(read)
 		if err != nil || again != text {
-			t.Fatalf("read back as %s, %v", again, err)
+			t.Fatalf("parsed and encoded again: got %s, error %v", again, err)
 		}
 	})
 }
 
-// However a file is broken, it is refused with places inside it, or read.
+// A file with a damaged part is either parsed, or refused with problems whose
+// positions are inside the file.
 func TestEveryProblemHasAPlaceInTheFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, err := Effective(drawFleet(t))
@@ -67,12 +70,12 @@
 		_, err = Parse("f", []byte(text), fleet{})
 		var problems Problems
 		if err != nil && !errors.As(err, &problems) {
-			t.Fatalf("not Problems: %v", err)
+			t.Fatalf("error is not of type Problems: %v", err)
 		}
 		lines := strings.Split(text, "\n")
 		for _, p := range problems {
 			if p.Line < 1 || p.Line > len(lines) || p.Column < 1 || p.Column > len(lines[p.Line-1])+1 || p.Text == "" {
-				t.Fatalf("%d:%d is not in the file: %v", p.Line, p.Column, p)
+				t.Fatalf("position %d:%d is not in the file: %v", p.Line, p.Column, p)
 			}
 		}
 	})
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -2,32 +2,31 @@
 
 import "encoding/json"
 
-// Secret is a string that is never printed.
+// Secret is a string that is redacted when printed or encoded as JSON.
 type Secret string
 
-// hidden stands for a secret that is set.
-const hidden = "(hidden)"
+// redacted is printed in place of a secret that is not empty.
+const redacted = "(hidden)"
 
-// String hides the secret.
+// String returns a placeholder, or "" if the secret is empty.
 func (s Secret) String() string {
 	if s == "" {
 		return ""
 	}
-	return hidden
+	return redacted
 }
 
-// MarshalJSON hides the secret.
+// MarshalJSON encodes the placeholder that String returns.
 func (s Secret) MarshalJSON() ([]byte, error) { return json.Marshal(s.String()) }
 
-// Reveal returns the secret itself.
+// Reveal returns the secret in clear text.
 func (s Secret) Reveal() string { return string(s) }
 
-// Effective returns the settings as JSON, defaults filled in and secrets
-// hidden.
+// Effective returns the settings s as indented JSON, with secrets redacted.
 func Effective(s any) (string, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
-		return "", Error.New("print settings: %w", err)
+		return "", Error.New("encode settings as JSON: %w", err)
 	}
 	return string(text), nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -62,18 +62,18 @@
 f:2:16: named.b.hosts: want 1 or more`)
 }
 
-// strictFleet checks its zones by itself once more, as some types do.
-type strictFleet struct {
+// revalidatingFleet validates its zone a second time, as some outer types do.
+type revalidatingFleet struct {
 	Zone zone `json:"zone"`
 }
 
-func (f strictFleet) Validate() error {
+func (f revalidatingFleet) Validate() error {
 	return errors.Join(f.Zone.Validate(), errors.New("zone: want a delay"))
 }
 
 func TestOuterValidatorRepeatsNothing(t *testing.T) {
 	is := is.New(t)
-	_, err := Parse("f", []byte(`{"zone": {"hosts": 0}}`), strictFleet{})
+	_, err := Parse("f", []byte(`{"zone": {"hosts": 0}}`), revalidatingFleet{})
 	is.True(err != nil)
 	is.Equal(err.Error(), "f:1:10: zone: want a delay\nf:1:20: zone.hosts: want 1 or more")
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -7,14 +7,15 @@
 	"strings"
 )
 
-// Validator is a settings type that checks its own values. The error joins
-// one error for each problem; each begins with, or at least mentions, the
-// field by its name in the file, so that its place can be told.
+// Validator is a settings type that validates its own values. The returned error
+// joins one error for each problem. Each of them contains, best at its
+// beginning, the name that the field has in the file; the position of the
+// problem is found by that name.
 type Validator interface{ Validate() error }
 
-// validate asks every Validator in v, inner ones first. What an outer one
-// repeats of an inner one's problems is left out, and so is a field that
-// could not be decoded: its value is not the file's.
+// validate calls every Validator in v, inner ones first. It skips problems that
+// an outer Validator repeats from an inner one, and problems of a field that
+// could not be decoded, since its value is not the one in the file.
 func (d *decoder) validate(n node, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -39,29 +40,31 @@
 		return
 	}
 	if checked, ok := v.Addr().Interface().(Validator); ok {
-		d.reportAll(n, v.Type(), checked.Validate())
+		d.reportValidation(n, v.Type(), checked.Validate())
 	}
 }
 
+// sortedKeys returns the keys of a map with string keys, sorted.
 func sortedKeys(m reflect.Value) []reflect.Value {
 	keys := m.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
 	return keys
 }
 
-// reportAll reports what the Validator of n, a value of type t, has found.
-func (d *decoder) reportAll(n node, t reflect.Type, err error) {
-	for _, problem := range split(err) {
-		at := n.fieldIn(t, problem.Error())
-		if !d.reported(n, at, problem.Error()) {
-			d.report(at, "%s", fieldPrefix.ReplaceAllString(problem.Error(), ""))
+// reportValidation adds the problems in the error that the Validator of n, a
+// value of type t, has returned.
+func (d *decoder) reportValidation(n node, t reflect.Type, err error) {
+	for _, problem := range splitErrors(err) {
+		at := n.findField(t, problem.Error())
+		if !d.alreadyReported(n, at, problem.Error()) {
+			d.addProblem(at, "%s", fieldPrefix.ReplaceAllString(problem.Error(), ""))
 		}
 	}
 }
 
-// reported reports whether the field could not be decoded, or an inner
-// Validator of n has told the same problem.
-func (d *decoder) reported(n, field node, text string) bool {
+// alreadyReported reports whether the field could not be decoded, or a value
+// inside n already has a problem whose text is part of this text.
+func (d *decoder) alreadyReported(n, field node, text string) bool {
 	if d.undecoded[field.path] {
 		return true
 	}
@@ -71,8 +74,9 @@
 	})
 }
 
-// split returns the single errors of a joined one, through wrappers.
-func split(err error) []error {
+// splitErrors returns the individual errors of a joined error, which may be
+// wrapped. An error that joins none is returned as it is.
+func splitErrors(err error) []error {
 	if err == nil {
 		return nil
 	}
@@ -81,7 +85,7 @@
 		case interface{ Unwrap() []error }:
 			var all []error
 			for _, e := range u.Unwrap() {
-				all = append(all, split(e)...)
+				all = append(all, splitErrors(e)...)
 			}
 			return all
 		case interface{ Unwrap() error }:
@@ -93,26 +97,28 @@
 	return []error{err}
 }
 
-// fieldPrefix are the class of an error and the field's name before a text;
-// the problem's path tells both.
+// fieldPrefix matches the error class and field name at the beginning of an error
+// text. They are removed, as the problem's path already contains them.
 var fieldPrefix = regexp.MustCompile(`^([a-z][a-z0-9_.]*: )+`)
 
+// fieldName matches a field name or a dotted path of field names.
 var fieldName = regexp.MustCompile(`[a-z][a-z0-9_]*(\.[a-z][a-z0-9_]*)*`)
 
-// fieldIn returns the first field of the struct t, or of a struct in it with a
-// dotted path, that the text names, and n itself if there is none.
-func (n node) fieldIn(t reflect.Type, text string) node {
+// findField returns the first field that the text names: a field of n, a struct
+// of type t, or with a dotted path a field of a struct inside it. It returns n if
+// the text names none.
+func (n node) findField(t reflect.Type, text string) node {
 	for _, word := range fieldName.FindAllString(text, -1) {
-		if at := n.follow(t, strings.Split(word, ".")); at.path != n.path {
+		if at := n.resolvePath(t, strings.Split(word, ".")); at.path != n.path {
 			return at
 		}
 	}
 	return n
 }
 
-// follow goes from n, a value of type t, along the names as far as they are
-// fields.
-func (n node) follow(t reflect.Type, names []string) node {
+// resolvePath returns the field at the path names below n, a value of type t. It
+// stops at the first name that is not a field.
+func (n node) resolvePath(t reflect.Type, names []string) node {
 	for _, name := range names {
 		if t.Kind() != reflect.Struct {
 			break
