--- a/internal/lang/convert.go
+++ b/internal/lang/convert.go
@@ -9,21 +9,23 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// converter turns the grammar's nodes into statements. It keeps the first error,
-// which its caller reads at the end, so no conversion returns one.
+// converter converts the grammar's nodes to statements. Its methods do not return
+// errors: the first one is kept in err, to be checked after the conversion.
 type converter struct {
 	err *Error
 }
 
+// fail records an error unless there is one already.
 func (c *converter) fail(pos lexer.Position, found, expected string) {
 	if c.err == nil {
 		c.err = &Error{Line: pos.Line, Column: pos.Column, Unexpected: found, Expected: expected}
 	}
 }
 
-// statement converts one statement, and refuses a dry run of what changes nothing.
+// statement converts one statement. A "dry run" of a statement that is not a Change
+// is an error.
 func (c *converter) statement(n *statement) Statement {
-	s := c.withoutPrefix(n)
+	s := c.statementBody(n)
 	if !n.DryRun {
 		return s
 	}
@@ -35,8 +37,8 @@
 	return DryRun{Change: change}
 }
 
-// withoutPrefix converts the statement after its "dry run", if it has one.
-func (c *converter) withoutPrefix(n *statement) Statement {
+// statementBody converts a statement without its "dry run" prefix.
+func (c *converter) statementBody(n *statement) Statement {
 	switch {
 	case n.Search != nil:
 		return c.search(n.Search)
@@ -62,17 +64,17 @@
 
 func (c *converter) search(n *searchNode) Statement {
 	s := Search{Workload: c.name(n.Workload), Service: c.name(n.Service), Text: unquote(n.Text), MinCoverage: -1}
-	seen := clauses{c: c}
+	seen := clauseSet{c: c}
 	for _, cl := range n.Clauses {
 		switch {
 		case cl.Limit != nil:
-			seen.once(cl.Pos, "limit")
+			seen.addOnce(cl.Pos, "limit")
 			s.Limit = c.count(cl.Limit)
 		case cl.MinCoverage != nil:
-			seen.once(cl.Pos, "min coverage")
+			seen.addOnce(cl.Pos, "min coverage")
 			s.MinCoverage = c.fraction(cl.MinCoverage)
 		default:
-			seen.once(cl.Pos, "budget")
+			seen.addOnce(cl.Pos, "budget")
 			s.Budget = c.duration(cl.Budget)
 		}
 	}
@@ -81,14 +83,14 @@
 
 func (c *converter) reserve(n *reserveNode) Statement {
 	s := Reserve{Item: unquote(n.Item), Service: c.name(n.Service)}
-	seen := clauses{c: c}
+	seen := clauseSet{c: c}
 	for _, cl := range n.Clauses {
 		if cl.ID != nil {
-			seen.once(cl.Pos, "id")
+			seen.addOnce(cl.Pos, "id")
 			s.ID = c.id(cl.ID)
 			continue
 		}
-		seen.once(cl.Pos, "budget")
+		seen.addOnce(cl.Pos, "budget")
 		s.Budget = c.duration(cl.Budget)
 	}
 	return s
@@ -99,20 +101,20 @@
 		return ShowClaim{ID: c.id(n.Claim)}
 	}
 	s := Show{Subject: Subject(strings.ToLower(n.Subject))}
-	seen := clauses{c: c}
+	seen := clauseSet{c: c}
 	for _, cl := range n.Clauses {
 		switch {
 		case cl.Where != nil:
-			seen.once(cl.Pos, "where")
+			seen.addOnce(cl.Pos, "where")
 			s.Where = c.where(cl.Where)
 		case cl.Since != nil:
-			seen.once(cl.Pos, "since")
+			seen.addOnce(cl.Pos, "since")
 			s.Since = c.duration(cl.Since)
 		case cl.By != nil:
-			seen.once(cl.Pos, "by")
-			s.By = lower(cl.By)
+			seen.addOnce(cl.Pos, "by")
+			s.By = toLowerAll(cl.By)
 		default:
-			seen.once(cl.Pos, "limit")
+			seen.addOnce(cl.Pos, "limit")
 			s.Limit = c.count(cl.Limit)
 		}
 	}
@@ -141,10 +143,10 @@
 
 func (c *converter) set(nodes []*assignmentNode) []Assignment {
 	set := make([]Assignment, 0, len(nodes))
-	seen := clauses{c: c}
+	seen := clauseSet{c: c}
 	for _, n := range nodes {
 		key := strings.ToLower(n.Key)
-		seen.once(n.Value.Pos, key)
+		seen.addOnce(n.Value.Pos, key)
 		set = append(set, Assignment{Key: key, Value: c.value(n.Value)})
 	}
 	return set
@@ -231,13 +233,15 @@
 	return v
 }
 
-// clauses remembers the clauses or keys of one statement, to refuse a second one.
-type clauses struct {
+// clauseSet is the set of clauses or keys seen in one statement, used to reject
+// duplicates.
+type clauseSet struct {
 	c    *converter
 	seen map[string]bool
 }
 
-func (s *clauses) once(pos lexer.Position, clause string) {
+// addOnce adds a clause, or records an error if it was added before.
+func (s *clauseSet) addOnce(pos lexer.Position, clause string) {
 	if s.seen[clause] {
 		s.c.fail(pos, "a second "+clause, clause+" at most once")
 		return
@@ -248,7 +252,7 @@
 	s.seen[clause] = true
 }
 
-// unquoteOptional reads a name, with or without double quotes.
+// unquoteOptional returns the text of a name token, with or without double quotes.
 func unquoteOptional(s string) string {
 	if strings.HasPrefix(s, `"`) {
 		return unquote(s)
@@ -256,7 +260,8 @@
 	return s
 }
 
-func lower(words []string) []string {
+// toLowerAll returns the words in lower case.
+func toLowerAll(words []string) []string {
 	out := make([]string, 0, len(words))
 	for _, w := range words {
 		out = append(out, strings.ToLower(w))
--- a/internal/lang/errors.go
+++ b/internal/lang/errors.go
@@ -6,20 +6,21 @@
 	"github.com/zeebo/errs"
 )
 
-// class is the class of this package's errors.
-var class = errs.Class("lang")
+// errorClass is the class of this package's errors other than *Error.
+var errorClass = errs.Class("lang")
 
-// Error is a statement that cannot be read. It tells the first place that is
-// wrong and what was expected there.
+// Error is a syntax error in a statement: the first position that is not valid and
+// what was expected there.
 type Error struct {
 	Line       int    // from 1
 	Column     int    // from 1, in characters
 	Unexpected string // the token found; empty at the end of the text
-	Expected   string // what would have been right
-	Usage      string // form of the statement, if its verb was understood
+	Expected   string // what would have been valid at the position
+	Usage      string // syntax of the statement; empty if its verb is unknown
 }
 
-// Error tells all of it in one line.
+// Error returns the position, what was found and expected, and the usage, in one
+// line.
 func (e *Error) Error() string {
 	found := "the end of the statement"
 	if e.Unexpected != "" {
--- a/internal/lang/expect.go
+++ b/internal/lang/expect.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// phrases put the parser's names of tokens and rules into words.
-var phrases = strings.NewReplacer(
+// tokenPhrases replaces the parser's names of tokens and rules by descriptions. The
+// parser derives the names of rules from the names of the grammar's Go types.
+var tokenPhrases = strings.NewReplacer(
 	"<string>", "text in double quotes",
 	"NameNode", "a name",
 	"IdNode", "an id",
@@ -23,21 +24,22 @@
 	"(", "", ")", "",
 )
 
-// optional matches what the parser could also do without.
-var optional = regexp.MustCompile(`\s*(\([^()]*\)|\S+)[*?]`)
+// optionalTerms matches the optional terms in a parser message.
+var optionalTerms = regexp.MustCompile(`\s*(\([^()]*\)|\S+)[*?]`)
 
+// expectedMark precedes the expected terms in a parser message.
 const expectedMark = " (expected "
 
-// expectation puts the parser's message into words. The parser names no
-// expectation for text after a whole statement.
-func expectation(message, usage string) string {
+// expectedText returns the expectation in the parser's message, in words. For text
+// after a complete statement the parser's message contains none.
+func expectedText(message, usage string) string {
 	if usage == "" {
-		return anyVerb
+		return verbList
 	}
 	_, expected, ok := strings.Cut(message, expectedMark)
 	if !ok {
 		return "a clause of the statement, or its end"
 	}
-	expected = optional.ReplaceAllString(strings.TrimSuffix(expected, ")"), "")
-	return strings.TrimSpace(phrases.Replace(expected))
+	expected = optionalTerms.ReplaceAllString(strings.TrimSuffix(expected, ")"), "")
+	return strings.TrimSpace(tokenPhrases.Replace(expected))
 }
--- a/internal/lang/grammar.go
+++ b/internal/lang/grammar.go
@@ -5,8 +5,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// tokens are the lexical rules, tried in this order at each place. Quotes
-// stay on the tokens, so that a quoted word never passes for a keyword.
+// tokens are the lexical rules, tried in this order at each position. Tokens keep
+// their quotes, so that a quoted word never matches a keyword.
 var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `--[^\n]*`},
 	{Name: "Space", Pattern: `\s+`},
@@ -25,7 +25,8 @@
 	participle.UseLookahead(2),
 )
 
-// The types below are the grammar; convert.go turns them into statements.
+// The types below define the grammar; convert.go converts them to statements. Their
+// names appear in parser messages, which expect.go translates.
 
 type script struct {
 	Statements []*statement `parser:"';'* (@@ (';'+ @@)* ';'*)?"`
--- a/internal/lang/main_test.go
+++ b/internal/lang/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties, so that every run gives one verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same
+// result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -9,11 +9,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxText is the longest text that Parse and ParseAll read, in bytes.
+// MaxText is the maximum length of a text that Parse and ParseAll accept, in
+// bytes.
 const MaxText = 1 << 20
 
-// verbs are the forms of the statements, by first word.
-var verbs = map[string]string{
+// usageByVerb holds the syntax of each statement, by its first word.
+var usageByVerb = map[string]string{
 	"search":  `search [workload] NAME "text" | search service NAME "text", then [limit N] [min coverage 0.9] [budget 250ms]`,
 	"reserve": `reserve "item" in SERVICE [id ULID] [budget 500ms]`,
 	"show":    `show services|targets|snapshots|hosts|config|answers|coverage|burn [where FIELD = VALUE and ...] [since 1h] [by FIELD, ...] [limit N] | show claim ID`,
@@ -27,11 +28,11 @@
 	"dry":     `dry run CHANGE, a change being create, alter, drop, drain, undrain, publish or retire`,
 }
 
-// anyVerb is what a statement may begin with.
-const anyVerb = "search, reserve, show, create, alter, drop, drain, undrain, publish, retire or dry run"
+// verbList lists the words that a statement may begin with, for error messages.
+const verbList = "search, reserve, show, create, alter, drop, drain, undrain, publish, retire or dry run"
 
-// Parse reads one statement; a semicolon may follow it. A statement that
-// cannot be read gives an *Error.
+// Parse parses a text with exactly one statement, which may end with a semicolon.
+// If the text is not valid, the error is an *Error.
 func Parse(text string) (Statement, error) {
 	all, err := ParseAll(text)
 	if err != nil {
@@ -43,31 +44,32 @@
 	return all[0], nil
 }
 
-// ParseAll reads the statements of a file, set apart by semicolons. Comments
-// begin with "--" and end with the line. Either all are read or none.
+// ParseAll parses the statements of a file, separated by semicolons. Comments
+// begin with "--" and extend to the end of the line. If any statement is not
+// valid, ParseAll returns an error and no statements.
 func ParseAll(text string) ([]Statement, error) {
 	if len(text) > MaxText {
-		return nil, &Error{Line: 1, Column: 1, Unexpected: "a text over 1 MiB", Expected: "a shorter one"}
+		return nil, &Error{Line: 1, Column: 1, Unexpected: "a text over 1 MiB", Expected: "at most 1 MiB"}
 	}
 	if !utf8.ValidString(text) {
 		return nil, &Error{Line: 1, Column: 1, Unexpected: "a text that is not UTF-8", Expected: "UTF-8"}
 	}
 	tree, err := parser.ParseString("", text)
 	if err != nil {
-		return nil, explain(text, err)
+		return nil, fromParserError(text, err)
 	}
 	return convert(text, tree)
 }
 
-// convert turns the parsed text into statements; the text gives the usage of
-// the one that is wrong.
+// convert converts the syntax tree of the text to statements. If a statement is
+// not valid, its usage is added to the error.
 func convert(text string, tree *script) ([]Statement, error) {
 	c := &converter{}
 	statements := make([]Statement, 0, len(tree.Statements))
 	for _, n := range tree.Statements {
 		s := c.statement(n)
 		if c.err != nil {
-			c.err.Usage = verbs[verbAt(text, n.Pos.Offset)]
+			c.err.Usage = usageByVerb[verbAt(text, n.Pos.Offset)]
 			return nil, c.err
 		}
 		statements = append(statements, s)
@@ -75,27 +77,28 @@
 	return statements, nil
 }
 
-// explain turns an error of the parser into an *Error.
-func explain(text string, err error) error {
+// fromParserError converts an error of the parser to an *Error.
+func fromParserError(text string, err error) error {
 	var pe participle.Error
 	if !errors.As(err, &pe) {
-		return class.Wrap(err)
+		return errorClass.Wrap(err)
 	}
 	pos := pe.Position()
-	e := &Error{Line: pos.Line, Column: pos.Column, Expected: "another text here"}
-	e.Usage = verbs[verbAt(text, statementStart(text, pos.Offset))]
+	e := &Error{Line: pos.Line, Column: pos.Column, Expected: "a valid statement"}
+	e.Usage = usageByVerb[verbAt(text, statementStart(text, pos.Offset))]
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
-		e.Unexpected = describe(unexpected.Unexpected)
-		e.Expected = expectation(pe.Message(), e.Usage)
+		e.Unexpected = describeToken(unexpected.Unexpected)
+		e.Expected = expectedText(pe.Message(), e.Usage)
 		return e
 	}
-	e.Unexpected, e.Expected = strayText(text, pos.Offset)
+	e.Unexpected, e.Expected = describeLexicalError(text, pos.Offset)
 	return e
 }
 
-// describe returns the token as an error shows it; empty at the end of the text.
-func describe(t lexer.Token) string {
+// describeToken returns the token as shown in an error; empty at the end of the
+// text.
+func describeToken(t lexer.Token) string {
 	if t.EOF() {
 		return ""
 	}
@@ -105,8 +108,9 @@
 	return `"` + t.Value + `"`
 }
 
-// strayText describes what stands at a place at which no token begins.
-func strayText(text string, offset int) (found, expected string) {
+// describeLexicalError describes the text at an offset where no token matches, and
+// what was expected there.
+func describeLexicalError(text string, offset int) (found, expected string) {
 	r, _ := utf8.DecodeRuneInString(text[min(offset, len(text)):])
 	switch r {
 	case '"', '\'':
@@ -115,7 +119,7 @@
 	return string(r), "a word, a number, or text in quotes"
 }
 
-// verbAt returns the first word at the offset, in lower case.
+// verbAt returns the word at the offset, in lower case.
 func verbAt(text string, offset int) string {
 	fields := strings.Fields(text[min(offset, len(text)):])
 	if len(fields) == 0 {
@@ -124,14 +128,15 @@
 	return strings.ToLower(fields[0])
 }
 
-// statementStart returns where the statement that holds the offset begins.
+// statementStart returns the offset of the beginning of the statement that contains
+// the given offset.
 func statementStart(text string, offset int) int {
 	start, offset := 0, min(offset, len(text))
 	lex, err := tokens.LexString("", text[:offset])
 	if err != nil {
 		return start
 	}
-	fresh := true
+	atStart := true
 	for {
 		t, err := lex.Next()
 		if err != nil || t.EOF() {
@@ -141,9 +146,9 @@
 		case tokens.Symbols()["Space"], tokens.Symbols()["Comment"]:
 			continue
 		}
-		if fresh {
+		if atStart {
 			start = t.Pos.Offset
 		}
-		fresh = t.Value == ";"
+		atStart = t.Value == ";"
 	}
 }
--- a/internal/lang/parse_test.go
+++ b/internal/lang/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const ulidText = "01ARZ3NDEKTSV4RRFFQ69G5FAV"
+const exampleULID = "01ARZ3NDEKTSV4RRFFQ69G5FAV"
 
 const day = 24 * time.Hour
 
@@ -19,12 +19,12 @@
 		`SEARCH Workload "service" "x"`:                 Search{Workload: "service", Text: "x", MinCoverage: -1},
 		`search service guest-portal-01 "a \"b\"" budget 250ms MIN coverage 0.9;`: Search{
 			Service: "guest-portal-01", Text: `a "b"`, MinCoverage: 0.9, Budget: 250 * time.Millisecond},
-		`reserve "pot" in desk budget 500ms id ` + ulidText: Reserve{Item: "pot", Service: "desk", ID: ulidText, Budget: 500 * time.Millisecond},
-		`show hosts -- all of them`:                         Show{Subject: Hosts},
+		`reserve "pot" in desk budget 500ms id ` + exampleULID: Reserve{Item: "pot", Service: "desk", ID: exampleULID, Budget: 500 * time.Millisecond},
+		`show hosts -- all of them`:                            Show{Subject: Hosts},
 		`show answers where caller = a and Outcome != "not run" since 3d by service, outcome limit 3`: Show{
 			Subject: Answers, Where: []Condition{{Field: "caller", Value: "a"}, {Field: "outcome", Not: true, Value: "not run"}},
 			Since: 3 * day, By: []string{"service", "outcome"}, Limit: 3},
-		`show claim ` + ulidText:                ShowClaim{ID: ulidText},
+		`show claim ` + exampleULID:             ShowClaim{ID: exampleULID},
 		`create service a from '{"a":"it''s"}'`: CreateService{Name: "a", JSON: json.RawMessage(`{"a":"it's"}`)},
 		`dry run alter service a set hedge_budget = -1, urgency = deferrable at version 3`: DryRun{Change: AlterService{Name: "a", Version: 3,
 			Set: []Assignment{{"hedge_budget", Value{Number, "-1"}}, {"urgency", Value{Word, "deferrable"}}}}},
@@ -46,7 +46,7 @@
 
 func TestParseTellsPlaceAndExpectation(t *testing.T) {
 	cases := map[string]Error{
-		`serch x "a"`:                   {1, 1, `"serch"`, anyVerb, ""},
+		`serch x "a"`:                   {1, 1, `"serch"`, verbList, ""},
 		`search x`:                      {1, 9, "", "text in double quotes", "search"},
 		`search x "a" limt 5`:           {1, 14, `"limt"`, "a clause of the statement, or its end", "search"},
 		`search x "a" limit 0`:          {1, 20, "0", "a whole number above zero", "search"},
@@ -70,7 +70,7 @@
 	for text, want := range cases {
 		t.Run(text, func(t *testing.T) {
 			is := is.New(t)
-			want.Usage = verbs[want.Usage]
+			want.Usage = usageByVerb[want.Usage]
 			_, err := Parse(text)
 			var got *Error
 			is.True(errors.As(err, &got))
--- a/internal/lang/property_test.go
+++ b/internal/lang/property_test.go
@@ -39,6 +39,7 @@
 	})
 )
 
+// anySet draws assignments to distinct keys.
 func anySet(t *rapid.T) []Assignment {
 	keys := rapid.SliceOfNDistinct(anyField, 1, 4, rapid.ID[string]).Draw(t, "keys")
 	var set []Assignment
@@ -103,7 +104,8 @@
 	return anyChange(t)
 }
 
-// TestStringIsReadBack holds String and Parse together.
+// TestStringIsReadBack checks that the text of a statement parses to the same
+// statement.
 func TestStringIsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -114,8 +116,8 @@
 	})
 }
 
-// FuzzParse wants of any text either a statement that is read back from its
-// canonical form, or an *Error that tells a place and an expectation.
+// FuzzParse checks that any text either parses to a statement whose canonical form
+// parses again, or results in an *Error with a position and an expectation.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`search workload a "b" limit 3 min coverage 0.5 budget 1s`, `reserve "x" in service desk id 01ARZ`,
@@ -130,13 +132,13 @@
 		if err != nil {
 			var e *Error
 			if !errors.As(err, &e) || e.Line < 1 || e.Column < 1 || e.Expected == "" {
-				t.Fatalf("%q: %v", text, err)
+				t.Fatalf("%q: want an *Error with a position and an expectation, got %v", text, err)
 			}
 			return
 		}
 		again, err := Parse(s.String())
 		if err != nil || again.String() != s.String() {
-			t.Fatalf("%q: %q is read back as %v, %v", text, s, again, err)
+			t.Fatalf("%q: canonical form %q parses to %v, error %v", text, s, again, err)
 		}
 	})
 }
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -1,6 +1,3 @@
-// Package lang reads the query and command language of operators and callers.
-// It is pure: Parse turns text into typed statements, and the String method of
-// each statement gives text that Parse reads back as the same statement.
 package lang
 
 import (
@@ -14,32 +11,33 @@
 	String() string
 }
 
-// Change is a statement that alters how services run, and so may be tried
-// with "dry run".
+// Change is a statement that modifies the configuration or the state of targets.
+// It may be prefixed with "dry run".
 type Change interface {
 	Statement
 	change()
 }
 
-// Search asks one service, or every service of one workload.
+// Search queries one service, or all services of one workload; the name of the
+// other is empty.
 type Search struct {
 	Workload    string
 	Service     string
 	Text        string
-	Limit       int           // 0: all rows
-	MinCoverage float64       // negative: not given
+	Limit       int           // maximum number of rows; 0: all rows
+	MinCoverage float64       // minimum fraction of the shards that must answer; negative: not given
 	Budget      time.Duration // 0: the service's default
 }
 
-// Reserve asks for one reservation.
+// Reserve requests one reservation.
 type Reserve struct {
 	Item    string
 	Service string
-	ID      string // reservation id, a ULID; empty: the client makes one
+	ID      string // reservation id, a ULID; empty: the client generates one
 	Budget  time.Duration
 }
 
-// Subject is what a Show statement shows.
+// Subject is the table that a Show statement queries.
 type Subject string
 
 // Subjects of Show.
@@ -54,23 +52,24 @@
 	Burn      Subject = "burn"
 )
 
-// Condition keeps the rows whose field has, or with Not has not, the value.
+// Condition selects the rows whose field equals the value, or with Not the rows
+// whose field does not.
 type Condition struct {
 	Field string
 	Not   bool
 	Value string
 }
 
-// Show asks for a table of the subject.
+// Show queries the table of a subject.
 type Show struct {
 	Subject Subject
-	Where   []Condition   // all must hold
-	Since   time.Duration // 0: not given
+	Where   []Condition   // a row must satisfy all conditions
+	Since   time.Duration // age of the oldest data to include; 0: not given
 	By      []string      // fields to group by
-	Limit   int           // 0: all rows
+	Limit   int           // maximum number of rows; 0: all rows
 }
 
-// ShowClaim asks what became of one reservation.
+// ShowClaim queries the outcome of one reservation.
 type ShowClaim struct{ ID string }
 
 // Assignment sets one field of a service.
@@ -79,39 +78,41 @@
 	Value Value
 }
 
-// CreateService creates a service, from its JSON form or from assignments.
+// CreateService creates a service, either from JSON or from assignments.
 type CreateService struct {
 	Name string
 	JSON json.RawMessage
 	Set  []Assignment
 }
 
-// AlterService changes fields of the service if it stands at Version.
+// AlterService sets fields of a service if its current version is Version.
 type AlterService struct {
 	Name    string
 	Set     []Assignment
 	Version uint64
 }
 
-// DropService removes the service if it stands at Version.
+// DropService deletes a service if its current version is Version.
 type DropService struct {
 	Name    string
 	Version uint64
 }
 
-// DrainTarget takes a target out of use, in one service or in all of them.
+// DrainTarget stops the use of a target in one service or, if Service is empty, in
+// all services.
 type DrainTarget struct {
 	Target  string
 	Service string
 }
 
-// UndrainTarget takes a drained target into use again.
+// UndrainTarget ends the drain of a target, in one service or, if Service is empty,
+// in all services.
 type UndrainTarget struct {
 	Target  string
 	Service string
 }
 
-// PublishSnapshot publishes a snapshot in its JSON form.
+// PublishSnapshot publishes a snapshot given as JSON.
 type PublishSnapshot struct{ JSON json.RawMessage }
 
 // RetireSnapshot deletes an old snapshot of a workload.
@@ -120,7 +121,7 @@
 	ID       uint64
 }
 
-// DryRun tells what a change would do, and does not do it.
+// DryRun reports the effect of a change without applying it.
 type DryRun struct{ Change Change }
 
 func (CreateService) change()   {}
@@ -131,8 +132,8 @@
 func (PublishSnapshot) change() {}
 func (RetireSnapshot) change()  {}
 
-// Unwrap returns the statement without its "dry run" prefix, and whether it
-// had one.
+// Unwrap returns the statement without its "dry run" prefix and reports whether
+// it had one.
 func Unwrap(s Statement) (Statement, bool) {
 	if d, ok := s.(DryRun); ok {
 		return d.Change, true
