--- a/cmd/rhubarbwood/main.go
+++ b/cmd/rhubarbwood/main.go
@@ -1,5 +1,6 @@
-// Command rhubarbwood is the query tier: a host, its stand-ins, and the tools
-// to ask and operate it.
+// Command rhubarbwood runs the hosts of the query tier and the stand-ins for
+// the platform and targets, and has the tools to query and operate them. The
+// commands are in internal/cli.
 package main
 
 import (
@@ -10,7 +11,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/cli"
 )
 
-// pendingSignals is how many signals may wait while a command is busy.
+// pendingSignals is the capacity of the signal channel: signals received while
+// a command is busy are kept up to this number.
 const pendingSignals = 8
 
 func main() {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -21,18 +21,18 @@
 
 type checkCommand struct {
 	env  Env
-	Kind string `long:"kind" choice:"host" choice:"gateway" choice:"platform" choice:"target" default:"host" description:"What the files are for"`
+	Kind string `long:"kind" choice:"host" choice:"gateway" choice:"platform" choice:"target" default:"host" description:"Kind of the settings files"`
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes"`
 }
 
-// Execute checks every file, reports every problem of all of them, and prints
-// the effective settings of those that are right.
+// Execute validates every file, reports all problems found in them, and prints
+// the effective settings of the valid ones.
 func (c *checkCommand) Execute([]string) error {
 	var problems []error
 	for _, file := range c.Args.Files {
-		text, err := effective(c.Kind, file)
+		text, err := effectiveSettings(c.Kind, file)
 		if err != nil {
 			problems = append(problems, err)
 			continue
@@ -42,15 +42,15 @@
 	return usageError(errors.Join(problems...))
 }
 
-// usageError turns an error about settings into its exit code.
+// usageError returns an error about settings with the exit code ExitUsage.
 func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return fail(ExitUsage, "%s", err)
+	return exitErrorf(ExitUsage, "%s", err)
 }
 
-func effective(kind, file string) (string, error) {
+func effectiveSettings(kind, file string) (string, error) {
 	switch kind {
 	case kindGateway:
 		return loadAndPrint(file, gatewayhost.DefaultSettings())
--- a/internal/cli/check_test.go
+++ b/internal/cli/check_test.go
@@ -53,7 +53,7 @@
 	is.True(strings.Contains(r.err, "services: services are missing"))
 }
 
-// A command whose settings have a problem starts nothing.
+// A command with invalid settings reports every problem and starts nothing.
 func TestNothingStartsOnWrongSettings(t *testing.T) {
 	for _, args := range [][]string{{"serve"}, {"standin", "platform"}, {"standin", "target"}} {
 		t.Run(strings.Join(args, " "), func(t *testing.T) {
@@ -62,7 +62,7 @@
 			is.Equal(r.code, ExitUsage)
 			is.True(strings.Contains(r.err, "one: unknown field"))
 			is.True(strings.Contains(r.err, "two: unknown field"))
-			is.Equal(r.out, "") // said nothing of listening
+			is.Equal(r.out, "") // no listening address was printed
 		})
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,7 @@
-// Package cli is the command line: every command of the binary, its output
-// and its exit code.
+// Package cli implements the command line of the binary: the commands, their
+// flags, output and exit codes. Each command parses its arguments and settings
+// and calls the package that does the work; it has no logic of hosts itself.
+// Begin reading at Run and newParser.
 package cli
 
 import (
@@ -15,17 +17,18 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("cli")
 
-// Exit codes. They are part of the interface: scripts rely on them.
+// Exit codes. They are part of the public interface: scripts depend on them.
 const (
-	ExitOK          = 0 // done
-	ExitFailed      = 1 // refused or failed; what was asked did not run, or ran in vain
-	ExitUsage       = 2 // command line, statement or settings are wrong; nothing was started or sent
-	ExitUnreachable = 3 // no host answered, and nothing that changes anything was sent
-	ExitUnsettled   = 4 // no final word: the request may have run
-	ExitCut         = 5 // a graceful stop reached its hard limit and cut something off
+	ExitOK          = 0 // success
+	ExitFailed      = 1 // refused or failed: the request did not run, or ran without success
+	ExitUsage       = 2 // invalid command line, statement or settings; nothing was started or sent
+	ExitUnreachable = 3 // no response from the host, and no request that changes state was sent
+	ExitUnknown     = 4 // the outcome is unknown: the request may have run
+	ExitForcedStop  = 5 // a graceful stop reached its hard limit and aborted work in progress
 )
 
-// Env is what a command takes from its process, so that tests can run it.
+// Env is the process environment of a command: its streams and signals. Tests
+// replace it.
 type Env struct {
 	In      io.Reader
 	Out     io.Writer
@@ -33,7 +36,7 @@
 	Signals <-chan os.Signal // SIGTERM, SIGINT and SIGHUP
 }
 
-// exitError is an error that fixes the exit code. The text goes to Env.Err.
+// exitError is an error with an exit code. Its text is printed to Env.Err.
 type exitError struct {
 	code int
 	text string
@@ -42,11 +45,11 @@
 // Error returns the text.
 func (e *exitError) Error() string { return e.text }
 
-func fail(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{code: code, text: fmt.Sprintf(format, args...)}
 }
 
-// Run runs the command that the arguments name and returns its exit code.
+// Run runs the command named by the arguments and returns its exit code.
 func Run(env Env, args []string) int {
 	parser := newParser(env)
 	_, err := parser.ParseArgs(args)
@@ -77,29 +80,29 @@
 
 func newParser(env Env) *flags.Parser {
 	p := flags.NewNamedParser("rhubarbwood", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = "Query tier over many shards. Exit codes: 0 done, 1 refused or failed, 2 wrong usage, " +
-		"statement or settings, 3 unreachable, 4 may have run, 5 cut off by the hard limit of a stop."
+	p.LongDescription = "Query tier over many shards. Exit codes: 0 success, 1 refused or failed, 2 invalid usage, " +
+		"statement or settings, 3 unreachable, 4 outcome unknown (may have run), 5 stop reached its hard limit."
 	add := func(name, short string, command any) *flags.Command {
 		c, err := p.AddCommand(name, short, short, command)
 		if err != nil {
-			panic(fmt.Sprintf("command %s: %s", name, err)) // a wrong struct tag
+			panic(fmt.Sprintf("command %s: %s", name, err)) // an invalid struct tag
 		}
 		return c
 	}
 	add("serve", "Run a host", &serveCommand{env: env})
-	add("gateway", "Run a host that forwards requests by the configuration in a store", &gatewayCommand{env: env})
-	add("check", "Check settings files and print the settings in effect", &checkCommand{env: env})
-	add("demo", "Run a small site on loopback, ask it, and serve until interrupted", &demoCommand{env: env})
+	add("gateway", "Run a host that forwards requests according to the configuration in the store", &gatewayCommand{env: env})
+	add("check", "Validate settings files and print the effective settings", &checkCommand{env: env})
+	add("demo", "Run a small site on loopback, send it sample requests, and serve until interrupted", &demoCommand{env: env})
 	add("exec", "Run statements", &execCommand{env: env})
 	standin := add("standin", "Run a stand-in for the platform or for a target", &struct{}{})
 	addStandins(standin, env)
-	add("report", "Show what callers of gateway hosts got", &reportCommand{env: env})
-	add("evacuations", "Show the failure domains to whose targets nothing may be sent", &evacuationsCommand{env: env})
-	add("quarantine", "Show the requests that gateway hosts keep from targets, or clear one", &quarantineCommand{env: env})
-	add("plot", "Draw the service-level burn", &plotCommand{env: env})
-	add("soak", "Run hosts as processes under faults, and check what they promise", &soakCommand{env: env})
-	add("load", "Put load on hosts, or run experiments over stand-ins", &loadCommand{env: env})
-	add("events", "Print the catalogue of log events", &eventsCommand{env: env})
+	add("report", "Report the outcomes of requests that gateway hosts forwarded", &reportCommand{env: env})
+	add("evacuations", "List the evacuated failure domains, whose targets receive no requests", &evacuationsCommand{env: env})
+	add("quarantine", "List the requests that gateway hosts have quarantined, or clear one", &quarantineCommand{env: env})
+	add("plot", "Plot the error budget burn of the service-level objectives", &plotCommand{env: env})
+	add("soak", "Run hosts as processes under injected faults and check their invariants", &soakCommand{env: env})
+	add("load", "Generate load on hosts, or run experiments over stand-ins", &loadCommand{env: env})
+	add("events", "Print the catalog of log events", &eventsCommand{env: env})
 	add("version", "Print the version", &versionCommand{env: env})
 	return p
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -17,46 +17,46 @@
 	"rhubarbwood.example/rhubarbwood/gen/query"
 )
 
-// maxAnswer bounds the body of an answer that a command reads, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of a response body that a command reads.
+const maxResponseBytes = 64 << 20
 
-// client talks to one host.
+// client calls the callers' and the operators' API of one host.
 type client struct {
-	wire    *recordingDoer
-	entry   string
-	query   *queryhttp.Client
-	operate *operatehttp.Client
+	recorder *recordingDoer
+	entry    string
+	query    *queryhttp.Client
+	operate  *operatehttp.Client
 }
 
 func newClient(entry, operators string, timeout time.Duration) *client {
-	wire := &recordingDoer{http: &http.Client{Timeout: timeout}}
+	recorder := &recordingDoer{http: &http.Client{Timeout: timeout}}
 	enc, dec := goahttp.RequestEncoder, goahttp.ResponseDecoder
 	return &client{
-		wire:    wire,
-		entry:   entry,
-		query:   queryhttp.NewClient("http", entry, wire, enc, dec, false),
-		operate: operatehttp.NewClient("http", operators, wire, enc, dec, false),
+		recorder: recorder,
+		entry:    entry,
+		query:    queryhttp.NewClient("http", entry, recorder, enc, dec, false),
+		operate:  operatehttp.NewClient("http", operators, recorder, enc, dec, false),
 	}
 }
 
 func (c *client) search(ctx context.Context, p *query.SearchPayload) (*query.SearchAnswer, error) {
 	enc := func(r *http.Request) goahttp.Encoder { return exactEncoder{goahttp.RequestEncoder(r), p} }
-	exact := queryhttp.NewClient("http", c.entry, c.wire, enc, goahttp.ResponseDecoder, false)
+	exact := queryhttp.NewClient("http", c.entry, c.recorder, enc, goahttp.ResponseDecoder, false)
 	return call[*query.SearchAnswer](ctx, c, exact.Search(), p)
 }
 
-// exactEncoder sends the limit and the minimum coverage as they are. The
-// generated client takes a zero for a field that wasn't set and would send the
+// exactEncoder sends the limit and the minimum coverage unchanged. The
+// generated client treats a zero as a field that isn't set and would send the
 // default: 20 rows instead of all, complete coverage instead of any.
 type exactEncoder struct {
 	goahttp.Encoder
-	search *query.SearchPayload
+	payload *query.SearchPayload
 }
 
-// Encode writes the body.
+// Encode implements goahttp.Encoder.
 func (e exactEncoder) Encode(v any) error {
 	if body, ok := v.(**queryhttp.SearchRequestBody); ok {
-		(*body).Limit, (*body).MinCoverage = e.search.Limit, e.search.MinCoverage
+		(*body).Limit, (*body).MinCoverage = e.payload.Limit, e.payload.MinCoverage
 	}
 	return e.Encoder.Encode(v)
 }
@@ -73,41 +73,42 @@
 	var none T
 	result, err := endpoint(ctx, payload)
 	if err != nil {
-		if c.wire.err != nil {
-			return none, &lostError{sent: !neverConnected(c.wire.err), cause: c.wire.err}
+		if c.recorder.err != nil {
+			return none, &noResponseError{sent: !dialFailed(c.recorder.err), cause: c.recorder.err}
 		}
 		return none, err
 	}
 	return result.(T), nil
 }
 
-// lostError is a call without an answer. If sent is false, no byte of it left.
-type lostError struct {
+// noResponseError is a call that got no response. If sent is false, the
+// connection was never established and no byte was sent.
+type noResponseError struct {
 	sent  bool
 	cause error
 }
 
-// Error tells the cause.
-func (e *lostError) Error() string { return e.cause.Error() }
+// Error returns the text of the cause.
+func (e *noResponseError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *lostError) Unwrap() error { return e.cause }
+func (e *noResponseError) Unwrap() error { return e.cause }
 
-// neverConnected reports whether the connection was never made.
-func neverConnected(err error) bool {
+// dialFailed reports whether the connection could not be established.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// recordingDoer is an HTTP client that keeps the last answer's body, which is
-// printed as it came when JSON is wanted, and the last error.
+// recordingDoer is an HTTP client that keeps the body of the last response,
+// which is printed unchanged for JSON output, and the last transport error.
 type recordingDoer struct {
 	http *http.Client
 	body []byte
 	err  error
 }
 
-// Do sends the request.
+// Do implements goahttp.Doer.
 func (r *recordingDoer) Do(req *http.Request) (*http.Response, error) {
 	r.body, r.err = nil, nil
 	resp, err := r.http.Do(req)
@@ -116,7 +117,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		r.err = err
 		return nil, err
--- a/internal/cli/demo_test.go
+++ b/internal/cli/demo_test.go
@@ -18,7 +18,8 @@
 	is.True(strings.Contains(r.out, "3 hosts as host salt-lake-1 sees them"))
 }
 
-// An address in use ends the demo and leaves nothing running.
+// An address that can't be listened on ends the demo with an error and leaves
+// nothing running.
 func TestDemoAddressInUse(t *testing.T) {
 	is := is.New(t)
 	r := run("", "demo", "--callers", "127.0.0.1:bad")
--- a/internal/cli/docs_test.go
+++ b/internal/cli/docs_test.go
@@ -11,12 +11,12 @@
 	"rhubarbwood.example/rhubarbwood/internal/event"
 )
 
-var update = flag.Bool("update", false, "write the pages instead of comparing them")
+var update = flag.Bool("update", false, "write the generated pages instead of comparing them")
 
 const eventsPage = "../../docs/EVENTS.md"
 
-// docs/EVENTS.md is what the command prints, and it holds every event of the
-// program. "make docs" writes it.
+// docs/EVENTS.md must equal the output of the events command, and every event
+// must be documented. "make docs" regenerates the page.
 func TestEventsPage(t *testing.T) {
 	is := is.New(t)
 	r := run("", "events")
@@ -30,9 +30,9 @@
 		t.Error("docs/EVENTS.md differs from the code; run make docs")
 	}
 	for _, e := range event.All() {
-		is.True(e.Meaning != "" && e.Action != "")                      // both are told
-		is.True(!strings.Contains(e.Meaning+e.Action+e.Name, "|"))      // would break the table
-		is.True(e.Number >= 1000 && e.Number < 14000)                   // of a package
+		is.True(e.Meaning != "" && e.Action != "")                      // both are documented
+		is.True(!strings.Contains(e.Meaning+e.Action+e.Name, "|"))      // a | would break the table
+		is.True(e.Number >= 1000 && e.Number < 14000)                   // within the number ranges of the packages
 		is.True(strings.ToLower(e.Name) == e.Name && len(e.Fields) < 9) // snake_case, few fields
 	}
 }
--- a/internal/cli/evacuations.go
+++ b/internal/cli/evacuations.go
@@ -11,10 +11,10 @@
 
 type evacuationsCommand struct {
 	env      Env
-	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; tells where the store is"`
+	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; names the address of the store"`
 }
 
-// Execute lists the failure domains that are evacuated, as the store holds them.
+// Execute lists the evacuated failure domains recorded in the store.
 func (c *evacuationsCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings, gatewayhost.DefaultSettings())
 	if err != nil {
@@ -23,7 +23,7 @@
 	return withRecords(s, func(ctx context.Context, records objstore.Records) error {
 		read, err := gatewayhost.OnPlatform().Source(records).Evacuations(ctx)
 		if err != nil {
-			return fail(ExitFailed, "%s", err)
+			return exitErrorf(ExitFailed, "%s", err)
 		}
 		var rows [][]string
 		for _, domain := range read.Domains {
@@ -31,10 +31,10 @@
 		}
 		writeTable(c.env.Out, []string{"EVACUATED FAILURE DOMAIN"}, rows)
 		for _, problem := range read.Problems {
-			fmt.Fprintf(c.env.Out, "an entry can't be read: %s\n", problem)
+			fmt.Fprintf(c.env.Out, "evacuation entry can't be read: %s\n", problem)
 		}
 		if s.Discovery.EvacuateWithin <= 0 {
-			fmt.Fprintln(c.env.Out, "Hosts with these settings don't ask for evacuations: discovery.evacuate_within is 0s.")
+			fmt.Fprintln(c.env.Out, "Hosts with these settings don't read evacuations: discovery.evacuate_within is 0s.")
 		}
 		return nil
 	})
--- a/internal/cli/evacuations_test.go
+++ b/internal/cli/evacuations_test.go
@@ -15,7 +15,7 @@
 	file := writeFile(t, strings.Replace(gatewaySettings, "STORE", address, 1))
 	r := run("", "evacuations", "--settings", file)
 	is.Equal(r.code, ExitOK)
-	is.True(strings.Contains(r.out, "discovery.evacuate_within is 0s")) // as the settings say
+	is.True(strings.Contains(r.out, "discovery.evacuate_within is 0s")) // the default of the settings
 
 	store.Apply(platform.KindEvacuations, "salt-lake", []byte(`{}`))
 	store.Apply(platform.KindEvacuations, "dum-dum", []byte(`7`))
--- a/internal/cli/events.go
+++ b/internal/cli/events.go
@@ -8,10 +8,10 @@
 
 type eventsCommand struct{ env Env }
 
-// Execute prints the catalogue in the form of docs/EVENTS.md.
+// Execute prints the event catalog in the format of docs/EVENTS.md.
 func (c *eventsCommand) Execute([]string) error {
 	if _, err := fmt.Fprint(c.env.Out, event.Catalogue()); err != nil {
-		return Error.New("print events: %w", err)
+		return Error.New("print event catalog: %w", err)
 	}
 	return nil
 }
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -22,7 +22,8 @@
 
 const token = "sixteen-letters-or-more"
 
-// fakeHost answers both APIs with what it is told to.
+// fakeHost serves both APIs, returns the configured results and records the
+// requests.
 type fakeHost struct {
 	search      query.Search
 	reserve     query.Reserve
@@ -60,7 +61,7 @@
 func (f *fakeHost) Ready() error  { return nil }
 func (f *fakeHost) Leaving() bool { return false }
 
-// serve returns the flags that lead exec to the fake.
+// serve starts both APIs and returns the exec command line that calls them.
 func (f *fakeHost) serve(t *testing.T) []string {
 	t.Helper()
 	cfg, log := api.DefaultConfig(), event.Discard()
@@ -76,23 +77,23 @@
 	return []string{"exec", "--entry", callers.Addr(), "--operators", operate.Addr(), "--token", token}
 }
 
-type ran struct {
+type commandResult struct {
 	code     int
 	out, err string
 }
 
-func run(in string, args ...string) ran {
+func run(in string, args ...string) commandResult {
 	var out, errs bytes.Buffer
 	code := Run(Env{In: strings.NewReader(in), Out: &out, Err: &errs}, args)
-	return ran{code, out.String(), errs.String()}
+	return commandResult{code, out.String(), errs.String()}
 }
 
-func (f *fakeHost) exec(t *testing.T, args ...string) ran {
+func (f *fakeHost) exec(t *testing.T, args ...string) commandResult {
 	t.Helper()
 	return run("", append(f.serve(t), args...)...)
 }
 
-func partial() *query.Answer {
+func partialAnswer() *query.Answer {
 	return &query.Answer{
 		RequestID: "r1", Workload: "guest-portal", Snapshot: 7, TotalRows: 9,
 		Rows:     []query.Row{{Service: "guest-portal-01", Shard: 2, Key: "k", Value: "pressure cooker", Score: 0.5}},
@@ -103,7 +104,7 @@
 
 func TestSearchText(t *testing.T) {
 	is := is.New(t)
-	f := &fakeHost{answer: partial()}
+	f := &fakeHost{answer: partialAnswer()}
 	r := f.exec(t, "--request-id", "r1", `search workload guest-portal "cooker" limit 5 min coverage 0.5 budget 250ms`)
 	is.Equal(r.err, "")
 	is.Equal(r.code, ExitOK)
@@ -120,15 +121,15 @@
 
 func TestSearchWantsCompleteCoverageByDefault(t *testing.T) {
 	is := is.New(t)
-	f := &fakeHost{answer: partial()}
+	f := &fakeHost{answer: partialAnswer()}
 	is.Equal(f.exec(t, `search service guest-portal-01 ""`).code, ExitOK)
 	is.Equal(f.search.MinCoverage, 1.0)
 }
 
-// A zero that was asked for isn't taken for the API's default.
+// A zero given in the statement must not be replaced by the default of the API.
 func TestSearchAsksForAllRowsAndAnyCoverage(t *testing.T) {
 	is := is.New(t)
-	f := &fakeHost{answer: partial()}
+	f := &fakeHost{answer: partialAnswer()}
 	is.Equal(f.exec(t, `search service guest-portal-01 "" min coverage 0`).code, ExitOK)
 	is.Equal(f.search.MinCoverage, 0.0)
 	is.Equal(f.search.Limit, 0)
@@ -136,7 +137,7 @@
 
 func TestSearchJSON(t *testing.T) {
 	is := is.New(t)
-	r := (&fakeHost{answer: partial()}).exec(t, "--output", "json", `search workload guest-portal "x"`)
+	r := (&fakeHost{answer: partialAnswer()}).exec(t, "--output", "json", `search workload guest-portal "x"`)
 	var got struct {
 		Coverage struct {
 			Complete bool
@@ -154,15 +155,15 @@
 		statement string
 		refusal   query.Refusal
 		code      int
-		says      string
+		wantText  string
 	}{
-		"reservation not run":   {reserve, query.Refusal{Reason: query.ReasonOverload, Outcome: outcome.Rejected, RetryAfter: time.Second}, ExitFailed, "did not run; come back after 1s; reservation id 01JE2GXZ5T0000000000000000"},
-		"reservation in vain":   {reserve, query.Refusal{Reason: query.ReasonTargetFailed, Outcome: outcome.Failed}, ExitFailed, "ran in vain"},
-		"reservation unsettled": {reserve, query.Refusal{Reason: query.ReasonUnsettled, Outcome: outcome.Unknown}, ExitUnsettled, "may have run"},
+		"reservation not run": {reserve, query.Refusal{Reason: query.ReasonOverload, Outcome: outcome.Rejected, RetryAfter: time.Second}, ExitFailed, "did not run; retry after 1s; reservation id 01JE2GXZ5T0000000000000000"},
+		"reservation failed":  {reserve, query.Refusal{Reason: query.ReasonTargetFailed, Outcome: outcome.Failed}, ExitFailed, "ran without success"},
+		"reservation unknown": {reserve, query.Refusal{Reason: query.ReasonUnsettled, Outcome: outcome.Unknown}, ExitUnknown, "may have run"},
 		"search that may have run": {search, query.Refusal{Reason: query.ReasonBudget, Outcome: outcome.Unknown, Coverage: &query.Coverage{Shards: 2, Answered: 1, Missing: []query.ShardKey{{Service: "s", Shard: 0}}}},
 			ExitFailed, "coverage 1 of 2 shards: PARTIAL, missing s/0"},
-		"change not made":       {`drop service s at version 3`, query.Refusal{Reason: query.ReasonConflict, Outcome: outcome.Rejected, Detail: "stands at version 4"}, ExitFailed, "stands at version 4; did not run"},
-		"change without a word": {`drop service s at version 3`, query.Refusal{Reason: query.ReasonPlatform, Outcome: outcome.Unknown}, ExitUnsettled, "may have run"},
+		"change not made": {`drop service s at version 3`, query.Refusal{Reason: query.ReasonConflict, Outcome: outcome.Rejected, Detail: "stands at version 4"}, ExitFailed, "stands at version 4; did not run"},
+		"change unknown":  {`drop service s at version 3`, query.Refusal{Reason: query.ReasonPlatform, Outcome: outcome.Unknown}, ExitUnknown, "may have run"},
 	}
 	for name, test := range tests {
 		for _, output := range []string{"text", "json"} {
@@ -172,7 +173,7 @@
 				is.Equal(r.code, test.code)
 				if output == "text" {
 					is.Equal(r.out, "")
-					is.True(strings.Contains(r.err, test.says))
+					is.True(strings.Contains(r.err, test.wantText))
 					return
 				}
 				var got struct{ Reason string }
@@ -207,7 +208,7 @@
 	f := &fakeHost{}
 	r := f.exec(t, "show hosts; show hots")
 	is.Equal(r.code, ExitUsage)
-	is.True(strings.Contains(r.err, "line 1, column 18")) // and what was expected
+	is.True(strings.Contains(r.err, "line 1, column 18")) // followed by what was expected
 	is.Equal(f.calls, 0)
 }
 
@@ -237,12 +238,13 @@
 	address := ln.Addr().String()
 	is.NoErr(ln.Close())
 	r := run("", "exec", "--entry", address, `reserve "x" in s`)
-	is.Equal(r.code, ExitUnreachable) // never sent
+	is.Equal(r.code, ExitUnreachable) // the connection was refused
 	is.True(strings.Contains(r.err, "not sent"))
 }
 
-// A connection that is cut after the request was sent leaves a reservation
-// open, and says how to repeat it; a search can simply be asked again.
+// If the connection is closed after the request was sent, the outcome of a
+// reservation is unknown and the error names the id to repeat it with. A search
+// changes no state and counts as unreachable.
 func TestCutConnection(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -259,7 +261,7 @@
 		}
 	}()
 	r := run("", "exec", "--entry", ln.Addr().String(), `reserve "x" in s`)
-	is.Equal(r.code, ExitUnsettled)
+	is.Equal(r.code, ExitUnknown)
 	is.True(strings.Contains(r.err, "it may have run; repeat it with reservation id "))
 	is.Equal(run("", "exec", "--entry", ln.Addr().String(), `search service s ""`).code, ExitUnreachable)
 }
@@ -270,7 +272,7 @@
 	is.Equal(run("", "exec", "--no-such-flag").code, ExitUsage)
 	is.Equal(run("", "exec").code, ExitUsage)
 	is.Equal(run("", "exec", "-f", "x", "show hosts").code, ExitUsage)
-	is.Equal(run("", "serve").code, ExitUsage) // no settings
+	is.Equal(run("", "serve").code, ExitUsage) // --settings is missing
 	is.Equal(run("", "--help").code, ExitOK)
 	is.Equal(run("", "version").code, ExitOK)
 }
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -13,59 +13,60 @@
 )
 
 type gatewayCommand struct {
-	env      Env
-	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of the host"`
-	Asleep   string `long:"suspended-file" description:"For tests: file with a time, such as 5s, for which the host counts as having been suspended besides"`
+	env           Env
+	Settings      string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of the host"`
+	SuspendedFile string `long:"suspended-file" description:"For tests: file with a duration, such as 5s, that the host adds to the time it was suspended"`
 }
 
-// gcPercent is how much the heap of a gateway host may grow between collections.
-// Hosts are small and memory is paid for by its peak; processor time grows little by it.
+// gcPercent is the GOGC value of a gateway host: how far its heap may grow
+// between collections. Hosts are small and memory is provisioned for the peak,
+// while the additional CPU time is small.
 const gcPercent = 40
 
 // Execute runs a host that forwards requests until SIGTERM or SIGINT and then
-// stops it gracefully. Nothing is started if the settings have a problem.
+// stops it gracefully. Nothing is started if the settings are invalid.
 func (c *gatewayCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings, gatewayhost.DefaultSettings())
 	if err != nil {
 		return usageError(err)
 	}
 	debug.SetGCPercent(gcPercent)
-	lines := event.NewQueue(c.env.Out)
-	defer func() { _ = lines.Close() }() // the last lines; a writer that fails can't be told
-	log := event.NewQueued(lines, s.Log.Plog(), s.ID)
+	logQueue := event.NewQueue(c.env.Out)
+	defer func() { _ = logQueue.Close() }() // flushes the queue; if the log can't be written, there is nowhere to report it
+	log := event.NewQueued(logQueue, s.Log.Plog(), s.ID)
 	h, err := gatewayhost.NewOn(c.system(), s, gatewayhost.OnPlatform(), log)
 	if err != nil {
-		return fail(ExitFailed, "host %s: %s", s.ID, err)
+		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
 	if err := h.Start(context.Background()); err != nil {
-		return fail(ExitFailed, "host %s: %s", s.ID, err)
+		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
-	h.WatchDrops(lines.Dropped)
+	h.WatchDrops(logQueue.Dropped)
 	c.waitForStop(h)
 	if err := h.Stop(context.Background()); err != nil {
-		return fail(ExitCut, "stop: %s", err)
+		return exitErrorf(ExitForcedStop, "stop: %s", err)
 	}
 	return nil
 }
 
-// system returns what the host runs on.
+// system returns the clock and the other system services of the host.
 func (c *gatewayCommand) system() gatewayhost.System {
 	system := gatewayhost.OwnSystem()
-	if c.Asleep != "" {
-		system.Clock = system.Clock.Plus(func() time.Duration { return readDuration(c.Asleep) })
+	if c.SuspendedFile != "" {
+		system.Clock = system.Clock.Plus(func() time.Duration { return readDuration(c.SuspendedFile) })
 	}
 	return system
 }
 
-// readDuration returns the duration that a file holds, 0 if there is none.
+// readDuration returns the duration in a file, or 0 if it can't be read.
 func readDuration(file string) time.Duration {
-	text, _ := os.ReadFile(file)             // not written yet
-	d, _ := time.ParseDuration(string(text)) // 0 of no text
+	text, _ := os.ReadFile(file)             // may not exist yet
+	d, _ := time.ParseDuration(string(text)) // 0 if the text is empty or invalid
 	return d
 }
 
-// waitForStop returns at the first signal to stop, and reads the settings
-// again at each SIGHUP.
+// waitForStop returns at the first SIGTERM or SIGINT, and reloads the settings
+// at each SIGHUP.
 func (c *gatewayCommand) waitForStop(h *gatewayhost.Host) {
 	for s := range c.env.Signals {
 		if s == syscall.SIGTERM || s == os.Interrupt {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -13,26 +13,26 @@
 
 type loadCommand struct {
 	env         Env
-	Entry       []string      `long:"entry" env:"RHUBARBWOOD_ENTRY" env-delim:"," default:"127.0.0.1:8080" description:"Callers' API of a host; given again, they are asked in turn"`
+	Entry       []string      `long:"entry" env:"RHUBARBWOOD_ENTRY" env-delim:"," default:"127.0.0.1:8080" description:"Callers' API of a host; may be repeated, requests go to the hosts in turn"`
 	Workload    string        `long:"workload" description:"Workload to search"`
-	Service     string        `long:"service" description:"Service to search, in place of a workload"`
-	Text        string        `long:"text" description:"What to look for"`
-	Limit       int           `long:"limit" default:"10" description:"Rows wanted"`
-	MinCoverage float64       `long:"min-coverage" default:"1" description:"Least fraction of shards to accept"`
+	Service     string        `long:"service" description:"Service to search, instead of a workload"`
+	Text        string        `long:"text" description:"Text to search for"`
+	Limit       int           `long:"limit" default:"10" description:"Maximum number of rows"`
+	MinCoverage float64       `long:"min-coverage" default:"1" description:"Minimum fraction of shards that an answer must cover"`
 	Budget      time.Duration `long:"budget" default:"1s" description:"Budget of each search"`
 	Caller      string        `long:"caller" default:"load" description:"Caller's name"`
-	Rate        float64       `long:"rate" default:"50" description:"Searches a second"`
-	Duration    time.Duration `long:"duration" default:"10s" description:"How long searches arrive"`
-	Seed        uint64        `long:"seed" default:"1" description:"Of the arrivals"`
-	Output      string        `long:"output" choice:"text" choice:"json" default:"text" description:"Form of the report"`
-	Bench       bool          `long:"bench" description:"Run the short set of experiments over stand-ins instead; ends in five minutes"`
+	Rate        float64       `long:"rate" default:"50" description:"Searches per second"`
+	Duration    time.Duration `long:"duration" default:"10s" description:"Length of the run"`
+	Seed        uint64        `long:"seed" default:"1" description:"Seed of the arrival times"`
+	Output      string        `long:"output" choice:"text" choice:"json" default:"text" description:"Output format"`
+	Bench       bool          `long:"bench" description:"Run the short set of experiments over stand-ins instead; takes up to five minutes"`
 	Experiment  []string      `long:"experiment" description:"Run this experiment over stand-ins instead"`
 	Span        time.Duration `long:"span" default:"4s" description:"Measured part of each run of an experiment"`
 	List        bool          `long:"list" description:"List the experiments"`
 }
 
-// Execute runs one load against hosts, or experiments over stand-ins, until
-// it is done or a signal comes.
+// Execute generates load on hosts, or runs experiments over stand-ins, until
+// the run ends or a signal is received.
 func (c *loadCommand) Execute([]string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -59,7 +59,7 @@
 	for _, name := range c.Experiment {
 		at := slices.IndexFunc(load.Experiments(), func(e load.Experiment) bool { return e.Name == name })
 		if at < 0 {
-			return fail(ExitUsage, "no experiment %q; want one of %s", name, experimentNames())
+			return exitErrorf(ExitUsage, "unknown experiment %q; the experiments are %s", name, experimentNames())
 		}
 		chosen = append(chosen, load.Experiments()[at])
 	}
@@ -98,5 +98,5 @@
 	if err == nil {
 		return nil
 	}
-	return fail(ExitFailed, "%s", err)
+	return exitErrorf(ExitFailed, "%s", err)
 }
--- a/internal/cli/load_test.go
+++ b/internal/cli/load_test.go
@@ -10,7 +10,7 @@
 
 func TestLoad(t *testing.T) {
 	is := is.New(t)
-	f := &fakeHost{answer: partial()}
+	f := &fakeHost{answer: partialAnswer()}
 	entry := f.serve(t)[2]
 	r := run("", "load", "--entry", entry, "--workload", "guest-portal", "--rate", "200", "--duration", "100ms", "--output", "json")
 	is.Equal(r.err, "")
@@ -20,7 +20,7 @@
 
 func TestLoadUsage(t *testing.T) {
 	is := is.New(t)
-	is.Equal(run("", "load").code, ExitUsage) // neither workload nor service
+	is.Equal(run("", "load").code, ExitUsage) // neither --workload nor --service
 	r := run("", "load", "--experiment", "no-such")
 	is.Equal(r.code, ExitUsage)
 	list := run("", "load", "--list")
--- a/internal/cli/pages_test.go
+++ b/internal/cli/pages_test.go
@@ -19,8 +19,8 @@
 	quoted         = regexp.MustCompile(`'([^']*)'`)
 )
 
-// Every statement that the pages print is run as printed, each against a demo
-// of its own, because a page's changes name the versions that stand at first.
+// Runs every statement printed in the documentation. Each runs against a new
+// demo site, because statements that change objects name their initial versions.
 func TestStatementsOfThePages(t *testing.T) {
 	is := is.New(t)
 	pages, err := filepath.Glob("../../docs/*.md")
@@ -29,18 +29,18 @@
 	for _, page := range append(pages, "../../README.md") {
 		text, err := os.ReadFile(page)
 		is.NoErr(err)
-		for _, statement := range printed(string(text)) {
+		for _, statement := range statementsIn(string(text)) {
 			found++
-			if r := runAlone(t, statement); r.code != ExitOK {
-				t.Errorf("%s: %q ends with %d: %s", filepath.Base(page), statement, r.code, r.err)
+			if r := runAgainstNewDemo(t, statement); r.code != ExitOK {
+				t.Errorf("%s: %q exits with code %d: %s", filepath.Base(page), statement, r.code, r.err)
 			}
 		}
 	}
 	is.True(found > 0)
 }
 
-// runAlone runs the statement against a new demo.
-func runAlone(t *testing.T, statement string) ran {
+// runAgainstNewDemo runs a statement against a new demo site.
+func runAgainstNewDemo(t *testing.T, statement string) commandResult {
 	t.Helper()
 	is := is.New(t)
 	site, err := demo.Start(t.Context(), demo.Options{
@@ -53,9 +53,10 @@
 	return run("", "exec", "--entry", first.Callers, "--operators", first.Operators, "--token", demo.Token, statement)
 }
 
-// printed returns the statements of a page. Addresses and tokens are
-// placeholders there.
-func printed(page string) []string {
+// statementsIn returns the statements in a page: statement blocks and the
+// quoted arguments of exec command lines, whose addresses and tokens are
+// placeholders.
+func statementsIn(page string) []string {
 	var all []string
 	for _, m := range statementBlock.FindAllStringSubmatch(page, -1) {
 		all = append(all, strings.TrimSpace(m[1]))
--- a/internal/cli/plot.go
+++ b/internal/cli/plot.go
@@ -19,19 +19,19 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// plotTimeout bounds the reading of all windows.
+// plotTimeout limits the time for reading all delivery windows.
 const plotTimeout = time.Minute
 
 type plotCommand struct {
 	env      Env
-	Settings string        `long:"settings" required:"true" description:"Settings file of a host; tells where the platform is"`
-	Since    time.Duration `long:"since" default:"6h" description:"How far back"`
-	Format   string        `long:"format" choice:"svg" choice:"png" default:"svg" description:"Form of the plot"`
-	Out      string        `long:"out" required:"true" description:"File to write"`
+	Settings string        `long:"settings" required:"true" description:"Settings file of a host; names the addresses of the platform"`
+	Since    time.Duration `long:"since" default:"6h" description:"Length of the period to plot, up to now"`
+	Format   string        `long:"format" choice:"svg" choice:"png" default:"svg" description:"Image format"`
+	Out      string        `long:"out" required:"true" description:"Output file"`
 }
 
-// Execute reads the delivery windows from the platform and draws the burn of
-// every objective. It needs no host.
+// Execute reads the delivery windows from the platform and plots the error
+// budget burn of every objective. It needs no running host.
 func (c *plotCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings, host.DefaultSettings())
 	if err != nil {
@@ -43,10 +43,10 @@
 	defer cancel()
 	var plot bytes.Buffer
 	if err := c.draw(ctx, &plot, store, s.Delivery); err != nil {
-		return fail(ExitFailed, "%s", err)
+		return exitErrorf(ExitFailed, "%s", err)
 	}
 	if err := os.WriteFile(c.Out, plot.Bytes(), 0o644); err != nil {
-		return fail(ExitFailed, "write plot: %s", err)
+		return exitErrorf(ExitFailed, "write plot: %s", err)
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 func (c *plotCommand) draw(ctx context.Context, plot *bytes.Buffer, store objstore.Store, cfg delivery.Config) error {
 	listing, err := store.List(ctx, objstore.KindService, objstore.KindMember)
 	if err != nil {
-		return Error.New("read services: %w", err)
+		return Error.New("list services and members: %w", err)
 	}
 	services, view, err := readListing(listing)
 	if err != nil {
@@ -89,22 +89,23 @@
 func appendDecoded[T any, S ~[]T](to S, o objstore.Object) (S, error) {
 	var v T
 	if err := json.Unmarshal(o.Value, &v); err != nil {
-		return nil, Error.New("read %s/%s: %w", o.Kind, o.Name, err)
+		return nil, Error.New("decode object %s/%s: %w", o.Kind, o.Name, err)
 	}
 	return append(to, v), nil
 }
 
-// recordedHosts is the membership as the platform's records tell it.
+// recordedHosts is the membership in the records of the platform. It
+// implements member.View.
 type recordedHosts []member.Host
 
-// Self returns no host: the command is none.
+// Self returns the zero value, as the command is not a member.
 func (recordedHosts) Self() member.Host { return member.Host{} }
 
-// Hosts returns the hosts on record.
+// Hosts implements member.View.
 func (r recordedHosts) Hosts() []member.Host { return r }
 
 // Count implements member.View.
 func (r recordedHosts) Count() int { return len(r.Hosts()) }
 
-// Generation is constant, as the records were read once.
+// Generation is constant, as the records are read only once.
 func (recordedHosts) Generation() uint64 { return 0 }
--- a/internal/cli/plot_test.go
+++ b/internal/cli/plot_test.go
@@ -37,6 +37,6 @@
 	}
 
 	r := run("", "plot", "--settings", writeFile(t, goodHost), "--out", filepath.Join(t.TempDir(), "x"))
-	is.Equal(r.code, ExitFailed) // no platform
+	is.Equal(r.code, ExitFailed) // the platform is unreachable
 	is.True(strings.Contains(r.err, "connection refused"))
 }
--- a/internal/cli/print.go
+++ b/internal/cli/print.go
@@ -13,8 +13,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/outcome"
 )
 
-// maxMissing is how many missing shards are named in text.
-const maxMissing = 10
+// maxNamedShards is how many missing shards the text output lists by name.
+const maxNamedShards = 10
 
 func writeSearch(w io.Writer, a *query.SearchAnswer) {
 	rows := make([][]string, len(a.Rows))
@@ -34,22 +34,22 @@
 	if c.Complete {
 		return text + ": complete"
 	}
-	text += ": PARTIAL, missing " + strings.Join(c.Missing[:min(len(c.Missing), maxMissing)], ", ")
-	if more := len(c.Missing) - maxMissing; more > 0 {
+	text += ": PARTIAL, missing " + strings.Join(c.Missing[:min(len(c.Missing), maxNamedShards)], ", ")
+	if more := len(c.Missing) - maxNamedShards; more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
 	return text
 }
 
 func writeReservation(w io.Writer, a *query.ReservationAnswer) {
-	word := "not granted"
+	result := "not granted"
 	if a.Granted {
-		word = "granted"
+		result = "granted"
 	}
 	if a.Repeated {
-		word += ", as told before"
+		result += ", repeated from an earlier response"
 	}
-	fmt.Fprintf(w, "%s by target %s: %s\n", word, a.Target, a.Answer)
+	fmt.Fprintf(w, "%s by target %s: %s\n", result, a.Target, a.Answer)
 	fmt.Fprintf(w, "reservation %s, request %s\n", a.ReservationID, a.RequestID)
 }
 
@@ -60,7 +60,8 @@
 	}
 }
 
-// refusal is a refusal of either API.
+// refusal holds the common fields of a refusal by the callers' or the
+// operators' API.
 type refusal struct {
 	requestID  string
 	reason     string
@@ -90,21 +91,22 @@
 	return time.Duration(*ms) * time.Millisecond
 }
 
-// code is the exit code. A search that may have run changed nothing.
+// code returns the exit code. A search with an unknown outcome counts as
+// failed, as it changes no state.
 func (r refusal) code(mutates bool) int {
 	if mutates && r.outcome == outcome.Unknown.String() {
-		return ExitUnsettled
+		return ExitUnknown
 	}
 	return ExitFailed
 }
 
 func (r refusal) text(hint string) string {
-	parts := []string{"refused: " + r.reason + ": " + r.detail, r.fate()}
+	parts := []string{"refused: " + r.reason + ": " + r.detail, r.execution()}
 	if r.coverage != nil {
 		parts = append(parts, coverageText(r.coverage))
 	}
 	if r.retryAfter > 0 {
-		parts = append(parts, "come back after "+r.retryAfter.String())
+		parts = append(parts, "retry after "+r.retryAfter.String())
 	}
 	if hint != "" {
 		parts = append(parts, hint)
@@ -113,13 +115,13 @@
 	return strings.Join(parts, "; ")
 }
 
-// fate tells whether it ran.
-func (r refusal) fate() string {
+// execution describes whether the request ran.
+func (r refusal) execution() string {
 	switch {
 	case r.notRun:
 		return "did not run"
 	case r.outcome == outcome.Failed.String():
-		return "ran in vain"
+		return "ran without success"
 	}
 	return "may have run"
 }
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -15,12 +15,12 @@
 
 type quarantineCommand struct {
 	env      Env
-	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; tells where the store is"`
-	Clear    string `long:"clear" value-name:"CONTENT" description:"Let requests of this content through again, once targets survive them"`
+	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; names the address of the store"`
+	Clear    string `long:"clear" value-name:"CONTENT" description:"Forward requests of this content again, once targets have been fixed"`
 }
 
-// Execute lists the requests that hosts keep from targets, as the store holds them, or clears
-// those of one content.
+// Execute lists the quarantined requests recorded in the store, or clears those
+// with the given content.
 func (c *quarantineCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings, gatewayhost.DefaultSettings())
 	if err != nil {
@@ -38,40 +38,40 @@
 func (c *quarantineCommand) clear(ctx context.Context, store objstore.Store) error {
 	cleared, err := quarantine.ClearStored(ctx, store, c.Clear)
 	if err != nil {
-		return fail(ExitFailed, "%s", err)
+		return exitErrorf(ExitFailed, "%s", err)
 	}
 	if cleared == 0 {
-		return fail(ExitFailed, "no requests of content %q are in quarantine", c.Clear)
+		return exitErrorf(ExitFailed, "no quarantined requests with content %q", c.Clear)
 	}
-	fmt.Fprintln(c.env.Out, "Cleared; hosts learn of it within some ten seconds.")
+	fmt.Fprintln(c.env.Out, "Cleared; hosts forward these requests again within about ten seconds.")
 	return nil
 }
 
-func (c *quarantineCommand) list(ctx context.Context, store objstore.Store, hold time.Duration) error {
+func (c *quarantineCommand) list(ctx context.Context, store objstore.Store, holdDuration time.Duration) error {
 	records, unreadable, err := quarantine.List(ctx, store)
 	if err != nil {
-		return fail(ExitFailed, "%s", err)
+		return exitErrorf(ExitFailed, "%s", err)
 	}
 	var rows [][]string
 	for _, r := range records {
 		if len(r.Strikes) == 0 {
-			continue // cleared
+			continue // a cleared record has no strikes
 		}
-		rows = append(rows, quarantineRow(r, hold))
+		rows = append(rows, quarantineRow(r, holdDuration))
 	}
 	writeTable(c.env.Out, []string{"CONTENT", "CALLERS", "STRIKES", "SERVICES", "LAST", "HELD UNTIL"}, rows)
 	for name, err := range unreadable {
-		fmt.Fprintf(c.env.Out, "record %s can't be read: %s\n", name, err)
+		fmt.Fprintf(c.env.Out, "quarantine record %s can't be read: %s\n", name, err)
 	}
 	return nil
 }
 
-func quarantineRow(r quarantine.Record, hold time.Duration) []string {
+func quarantineRow(r quarantine.Record, holdDuration time.Duration) []string {
 	callers, until := "one", "tried alone"
 	if r.Key.OfAnyone() {
 		callers = "any"
 	}
-	if end := r.Until(hold); end.After(time.Now()) {
+	if end := r.Until(holdDuration); end.After(time.Now()) {
 		until = end.UTC().Format(time.RFC3339)
 	}
 	last := r.Strikes[len(r.Strikes)-1]
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -15,7 +15,7 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// serveStore serves a stand-in of the store until the test ends.
+// serveStore runs a stand-in for the store until the test ends.
 func serveStore(t *testing.T) (store *objectstore.Store, address string) {
 	t.Helper()
 	store = objectstore.New(objectstore.DefaultConfig())
@@ -29,7 +29,7 @@
 	return store, ln.Addr().String()
 }
 
-// An operator sees what is kept from targets, and lets it through again.
+// An operator lists the quarantined requests and clears one.
 func TestQuarantineIsListedAndCleared(t *testing.T) {
 	is := is.New(t)
 	_, address := serveStore(t)
@@ -46,7 +46,7 @@
 
 	r := run("", "quarantine", "--settings", file)
 	is.Equal(r.code, ExitOK)
-	row := fieldsOfLines(r.out)[request.Content()]
+	row := fieldsByFirst(r.out)[request.Content()]
 	is.Equal(row[:4], []string{request.Content(), "one", "3", "lists-1,lists-2"})
 
 	r = run("", "quarantine", "--settings", file, "--clear", "0123")
--- a/internal/cli/records.go
+++ b/internal/cli/records.go
@@ -11,10 +11,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/objstore"
 )
 
-// recordsTimeout bounds the calls of one command to the store.
+// recordsTimeout limits the total time of a command's calls to the store.
 const recordsTimeout = 10 * time.Second
 
-// withRecords lets a command use the records of the store that a host's settings name.
+// withRecords connects to the store named in the settings of a host, calls use,
+// and disconnects.
 func withRecords(s gatewayhost.Settings, use func(context.Context, objstore.Records) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), recordsTimeout)
 	defer cancel()
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -18,24 +18,24 @@
 	"rhubarbwood.example/rhubarbwood/internal/settings"
 )
 
-// reportTimeout bounds the reading of all windows.
+// reportTimeout limits the time for reading all delivery windows.
 const reportTimeout = time.Minute
 
 type reportCommand struct {
 	env      Env
-	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; tells where the store is"`
-	Output   string `long:"output" choice:"text" choice:"json" default:"text" description:"Form of the report"`
+	Settings string `long:"settings" env:"RHUBARBWOOD_SETTINGS" required:"true" description:"Settings file of a gateway host; names the address of the store"`
+	Output   string `long:"output" choice:"text" choice:"json" default:"text" description:"Output format"`
 	Args     struct {
 		Statement []string `positional-arg-name:"STATEMENT" description:"show answers, show coverage or show burn, with their clauses"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute reads the delivery records of all gateway hosts from the store and
-// shows a report on them. It needs no host.
+// prints the requested report. It needs no running host.
 func (c *reportCommand) Execute([]string) error {
 	statement, err := lang.Parse(strings.Join(c.Args.Statement, " "))
 	if err != nil {
-		return fail(ExitUsage, "%s", err)
+		return exitErrorf(ExitUsage, "%s", err)
 	}
 	s, err := settings.Load(c.Settings, gatewayhost.DefaultSettings())
 	if err != nil {
@@ -45,18 +45,19 @@
 	defer cancel()
 	table, err := runReport(ctx, s, gatewayhost.OnPlatform(), statement)
 	if err != nil {
-		return fail(ExitFailed, "%s", err)
+		return exitErrorf(ExitFailed, "%s", err)
 	}
 	return c.print(table)
 }
 
-// runReport runs the statement on the records in the store of the settings.
+// runReport runs a report statement on the records in the store that the
+// settings name.
 func runReport(ctx context.Context, s gatewayhost.Settings, p gatewayhost.Platform, statement lang.Statement) (statements.Table, error) {
 	records := objstore.Govern(s.Platform, p.Records(s.Platform), event.Discard(), prometheus.NewRegistry())
 	defer records.Close()
 	read, err := p.Source(records).Config(ctx)
 	if err != nil {
-		return statements.Table{}, Error.New("read the configuration: %w", err)
+		return statements.Table{}, Error.New("read the configuration from the store: %w", err)
 	}
 	executor := statements.New(statements.Parts{
 		Reports:    delivery.NewReporter(s.Delivery, objstore.New(records), nil, event.Discard()),
--- a/internal/cli/report_test.go
+++ b/internal/cli/report_test.go
@@ -25,8 +25,9 @@
 	"platform": {"addresses": ["STORE"]},
 }`
 
-// A gateway host answers requests and stops; then the report, read from a store
-// that tells no time, has each of them and says that nothing is missing.
+// A gateway host forwards requests and stops. The report must count each of
+// them and state that nothing is missing, although the store sends no Date
+// header to take the time from.
 func TestReportOfForwardedRequests(t *testing.T) {
 	is := is.New(t)
 	cfg := objectstore.DefaultConfig()
@@ -43,13 +44,13 @@
 	address := ln.Addr().String()
 	file := writeFile(t, strings.Replace(gatewaySettings, "STORE", address, 1))
 
-	forwardSome(t, address, 3)
+	forwardRequests(t, address, 3)
 
 	r := run("", "report", "--settings", file, "show answers by service, outcome")
 	is.Equal(r.err, "")
 	is.Equal(r.code, ExitOK)
 	is.True(strings.Contains(r.out, "nothing is missing"))
-	rows := fieldsOfLines(r.out)
+	rows := fieldsByFirst(r.out)
 	is.Equal(rows["lists"][:3], []string{"lists", "done", "3"})
 	is.Equal(rows["gifts"][:3], []string{"gifts", "done", "3"})
 
@@ -66,8 +67,9 @@
 	is.Equal(r.code, ExitUsage)
 }
 
-// forwardSome sends n requests of each kind through a gateway host and stops it.
-func forwardSome(t *testing.T, store string, n int) {
+// forwardRequests sends n requests of each kind through a new gateway host and
+// stops the host.
+func forwardRequests(t *testing.T, store string, n int) {
 	t.Helper()
 	is := is.New(t)
 	gs := gatewayhost.DefaultSettings()
@@ -94,8 +96,8 @@
 	is.NoErr(h.Stop(context.Background()))
 }
 
-// fieldsOfLines returns the fields of each line by the first of them.
-func fieldsOfLines(text string) map[string][]string {
+// fieldsByFirst returns the fields of each line, keyed by the first field.
+func fieldsByFirst(text string) map[string][]string {
 	lines := map[string][]string{}
 	for line := range strings.Lines(text) {
 		if f := strings.Fields(line); len(f) > 0 {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -17,7 +17,7 @@
 }
 
 // Execute runs a host until SIGTERM or SIGINT and then stops it gracefully.
-// Nothing is started if the settings have a problem.
+// Nothing is started if the settings are invalid.
 func (c *serveCommand) Execute([]string) error {
 	s, err := settings.Load(c.Settings, host.DefaultSettings())
 	if err != nil {
@@ -26,10 +26,10 @@
 	log := event.New(c.env.Err, s.Log.Plog(), s.ID)
 	h, err := host.New(s, log)
 	if err != nil {
-		return fail(ExitFailed, "host %s: %s", s.ID, err)
+		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
 	if err := h.Start(context.Background()); err != nil {
-		return fail(ExitFailed, "host %s: %s", s.ID, err)
+		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
 	at := h.Addresses()
 	fmt.Fprintf(c.env.Out, "started callers=%s operators=%s peers=%s\n", at.Callers, at.Operators, at.Peers)
@@ -37,7 +37,8 @@
 	return c.stop(h)
 }
 
-// waitForStop returns at the first signal to stop.
+// waitForStop returns at the first SIGTERM or SIGINT, and reloads the settings
+// at each SIGHUP.
 func (c *serveCommand) waitForStop(h *host.Host) {
 	for s := range c.env.Signals {
 		if isStop(s) {
@@ -47,8 +48,8 @@
 	}
 }
 
-// reload puts in force what may change while the host runs. A file with a
-// problem changes nothing.
+// reload applies the settings that can change while the host runs. An invalid
+// file changes nothing.
 func (c *serveCommand) reload(h *host.Host) {
 	s, err := settings.Load(c.Settings, host.DefaultSettings())
 	h.Reload(s, err)
@@ -56,7 +57,8 @@
 
 func isStop(s os.Signal) bool { return s == syscall.SIGTERM || s == os.Interrupt }
 
-// stop stops the host. Further signals don't shorten it.
+// stop stops the host gracefully. Further signals are reported to the host but
+// don't shorten the stop.
 func (c *serveCommand) stop(h *host.Host) error {
 	done := make(chan error, 1)
 	go func() { done <- h.Stop(context.Background()) }()
@@ -64,7 +66,7 @@
 		select {
 		case err := <-done:
 			if err != nil {
-				return fail(ExitCut, "stop: %s", err)
+				return exitErrorf(ExitForcedStop, "stop: %s", err)
 			}
 			return nil
 		case s := <-c.env.Signals:
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -16,13 +16,13 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/target"
 )
 
-// standinStop is how long a stand-in waits for its requests in flight.
-const standinStop = 5 * time.Second
+// standinStopTimeout is how long a stopping stand-in waits for requests in flight.
+const standinStopTimeout = 5 * time.Second
 
 func addStandins(parent *flags.Command, env Env) {
 	add := func(name, short string, command any) {
 		if _, err := parent.AddCommand(name, short, short, command); err != nil {
-			panic(fmt.Sprintf("command standin %s: %s", name, err)) // a wrong struct tag
+			panic(fmt.Sprintf("command standin %s: %s", name, err)) // an invalid struct tag
 		}
 	}
 	add("platform", "Run a stand-in for the platform", &standinPlatform{env: env})
@@ -66,30 +66,30 @@
 	return errors.Join(err, t.CloseLog())
 }
 
-// serveUntilSignal listens, says where on standard output, and serves until
-// SIGTERM or SIGINT.
+// serveUntilSignal listens, prints the address to standard output, and serves
+// until SIGTERM or SIGINT.
 func serveUntilSignal(env Env, address string, s standin.Server) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return fail(ExitFailed, "listen: %s", err)
+		return exitErrorf(ExitFailed, "listen: %s", err)
 	}
 	fmt.Fprintf(env.Out, "listening %s\n", ln.Addr())
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ln) }()
 	select {
 	case err := <-served:
-		return fail(ExitFailed, "serve: %s", err)
+		return exitErrorf(ExitFailed, "serve: %s", err)
 	case <-stopSignal(env.Signals):
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), standinStop)
+	ctx, cancel := context.WithTimeout(context.Background(), standinStopTimeout)
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
-		return fail(ExitCut, "stop: %s", err)
+		return exitErrorf(ExitForcedStop, "stop: %s", err)
 	}
 	return nil
 }
 
-// stopSignal is closed at the first SIGTERM or SIGINT.
+// stopSignal returns a channel that is closed at the first SIGTERM or SIGINT.
 func stopSignal(signals <-chan os.Signal) <-chan struct{} {
 	stop := make(chan struct{})
 	go func() {
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -7,10 +7,11 @@
 	"unicode/utf8"
 )
 
-// columnGap is the space between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-// writeTable writes columns set apart by spaces. Without rows it writes none.
+// writeTable writes a table with aligned columns. It writes nothing if there are
+// no rows.
 func writeTable(w io.Writer, columns []string, rows [][]string) {
 	if len(columns) == 0 || len(rows) == 0 {
 		return
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -7,11 +7,12 @@
 
 type versionCommand struct{ env Env }
 
-// Execute prints the module's version and the commit that it was built from.
+// Execute prints the version of the module, the commit it was built from, and
+// the Go version.
 func (c *versionCommand) Execute([]string) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fail(ExitFailed, "built without version information")
+		return exitErrorf(ExitFailed, "the binary was built without version information")
 	}
 	version, commit := info.Main.Version, "unknown"
 	for _, s := range info.Settings {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,7 @@
-// Package demo runs a small site in one process on loopback: a stand-in for
-// the platform, eight targets and three hosts, over real sockets.
+// Package demo runs a small site in one process over loopback sockets: a
+// stand-in for the platform, eight targets, three hosts and a gateway host. It
+// serves the demo command and the tests of the documentation, and is not meant
+// for production. Begin reading at Start.
 package demo
 
 import (
@@ -28,21 +30,23 @@
 var Error = errs.Class("demo")
 
 const (
-	freePort = "127.0.0.1:0"
-	hosts    = 3
+	freePort  = "127.0.0.1:0"
+	hostCount = 3
 
-	readyTimeout   = 10 * time.Second
-	forwardLatency = 5 * time.Millisecond // of the targets of forwarded requests
+	readyTimeout         = 10 * time.Second
+	forwardTargetLatency = 5 * time.Millisecond // mean latency of the targets behind the gateway host
 
-	// The platform keeps copies of itself, so that it can be made to come back from one.
-	copyEvery  = 500 * time.Millisecond
-	oldestCopy = 10 * time.Second
+	// The stand-in for the platform keeps copies of its state, so that a restore
+	// from an older copy can be simulated.
+	copyInterval  = 500 * time.Millisecond
+	copyRetention = 10 * time.Second
 )
 
-// Token is the operators' token of the demo.
+// Token is the operator token of the demo.
 const Token = "token-of-the-demo"
 
-// Options tell where the first host listens; the others take free ports.
+// Options are the addresses of the first host and the logs. The other hosts
+// use free ports.
 type Options struct {
 	Callers   string
 	Operators string
@@ -51,16 +55,16 @@
 
 // Site is a running demo.
 type Site struct {
-	layout   fixture.Layout
-	hosts    []*host.Host
-	gateway  *gatewayhost.Host
-	forward  *platformtarget.Site
-	platform string // address of the stand-in
-	standins []standin.Server
-	serving  sync.WaitGroup
+	layout         fixture.Layout
+	hosts          []*host.Host
+	gateway        *gatewayhost.Host
+	forwardTargets *platformtarget.Site
+	platform       string // address of the stand-in for the platform
+	standins       []standin.Server
+	serving        sync.WaitGroup
 }
 
-// Start starts the whole site. If a part fails, none is left running.
+// Start starts the whole site. If a part fails to start, it stops the others.
 func Start(ctx context.Context, o Options) (*Site, error) {
 	s := &Site{}
 	if err := s.start(ctx, o); err != nil {
@@ -80,7 +84,7 @@
 	if err := s.startGateway(ctx, store, platform, o); err != nil {
 		return err
 	}
-	for i := range hosts {
+	for i := range hostCount {
 		if err := s.startHost(ctx, s.hostSettings(i, platform, o), o); err != nil {
 			return err
 		}
@@ -88,8 +92,8 @@
 	return nil
 }
 
-// startTargets starts the targets on free ports and keeps a layout with the
-// addresses that they took.
+// startTargets starts the targets on free ports and stores the layout with
+// their addresses.
 func (s *Site) startTargets() error {
 	addresses := map[string]string{}
 	free := fixture.Options{Address: func(string) string { return freePort }}
@@ -107,7 +111,7 @@
 func (s *Site) startPlatform() (*objectstore.Store, string, error) {
 	c := objectstore.DefaultConfig()
 	c.Seeds = s.layout.Seeds()
-	c.CopyEvery, c.OldestCopy = unit.Duration(copyEvery), unit.Duration(oldestCopy)
+	c.CopyEvery, c.OldestCopy = unit.Duration(copyInterval), unit.Duration(copyRetention)
 	store := objectstore.New(c)
 	address, err := s.serve(objectstore.NewServer(store))
 	if err != nil {
@@ -117,14 +121,14 @@
 	return store, address, nil
 }
 
-// startGateway starts a host that forwards, and targets of its own, which are
-// configured and registered in the store as on the users' platform.
+// startGateway starts the gateway host and its targets, which are configured and
+// registered in the store as on the users' platform.
 func (s *Site) startGateway(ctx context.Context, store *objectstore.Store, address string, o Options) error {
-	forward, err := platformtarget.StartSite(store, s.layout.Domains, standin.Latency{Mean: unit.Duration(forwardLatency)})
+	targets, err := platformtarget.StartSite(store, s.layout.Domains, standin.Latency{Mean: unit.Duration(forwardTargetLatency)})
 	if err != nil {
 		return err
 	}
-	s.forward = forward
+	s.forwardTargets = targets
 	gs := gatewayhost.DefaultSettings()
 	gs.ID = "gateway-1"
 	gs.FailureDomain = s.layout.Domains[0]
@@ -144,7 +148,7 @@
 	return h.WaitReady(ctx)
 }
 
-// Gateway returns where the host that forwards takes callers.
+// Gateway returns the callers' address of the gateway host.
 func (s *Site) Gateway() string { return s.gateway.Addresses().Callers }
 
 // serve starts a stand-in on a free port and returns its address.
@@ -154,7 +158,7 @@
 		return "", err
 	}
 	s.standins = append(s.standins, in)
-	s.serving.Go(func() { _ = in.Serve(ln) }) // ends at Shutdown
+	s.serving.Go(func() { _ = in.Serve(ln) }) // returns after Shutdown
 	return ln.Addr().String(), nil
 }
 
@@ -187,7 +191,7 @@
 	return h.WaitReady(ctx)
 }
 
-// Hosts returns where the hosts listen.
+// Hosts returns the addresses of the hosts.
 func (s *Site) Hosts() []host.Addresses {
 	all := make([]host.Addresses, len(s.hosts))
 	for i, h := range s.hosts {
@@ -196,13 +200,14 @@
 	return all
 }
 
-// Platform returns the address of the platform's stand-in.
+// Platform returns the address of the stand-in for the platform.
 func (s *Site) Platform() string { return s.platform }
 
 // Targets returns the number of targets.
 func (s *Site) Targets() int { return len(s.layout.Targets) }
 
-// Stop stops the hosts gracefully, one after another, and then the stand-ins.
+// Stop stops the hosts gracefully, one after another, then the gateway host,
+// its targets and the stand-ins.
 func (s *Site) Stop(ctx context.Context) error {
 	var problems []error
 	for _, h := range s.hosts {
@@ -211,8 +216,8 @@
 	if s.gateway != nil {
 		problems = append(problems, s.gateway.Stop(ctx))
 	}
-	if s.forward != nil {
-		problems = append(problems, s.forward.Stop(ctx))
+	if s.forwardTargets != nil {
+		problems = append(problems, s.forwardTargets.Stop(ctx))
 	}
 	for _, in := range s.standins {
 		problems = append(problems, in.Shutdown(ctx))
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// report is the verdict on a run.
+// report is the result of a test run compared with the list.
 type report struct {
-	red    []string // failures that are not known
-	known  []string // failures that are
-	passes []string // tests of the list that passed or didn't run
+	unexpected []string // failures that are not in the list
+	expected   []string // failures that are in the list
+	notFailed  []string // tests in the list that passed or didn't run
 }
 
-// makeFailed is make's exit status when a command of it failed. Any other says
-// that it was ended from outside, so that tests may not have run.
-const makeFailed = 2
+// makeFailedStatus is the exit status of make when one of its commands failed. Any
+// other status but 0 means that make was terminated, and tests may not have run.
+const makeFailedStatus = 2
 
-// judge holds the results against the list. A failed command without a failed
-// package is a failure before or after the tests, and never a known one.
-func judge(list []known, results []result, status int) report {
+// evaluate compares the results with the list. A failed command without a failed
+// package has failed before or after the tests, which is never a known failure.
+func evaluate(list []knownFailure, results []packageResult, status int) report {
 	var r report
 	failedPackages := 0
 	for _, p := range results {
@@ -29,48 +29,49 @@
 		failedPackages++
 		r.add(list, p)
 	}
-	if status != 0 && status != makeFailed {
-		r.red = append(r.red, fmt.Sprintf("the command was ended with status %d", status))
+	if status != 0 && status != makeFailedStatus {
+		r.unexpected = append(r.unexpected, fmt.Sprintf("the command was terminated with status %d", status))
 	}
 	if status != 0 && failedPackages == 0 {
-		r.red = append(r.red, fmt.Sprintf("the command failed with status %d, and not in a test", status))
+		r.unexpected = append(r.unexpected, fmt.Sprintf("the command failed with status %d outside of the tests", status))
 	}
 	if status == 0 && len(results) == 0 {
-		r.red = append(r.red, "the log holds no package that was tested")
+		r.unexpected = append(r.unexpected, "the log contains no tested package")
 	}
 	for _, k := range list {
 		if !failedIn(results, k.test) {
-			r.passes = append(r.passes, fmt.Sprintf("%s (%s)", k.test, k.issue))
+			r.notFailed = append(r.notFailed, fmt.Sprintf("%s (%s)", k.test, k.issue))
 		}
 	}
 	return r
 }
 
-func (r *report) add(list []known, p result) {
+func (r *report) add(list []knownFailure, p packageResult) {
 	if p.aborted || len(p.failed) == 0 {
-		r.red = append(r.red, p.pkg+": not built, panicked, timed out, or failed outside its tests")
+		r.unexpected = append(r.unexpected, p.pkg+": not built, panicked, timed out, or failed outside its tests")
 	}
 	for _, name := range p.failed {
 		test := testName{p.pkg, name}
-		at := slices.IndexFunc(list, func(k known) bool { return k.test == test })
+		at := slices.IndexFunc(list, func(k knownFailure) bool { return k.test == test })
 		if at < 0 {
-			r.red = append(r.red, test.String())
+			r.unexpected = append(r.unexpected, test.String())
 			continue
 		}
-		r.known = append(r.known, fmt.Sprintf("%s: %s (%s)", test, list[at].cause, list[at].issue))
+		r.expected = append(r.expected, fmt.Sprintf("%s: %s (%s)", test, list[at].cause, list[at].issue))
 	}
 }
 
-func failedIn(results []result, t testName) bool {
-	return slices.ContainsFunc(results, func(p result) bool {
+func failedIn(results []packageResult, t testName) bool {
+	return slices.ContainsFunc(results, func(p packageResult) bool {
 		return p.pkg == t.pkg && slices.Contains(p.failed, t.name)
 	})
 }
 
-// passed reports whether nothing failed but what is known to.
-func (r report) passed() bool { return len(r.red) == 0 }
+// passed reports whether all failures are in the list.
+func (r report) passed() bool { return len(r.unexpected) == 0 }
 
-// String lists the three kinds; it is empty when all is well.
+// String lists the unexpected failures, the known failures and the listed tests
+// that did not fail, one per line. It is empty if there are none.
 func (r report) String() string {
 	var b strings.Builder
 	write := func(head string, lines []string) {
@@ -78,8 +79,8 @@
 			fmt.Fprintf(&b, "%s: %s\n", head, l)
 		}
 	}
-	write("RED", r.red)
-	write("KNOWN RED", r.known)
-	write("LISTED AS KNOWN RED, BUT DID NOT FAIL", r.passes)
+	write("RED", r.unexpected)
+	write("KNOWN RED", r.expected)
+	write("LISTED AS KNOWN RED, BUT DID NOT FAIL", r.notFailed)
 	return b.String()
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	passing = "ok  \trhubarbwood.example/rhubarbwood/internal/plan\t0.1s\n"
-	failing = "--- FAIL: TestSweep (0.00s)\n    --- FAIL: TestSweep/late (0.00s)\nFAIL\nFAIL\trhubarbwood.example/rhubarbwood/internal/claim\t0.1s\n"
+	passingLog = "ok  \trhubarbwood.example/rhubarbwood/internal/plan\t0.1s\n"
+	failingLog = "--- FAIL: TestSweep (0.00s)\n    --- FAIL: TestSweep/late (0.00s)\nFAIL\nFAIL\trhubarbwood.example/rhubarbwood/internal/claim\t0.1s\n"
 )
 
 const list = "# comment\ninternal/claim.TestSweep; the fake drops a write; issue 9\n"
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	tests := map[string]struct {
 		list, log string
 		status    int
 		passed    bool
-		says      string
+		wantText  string
 	}{
-		"all pass":                  {"", passing, 0, true, ""},
-		"unknown failure":           {"", passing + failing, 2, false, "RED: internal/claim.TestSweep\n"},
-		"known failure":             {list, passing + failing, 2, true, "KNOWN RED: internal/claim.TestSweep: the fake drops a write (issue 9)\n"},
-		"known test passes":         {list, passing, 0, true, "BUT DID NOT FAIL: internal/claim.TestSweep (issue 9)\n"},
-		"known and unknown failure": {list, "--- FAIL: TestOther (0.00s)\n" + failing, 2, false, "RED: internal/claim.TestOther\n"},
-		"same name elsewhere":       {list, strings.ReplaceAll(failing, "claim", "entry"), 2, false, "RED: internal/entry.TestSweep\n"},
+		"all pass":                  {"", passingLog, 0, true, ""},
+		"unknown failure":           {"", passingLog + failingLog, 2, false, "RED: internal/claim.TestSweep\n"},
+		"known failure":             {list, passingLog + failingLog, 2, true, "KNOWN RED: internal/claim.TestSweep: the fake drops a write (issue 9)\n"},
+		"known test passes":         {list, passingLog, 0, true, "BUT DID NOT FAIL: internal/claim.TestSweep (issue 9)\n"},
+		"known and unknown failure": {list, "--- FAIL: TestOther (0.00s)\n" + failingLog, 2, false, "RED: internal/claim.TestOther\n"},
+		"same name elsewhere":       {list, strings.ReplaceAll(failingLog, "claim", "entry"), 2, false, "RED: internal/entry.TestSweep\n"},
 		"panic in a known test":     {list, "--- FAIL: TestSweep (0.00s)\npanic: boom\nFAIL\trhubarbwood.example/rhubarbwood/internal/claim\t0.1s\n", 2, false, "RED: internal/claim: not built"},
-		"not built":                 {list, "FAIL\trhubarbwood.example/rhubarbwood/internal/plan [build failed]\n" + failing, 2, false, "RED: internal/plan: not built"},
-		"vet failed":                {list, "# internal/plan\nvet: bad\n", 2, false, "RED: the command failed with status 2"},
-		"ended from outside":        {list, passing + failing, 124, false, "RED: the command was ended with status 124"},
-		"nothing was tested":        {"", "", 0, false, "RED: the log holds no package"},
+		"not built":                 {list, "FAIL\trhubarbwood.example/rhubarbwood/internal/plan [build failed]\n" + failingLog, 2, false, "RED: internal/plan: not built"},
+		"vet failed":                {list, "# internal/plan\nvet: bad\n", 2, false, "RED: the command failed with status 2 outside of the tests"},
+		"terminated":                {list, passingLog + failingLog, 124, false, "RED: the command was terminated with status 124"},
+		"nothing was tested":        {"", "", 0, false, "RED: the log contains no tested package"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			known, err := parseList(test.list)
 			is.NoErr(err)
-			r := judge(known, readLog(test.log), test.status)
+			r := evaluate(known, readLog(test.log), test.status)
 			is.Equal(r.passed(), test.passed)
-			is.True(strings.Contains(r.String(), test.says))
+			is.True(strings.Contains(r.String(), test.wantText))
 		})
 	}
 }
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// maxKnown is how many tests may be known to fail at a time.
+// maxKnown is the maximum number of tests in the list.
 const maxKnown = 3
 
-// known is a test that is known to fail.
-type known struct {
+// knownFailure is an entry of the list: a test that is known to fail.
+type knownFailure struct {
 	test  testName
 	cause string
 	issue string
@@ -25,9 +25,9 @@
 // String returns the form used in the list, "internal/claim.TestSweep".
 func (t testName) String() string { return t.pkg + "." + t.name }
 
-// readList reads lines "package.Test; cause; issue". Empty lines and those
-// that begin with # are left out; so is a missing file.
-func readList(file string) ([]known, error) {
+// readList reads a file with lines "package.Test; cause; issue". Empty lines and
+// lines that begin with # are ignored. A missing file is an empty list.
+func readList(file string) ([]knownFailure, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -38,8 +38,8 @@
 	return parseList(string(text))
 }
 
-func parseList(text string) ([]known, error) {
-	var list []known
+func parseList(text string) ([]knownFailure, error) {
+	var list []knownFailure
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -47,26 +47,26 @@
 		}
 		k, err := parseKnown(line)
 		if err != nil {
-			return nil, fmt.Errorf("list, line %d: %w", i+1, err)
+			return nil, fmt.Errorf("parse list: line %d: %w", i+1, err)
 		}
 		list = append(list, k)
 	}
 	if len(list) > maxKnown {
-		return nil, fmt.Errorf("the list has %d tests; want %d at most", len(list), maxKnown)
+		return nil, fmt.Errorf("the list has %d tests; the maximum is %d", len(list), maxKnown)
 	}
 	return list, nil
 }
 
-func parseKnown(line string) (known, error) {
+func parseKnown(line string) (knownFailure, error) {
 	parts := strings.SplitN(line, ";", 3)
 	if len(parts) != 3 {
-		return known{}, errors.New("want \"package.Test; cause; issue\"")
+		return knownFailure{}, errors.New("the line is not of the form \"package.Test; cause; issue\"")
 	}
 	full := strings.TrimSpace(parts[0])
 	dot := strings.LastIndexByte(full, '.')
 	cause, issue := strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])
 	if dot < 1 || cause == "" || issue == "" {
-		return known{}, errors.New("want \"package.Test; cause; issue\", none of them empty")
+		return knownFailure{}, errors.New("the package, cause or issue is empty in \"package.Test; cause; issue\"")
 	}
-	return known{testName{full[:dot], full[dot+1:]}, cause, issue}, nil
+	return knownFailure{testName{full[:dot], full[dot+1:]}, cause, issue}, nil
 }
--- a/internal/knownred/log.go
+++ b/internal/knownred/log.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// module is cut off the package paths of the log.
-const module = "rhubarbwood.example/rhubarbwood/"
+// modulePrefix is removed from the package paths in the log.
+const modulePrefix = "rhubarbwood.example/rhubarbwood/"
 
-// result is what go test said of one package.
-type result struct {
+// packageResult is the result of go test for one package.
+type packageResult struct {
 	pkg     string
 	ok      bool
 	failed  []string // top-level tests that failed
-	aborted bool     // built not at all, panicked, or timed out: tests may be missing
+	aborted bool     // not built, panicked, or timed out: results of tests may be missing
 }
 
 var (
@@ -22,11 +22,11 @@
 	okPackage     = regexp.MustCompile(`^ok  \t(\S+)\t`)
 )
 
-// readLog reads the plain output of go test, where the lines about the tests
-// of a package stand before the package's own line.
-func readLog(text string) []result {
-	var results []result
-	var current result
+// readLog parses the plain output of go test, where the lines of the tests of a
+// package precede the line of the package.
+func readLog(text string) []packageResult {
+	var results []packageResult
+	var current packageResult
 	for _, line := range strings.Split(text, "\n") {
 		switch {
 		case failedTest.MatchString(line):
@@ -35,14 +35,14 @@
 			current.aborted = true
 		case failedPackage.MatchString(line):
 			m := failedPackage.FindStringSubmatch(line)
-			current.pkg = strings.TrimPrefix(m[1], module)
+			current.pkg = strings.TrimPrefix(m[1], modulePrefix)
 			current.aborted = current.aborted || strings.Contains(m[2], "failed]")
 			results = append(results, current)
-			current = result{}
+			current = packageResult{}
 		case okPackage.MatchString(line):
-			pkg := strings.TrimPrefix(okPackage.FindStringSubmatch(line)[1], module)
-			results = append(results, result{pkg: pkg, ok: true})
-			current = result{}
+			pkg := strings.TrimPrefix(okPackage.FindStringSubmatch(line)[1], modulePrefix)
+			results = append(results, packageResult{pkg: pkg, ok: true})
+			current = packageResult{}
 		}
 	}
 	return results
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
-// Command knownred judges a log of go test against the list of tests that are
-// known to fail. It is a tool of CI and no part of the product.
+// Command knownred compares a log of go test with the list of tests that are
+// known to fail, and exits with status 1 if any other test failed. It is a CI
+// tool and not part of the product. Begin reading at evaluate.
 package main
 
 import (
@@ -9,12 +10,12 @@
 )
 
 func main() {
-	listFile := flag.String("list", "KNOWN-RED.txt", "list of tests known to fail")
-	logFile := flag.String("log", "", "output of go test")
+	listFile := flag.String("list", "KNOWN-RED.txt", "file that lists the tests known to fail")
+	logFile := flag.String("log", "", "file with the output of go test")
 	status := flag.Int("status", 0, "exit status of the command that wrote the log")
 	flag.Parse()
 
-	report, err := judgeFiles(*listFile, *logFile, *status)
+	report, err := evaluateFiles(*listFile, *logFile, *status)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -25,7 +26,7 @@
 	}
 }
 
-func judgeFiles(listFile, logFile string, status int) (report, error) {
+func evaluateFiles(listFile, logFile string, status int) (report, error) {
 	list, err := readList(listFile)
 	if err != nil {
 		return report{}, err
@@ -34,5 +35,5 @@
 	if err != nil {
 		return report{}, fmt.Errorf("read log of go test: %w", err)
 	}
-	return judge(list, readLog(string(log)), status), nil
+	return evaluate(list, readLog(string(log)), status), nil
 }
