--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	pathSearch    = "/v1/search"
-	headerRequest = "X-Request-Id"
-	headerCaller  = "X-Caller"
-	headerBudget  = "X-Budget-Ms"
+	pathSearch      = "/v1/search"
+	headerRequestID = "X-Request-Id"
+	headerCaller    = "X-Caller"
+	headerBudget    = "X-Budget-Ms"
 
-	budgetSlack  = 2 * time.Second // past its budget, a request without a word has failed
-	idlePerHost  = 256
-	largestReply = 16 << 20
+	responseMargin      = 2 * time.Second // a request without a response this long after its budget has failed
+	maxIdleConnsPerHost = 256
+	maxResponseBytes    = 16 << 20
 )
 
-// searchBody is the body of a search.
+// searchBody is the request body of a search.
 type searchBody struct {
 	Workload    string  `json:"workload,omitempty"`
 	Service     string  `json:"service,omitempty"`
@@ -33,8 +33,8 @@
 	MinCoverage float64 `json:"min_coverage"`
 }
 
-// searchReply is what is read of an answer or a refusal.
-type searchReply struct {
+// searchResponse has the fields that the client uses of an answer or a refusal.
+type searchResponse struct {
 	RequestID string `json:"request_id"`
 	Coverage  struct {
 		Shards   int  `json:"shards"`
@@ -46,7 +46,7 @@
 	Reason   query.Reason `json:"reason"`
 }
 
-// client asks the callers' API.
+// client sends searches to the callers' API.
 type client struct {
 	cfg  Config
 	http *http.Client
@@ -56,19 +56,19 @@
 func newClient(c Config) *client {
 	body, err := json.Marshal(searchBody{c.Workload, c.Service, c.Text, c.Limit, c.MinCoverage})
 	if err != nil {
-		panic(err) // plain fields cannot fail
+		panic(err) // fields of basic types always marshal
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost}
 	return &client{
 		cfg:  c,
 		body: body,
-		http: &http.Client{Transport: transport, Timeout: c.Budget.Std() + budgetSlack},
+		http: &http.Client{Transport: transport, Timeout: c.Budget.Std() + responseMargin},
 	}
 }
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-func (c *client) ask(ctx context.Context, index int) result {
+func (c *client) search(ctx context.Context, index int) result {
 	id := requestID(c.cfg.Seed, index)
 	reply, status, err := c.post(ctx, index, id)
 	switch {
@@ -87,32 +87,32 @@
 	}
 }
 
-func (c *client) post(ctx context.Context, index int, id string) (searchReply, int, error) {
-	var reply searchReply
+func (c *client) post(ctx context.Context, index int, id string) (searchResponse, int, error) {
+	var reply searchResponse
 	address := c.cfg.Addresses[index%len(c.cfg.Addresses)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathSearch, bytes.NewReader(c.body))
 	if err != nil {
-		return reply, 0, Error.New("make request: %w", err)
+		return reply, 0, Error.New("create request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(headerRequest, id)
+	req.Header.Set(headerRequestID, id)
 	req.Header.Set(headerCaller, c.cfg.Caller)
 	req.Header.Set(headerBudget, strconv.FormatInt(c.cfg.Budget.Std().Milliseconds(), 10))
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reply, 0, Error.New("ask %s: %w", address, err)
+		return reply, 0, Error.New("send search to %s: %w", address, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, largestReply))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return reply, 0, Error.New("read answer of %s: %w", address, err)
+		return reply, 0, Error.New("read response of %s: %w", address, err)
 	}
 	if err := json.Unmarshal(raw, &reply); err != nil {
-		return reply, 0, Error.New("decode answer of %s: %w", address, err)
+		return reply, 0, Error.New("decode response of %s: %w", address, err)
 	}
 	return reply, resp.StatusCode, nil
 }
 
-// requestID names a request; runs of one seed use the same names, so that
-// their requests have the same ranks.
+// requestID returns the id of a request. Runs with the same seed use the same
+// ids, so that hosts rank their requests in the same order.
 func requestID(seed uint64, index int) string { return fmt.Sprintf("load-%d-%d", seed, index) }
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -1,7 +1,10 @@
-// Package load is the load generator and the experiments on the decisions
-// under load. Arrivals follow a seeded Poisson schedule whatever the answers
-// do, and a latency is measured from the intended start, so that a system
-// which stalls cannot hide it.
+// Package load is the load generator for the callers' API, and the experiments
+// that measure the relays under load, failures and loss of hosts and targets.
+// Load is open-loop: arrivals follow a seeded Poisson schedule independently of
+// the responses, and latency is measured from the scheduled start, so that a
+// stall of the system shows in the latencies. The experiments run the real
+// entries and relays over stand-ins for the targets; production code doesn't
+// use this package. Begin reading at Run and Experiments.
 package load
 
 import (
@@ -17,44 +20,44 @@
 var Error = errs.Class("load")
 
 const (
-	defaultRate        = 50
-	defaultDuration    = 10 * time.Second
-	defaultBudget      = time.Second
-	defaultOutstanding = 20000
+	defaultRequestsPerSecond = 50
+	defaultDuration          = 10 * time.Second
+	defaultBudget            = time.Second
+	defaultMaxOutstanding    = 20000
 )
 
-// Config is one run against the callers' API.
+// Config is the configuration of one run against the callers' API.
 type Config struct {
-	Addresses   []string      `json:"addresses"` // host:port of the callers' API, asked in turn
+	Addresses   []string      `json:"addresses"` // host:port of callers' APIs; requests go to them in turn
 	Workload    string        `json:"workload,omitempty"`
 	Service     string        `json:"service,omitempty"`
 	Text        string        `json:"text,omitempty"`
-	Limit       int           `json:"limit,omitempty"` // rows wanted; 0: all
+	Limit       int           `json:"limit,omitempty"` // maximum number of rows; 0: all
 	MinCoverage float64       `json:"min_coverage"`    // 0..1
 	Budget      unit.Duration `json:"budget"`
 	Caller      string        `json:"caller"`
-	Rate        float64       `json:"rate"` // requests a second
+	Rate        float64       `json:"rate"` // requests per second
 	Duration    unit.Duration `json:"duration"`
 	Seed        uint64        `json:"seed"`
-	Outstanding int           `json:"outstanding"` // requests in flight above which arrivals are not sent, but counted
+	Outstanding int           `json:"outstanding"` // maximum requests in flight; arrivals above it are counted as unsent
 }
 
-// DefaultConfig returns a run that still lacks addresses and a service or
-// workload.
+// DefaultConfig returns the default configuration. The caller must set the
+// addresses, and a service or a workload.
 func DefaultConfig() Config {
 	return Config{
 		MinCoverage: 1,
 		Budget:      unit.Duration(defaultBudget),
 		Caller:      "load",
-		Rate:        defaultRate,
+		Rate:        defaultRequestsPerSecond,
 		Duration:    unit.Duration(defaultDuration),
 		Seed:        1,
-		Outstanding: defaultOutstanding,
+		Outstanding: defaultMaxOutstanding,
 		Limit:       10,
 	}
 }
 
-// Validate returns every problem of the configuration, joined.
+// Validate returns all problems of the configuration, joined.
 func (c Config) Validate() error {
 	var all []error
 	require := func(ok bool, format string, args ...any) {
@@ -63,7 +66,7 @@
 		}
 	}
 	require(len(c.Addresses) > 0, "addresses are missing")
-	require((c.Workload == "") != (c.Service == ""), "exactly one of service and workload is wanted")
+	require((c.Workload == "") != (c.Service == ""), "exactly one of service and workload must be set")
 	require(c.Rate > 0, "rate %g is not above 0", c.Rate)
 	require(c.Duration > 0, "duration %s is not above 0", c.Duration)
 	require(c.Budget > 0, "budget %s is not above 0", c.Budget)
--- a/internal/load/direct.go
+++ b/internal/load/direct.go
@@ -20,30 +20,30 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-var _ relay.Searcher = (*direct)(nil)
+var _ relay.Searcher = (*directSearcher)(nil)
 
-// direct is the comparison with every decision off: it sends each shard to a
-// replica at random at once, with no limit, queue, hedge, health or budget of
-// retries.
-type direct struct {
-	view     catalog.View
-	http     *http.Client
-	retries  int // to other replicas, at once, whatever the load
-	attempts atomic.Int64
-	first    atomic.Int64
+// directSearcher is the baseline without the policies of a relay: it sends each
+// shard request immediately to a random replica, without concurrency limits,
+// queues, hedging, health checks or a retry budget.
+type directSearcher struct {
+	view          catalog.View
+	http          *http.Client
+	retries       int // to other replicas, without delay and independent of the load
+	attempts      atomic.Int64
+	firstAttempts atomic.Int64
 }
 
-// newDirect returns a searcher that holds up to a number of connections to a
-// target; 0 is no limit.
-func newDirect(view catalog.View, n network, connections, retries int) *direct {
-	t := &http.Transport{MaxConnsPerHost: connections, MaxIdleConnsPerHost: idlePerHost, DialContext: n.dial}
-	return &direct{view: view, http: &http.Client{Transport: t}, retries: retries}
+// newDirectSearcher returns a searcher with at most the given number of
+// connections to each target; 0 means no limit.
+func newDirectSearcher(view catalog.View, n network, connections, retries int) *directSearcher {
+	t := &http.Transport{MaxConnsPerHost: connections, MaxIdleConnsPerHost: maxIdleConnsPerHost, DialContext: n.dial}
+	return &directSearcher{view: view, http: &http.Client{Transport: t}, retries: retries}
 }
 
-func (d *direct) close() { d.http.CloseIdleConnections() }
+func (d *directSearcher) close() { d.http.CloseIdleConnections() }
 
 // Search implements relay.Searcher.
-func (d *direct) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+func (d *directSearcher) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 	ctx, cancel := context.WithTimeout(ctx, b.Budget)
 	defer cancel()
 	var mu sync.Mutex
@@ -62,11 +62,11 @@
 	return nil
 }
 
-func (d *direct) shard(ctx context.Context, b query.Batch, key query.ShardKey) query.ShardResult {
+func (d *directSearcher) shard(ctx context.Context, b query.Batch, key query.ShardKey) query.ShardResult {
 	r := query.ShardResult{Key: key, Snapshot: b.Snapshot, Outcome: outcome.Unknown, Reason: query.ReasonConnection}
 	addresses := d.addresses(key, b.Snapshot)
 	first := rand.IntN(len(addresses))
-	d.first.Add(1)
+	d.firstAttempts.Add(1)
 	for try := 0; try <= d.retries && ctx.Err() == nil; try++ {
 		d.attempts.Add(1)
 		r.Attempts++
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (d *direct) addresses(key query.ShardKey, snapshot uint64) []string {
+func (d *directSearcher) addresses(key query.ShardKey, snapshot uint64) []string {
 	s, _ := d.view.Service(key.Service)
 	var out []string
 	for _, snap := range d.view.Snapshots(s.Workload) {
@@ -103,8 +103,9 @@
 	return ""
 }
 
-// send runs one attempt; the reason is empty if it was answered.
-func (d *direct) send(ctx context.Context, b query.Batch, key query.ShardKey, address string) (int, query.Reason) {
+// send runs one attempt and returns the number of rows. The reason is empty if
+// the target answered.
+func (d *directSearcher) send(ctx context.Context, b query.Batch, key query.ShardKey, address string) (int, query.Reason) {
 	req, err := directRequest(ctx, b, key, address)
 	if err != nil {
 		return 0, query.ReasonBadRequest
@@ -114,7 +115,7 @@
 		return 0, query.ReasonConnection
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, largestReply))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return 0, query.ReasonBadAnswer
@@ -137,7 +138,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+targetapi.PathShard, bytes.NewReader(body))
 	if err != nil {
-		return nil, Error.New("make request: %w", err)
+		return nil, Error.New("create request: %w", err)
 	}
 	budget := b.Budget
 	if at, ok := ctx.Deadline(); ok {
--- a/internal/load/domainloss.go
+++ b/internal/load/domainloss.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	domainAfter    = 10 * time.Second
-	firstAfter     = 2 * time.Second
-	firstCoverage  = 0.985           // over what the targets left hold, while nobody knows of the loss
-	settledAfter   = 6 * time.Second // membership knows by then
-	mixedLoad      = 0.4             // interactive, of the slots' capacity
-	mixedOthers    = 0.45            // deferrable besides, likewise
-	domainAnswered = 0.99
-	domainCoverage = 0.99 // over what the targets left hold
-	oneRow         = 1    // of a shard; the answers are told apart by their rows
+	domainLossDuration    = 10 * time.Second
+	undetectedWindow      = 2 * time.Second
+	minUndetectedCoverage = 0.985           // of the coverage possible with the remaining targets, before the loss is detected
+	settledFrom           = 6 * time.Second // membership has detected the loss
+	mixedInteractiveLoad  = 0.4             // as a fraction of the slots' capacity
+	mixedDeferrableLoad   = 0.45            // additional deferrable load, likewise
+	minDomainAnswered     = 0.99
+	minDomainCoverage     = 0.99 // of the coverage possible with the remaining targets
+	rowsPerShard          = 1    // a row identifies the shard that answered
 )
 
-// domainLoss makes a whole failure domain go, hosts and targets at once, in
-// both places; with all replicas of a shard and with one; and with deferrable
-// searches besides, which together offer more than the survivors can run.
+// domainLoss removes all hosts and targets of a failure domain at once, in both
+// kinds of sites: with the default number of replicas per shard, with one
+// replica, and with additional deferrable searches, where the total load exceeds
+// the capacity of the survivors.
 func domainLoss(ctx context.Context, o Options) (Findings, error) {
 	return domainLossBy(ctx, o, measureLoss, 1)
 }
 
-func domainLossBy(ctx context.Context, o Options, run lossMeasurer, seeds int) (Findings, error) {
+func domainLossBy(ctx context.Context, o Options, run lossMeasureFunc, seeds int) (Findings, error) {
 	var f Findings
 	for _, t := range domainLossTrials() {
 		if o.Brief && !t.brief {
@@ -46,34 +47,34 @@
 
 func domainLossTrials() []lossTrial {
 	var trials []lossTrial
-	for _, p := range []place{kolkata, nordeste} {
+	for _, p := range []siteKind{guestPortalSite, vitrineSite} {
 		trials = append(trials,
 			lostDomainTrial(p, hostKilled, 0),
 			lostDomainTrial(p, hostFrozen, 0),
 			lostDomainTrial(p, hostKilled, 1),
 			lostDomainTrial(p, hostFrozen, 1),
-			mixed(lostDomainTrial(p, hostFrozen, 0)))
+			withDeferrable(lostDomainTrial(p, hostFrozen, 0)))
 	}
 	return trials
 }
 
-// lostDomainTrial has the first failure domain of the place suffer a fault. 0
-// replicas are all.
-func lostDomainTrial(p place, f hostFault, replicas int) lossTrial {
+// lostDomainTrial injects a fault into the first failure domain of the site. 0
+// replicas are the default number of the layout.
+func lostDomainTrial(p siteKind, f hostFault, replicas int) lossTrial {
 	var lost []*lossHost
 	var domain string
-	c := policyOn()
-	c.place = p.with(replicas)
+	c := siteWithPolicies()
+	c.kind = p.withReplicas(replicas)
 	t := lossTrial{
-		name: p.workload + " " + string(f), site: c, load: steadyLoad, after: domainAfter,
+		name: p.workload + " " + string(f), site: c, interactiveLoad: lossLoad, afterEvent: domainLossDuration,
 		prepare: func(s *lossSite) {
-			domain = s.maps.Domains[0]
-			lost = s.inDomain(domain)
-			s.spare(lost...)
+			domain = s.shardLayout.Domains[0]
+			lost = s.hostsInDomain(domain)
+			s.removeFromBalancer(lost...)
 		},
 		event: func(_ context.Context, s *lossSite) {
 			s.loseTargets(f, domain)
-			s.lose(f, lost...)
+			s.injectHostFault(f, lost...)
 		},
 	}
 	if replicas > 0 {
@@ -82,47 +83,49 @@
 	return t
 }
 
-// mixed adds deferrable searches to a trial, so that both classes together
-// offer more than the survivors can run, and the interactive one less.
-func mixed(t lossTrial) lossTrial {
+// withDeferrable adds deferrable searches to a trial, so that the load of both
+// classes together exceeds the capacity of the survivors, while the interactive
+// load alone doesn't.
+func withDeferrable(t lossTrial) lossTrial {
 	t.name += ", mixed"
-	t.load, t.deferrable, t.brief = mixedLoad, mixedOthers, true
+	t.interactiveLoad, t.deferrableLoad, t.brief = mixedInteractiveLoad, mixedDeferrableLoad, true
 	return t
 }
 
-// with returns the place with another number of replicas and one row a shard.
-func (p place) with(replicas int) place {
-	whole := p.layout
+// withReplicas returns the kind of site with another number of replicas and one
+// row per shard.
+func (p siteKind) withReplicas(replicas int) siteKind {
+	layout := p.layout
 	p.layout = func(o fixture.Options) fixture.Layout {
 		o.Replicas = replicas
 		edit := o.Edit
 		o.Edit = func(c *target.Config) {
 			edit(c)
-			c.RowsPerShard = oneRow
+			c.RowsPerShard = rowsPerShard
 		}
-		return whole(o)
+		return layout(o)
 	}
 	return p
 }
 
-func (cs courses) domainVerdicts(t lossTrial) []Verdict {
-	all := summary(cs.samples(query.Interactive, part{0, t.after}))
-	first := summary(cs.samples(query.Interactive, part{0, firstAfter}))
-	settled := part{settledAfter, t.after}
-	after := summary(cs.samples(query.Interactive, settled))
-	untrue := 0
+func (cs lossRuns) domainVerdicts(t lossTrial) []Verdict {
+	all := summarize(cs.samples(query.Interactive, interval{0, t.afterEvent}))
+	first := summarize(cs.samples(query.Interactive, interval{0, undetectedWindow}))
+	settled := interval{settledFrom, t.afterEvent}
+	after := summarize(cs.samples(query.Interactive, settled))
+	wrongCoverage := 0
 	for _, u := range t.urgencies() {
-		untrue += summary(cs.samples(u, part{-beforeLoss, t.after})).untrue
+		wrongCoverage += summarize(cs.samples(u, interval{-baselineDuration, t.afterEvent})).wrongCoverage
 	}
 	verdicts := []Verdict{
-		atMost("answers whose coverage was untrue, "+t.name, float64(untrue), 0),
-		atLeast("answered over offered after the event, "+t.name, all.answered, domainAnswered),
-		atLeast("coverage over what the targets left hold, first 2 s, "+t.name, first.coverage, firstCoverage),
-		atLeast("coverage over what the targets left hold, from 6 s, "+t.name, after.coverage, domainCoverage),
-		atMost("load of the slots left, from 6 s, "+t.name, cs.survivorsLoad(settled), 1),
+		atMost("answers with wrong coverage, "+t.name, float64(wrongCoverage), 0),
+		atLeast("answered over offered after the event, "+t.name, all.answered, minDomainAnswered),
+		atLeast("coverage over possible coverage, first 2 s, "+t.name, first.coverage, minUndetectedCoverage),
+		atLeast("coverage over possible coverage, from 6 s, "+t.name, after.coverage, minDomainCoverage),
+		atMost("utilization of the surviving slots, from 6 s, "+t.name, cs.survivorsUtilization(settled), 1),
 	}
-	if t.deferrable > 0 {
-		others := summary(cs.samples(query.Deferrable, settled))
+	if t.deferrableLoad > 0 {
+		others := summarize(cs.samples(query.Deferrable, settled))
 		verdicts = append(verdicts,
 			atMost("deferrable answered over interactive answered, from 6 s, "+t.name, ratio(others.answered, after.answered), 1))
 	}
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	siteHosts   = 9
-	warmUp      = 2 * time.Second
-	wideBudget  = time.Second
-	calmLoad    = 0.3 // of the slots' capacity
-	outstanding = 5000
+	hostsPerSite   = 9
+	warmUpDuration = 2 * time.Second
+	searchBudget   = time.Second
+	lightLoad      = 0.3 // as a fraction of the slots' capacity
+	maxOutstanding = 5000
 )
 
 // Options of an experiment.
 type Options struct {
-	Span  time.Duration // measured part of each run
+	Span  time.Duration // measured time of each run
 	Seed  uint64
-	Brief bool // only the runs that the goals need
+	Brief bool // only the runs that the verdicts need
 
-	measure measurer // nil: measure, over loopback
+	measure measureFunc // nil: measure in real time over loopback
 }
 
-// measurer runs one trial.
-type measurer func(ctx context.Context, o Options, t trial) (Report, error)
+// measureFunc runs one trial and returns its report.
+type measureFunc func(ctx context.Context, o Options, t trial) (Report, error)
 
-// Experiment compares runs over the real relay code and target stand-ins in
-// one process. Its verdicts are ratios within the experiment, because the
-// machine is shared.
+// Experiment compares runs of the real relay code over stand-ins for targets in
+// one process. Its verdicts compare runs of the same experiment, because
+// absolute figures depend on other load on the machine.
 type Experiment struct {
 	Name     string
 	Question string
 	Run      func(ctx context.Context, o Options) (Findings, error)
 }
 
-// Findings are the runs of an experiment and what they say.
+// Findings are the reports and the verdicts of an experiment.
 type Findings struct {
 	Reports  []Report  `json:"reports"`
 	Verdicts []Verdict `json:"verdicts"`
 }
 
-// Verdict holds a measured value against its goal.
+// Verdict compares a measured value with its goal.
 type Verdict struct {
 	What  string  `json:"what"`
 	Value float64 `json:"value"`
@@ -60,7 +60,7 @@
 	return Verdict{what, value, goal, value <= goal}
 }
 
-// String tells the verdict in one line.
+// String formats the verdict in one line.
 func (v Verdict) String() string {
 	word := "met"
 	if !v.Met {
@@ -69,19 +69,19 @@
 	return fmt.Sprintf("%-6s %s: %.3f, goal %.3f", word, v.What, v.Value, v.Goal)
 }
 
-// Experiments returns all experiments, in the order of the design notes.
+// Experiments returns all experiments, in the order of the design documents.
 func Experiments() []Experiment {
 	return []Experiment{
-		{"overload", "goodput at several times the slots' capacity", overload},
+		{"overload", "goodput at up to 5 times the capacity of the slots", overload},
 		{"straggler", "one of three targets slow or frozen", straggler},
-		{"failing", "targets that fail, one of three and all", failing},
-		{"relays", "direct from every host, and 1, 2, 3 or all relays a target", relays},
-		{"relayloss", "a relay lost, frozen or slow; all hosts replaced", relayLoss},
-		{"domainloss", "a whole failure domain gone, hosts and targets", domainLoss},
+		{"failing", "one of three targets failing, and all targets failing", failing},
+		{"relays", "direct calls from every host, and 1, 2, 3, 4 or all hosts relaying to a target", relays},
+		{"relayloss", "a relay killed, frozen or slow; all hosts replaced", relayLoss},
+		{"domainloss", "all hosts and targets of a failure domain lost", domainLoss},
 	}
 }
 
-// Write writes the findings as a table with the verdicts below it.
+// Write writes the reports as a table, followed by the verdicts.
 func (e Experiment) Write(w io.Writer, f Findings) error {
 	fmt.Fprintf(w, "\n%s: %s\n", e.Name, e.Question)
 	if err := WriteTable(w, f.Reports); err != nil {
@@ -93,38 +93,38 @@
 	return nil
 }
 
-// trial is one run on a site of its own.
+// trial is one run on a new site.
 type trial struct {
-	name   string
-	site   siteConfig
-	load   float64       // of the slots' capacity
-	brief  bool          // part of a brief experiment
-	before func(s *site) // called before the warm-up; nil does nothing
-	during func(s *site) // called when the warm-up is over; nil does nothing
+	name         string
+	site         siteConfig
+	loadFactor   float64       // offered, as a fraction of the slots' capacity
+	brief        bool          // whether brief experiments run it
+	beforeWarmUp func(s *site) // called before the warm-up; may be nil
+	afterWarmUp  func(s *site) // called at the end of the warm-up; may be nil
 }
 
-// measure runs a trial: a warm-up that is not recorded, then the span.
+// measure runs a trial: a warm-up that is not recorded, then the measured span.
 func measure(ctx context.Context, o Options, t trial) (Report, error) {
 	s, err := newSite(ctx, t.site)
 	if err != nil {
 		return Report{}, err
 	}
 	defer s.close()
-	if t.before != nil {
-		t.before(s)
+	if t.beforeWarmUp != nil {
+		t.beforeWarmUp(s)
 	}
-	rate := t.load * t.site.place.capacity()
-	if _, err := drive(ctx, arrivals(rate, warmUp, o.Seed+1), outstanding, s.asker(o.Seed+1, wideBudget)); err != nil {
+	rate := t.loadFactor * t.site.kind.capacity()
+	if _, err := sendArrivals(ctx, arrivals(rate, warmUpDuration, o.Seed+1), maxOutstanding, s.searchFunc(o.Seed+1, searchBudget)); err != nil {
 		return Report{}, err
 	}
-	if t.during != nil {
-		t.during(s)
+	if t.afterWarmUp != nil {
+		t.afterWarmUp(s)
 	}
 	before := s.tally()
 	starts := arrivals(rate, o.Span, o.Seed)
-	rec, err := drive(ctx, starts, outstanding, s.asker(o.Seed, wideBudget))
+	rec, err := sendArrivals(ctx, starts, maxOutstanding, s.searchFunc(o.Seed, searchBudget))
 	report := rec.report(t.name, rate, len(starts), o.Span)
-	s.tally().since(before).into(&report)
+	s.tally().minus(before).fillReport(&report)
 	return report, err
 }
 
@@ -147,8 +147,8 @@
 	return reports, nil
 }
 
-// named returns the report of a run, and false if it was left out.
-func named(reports []Report, name string) (Report, bool) {
+// reportNamed returns the report of a run, and false if the run was left out.
+func reportNamed(reports []Report, name string) (Report, bool) {
 	for _, r := range reports {
 		if r.Name == name {
 			return r, true
@@ -157,15 +157,17 @@
 	return Report{}, false
 }
 
-// policyOn is the site with the rules that services have by default.
-func policyOn() siteConfig {
-	return siteConfig{place: kolkata, hosts: siteHosts, rules: catalog.DefaultRules()}
+// siteWithPolicies returns the site whose relays apply the default rules of
+// services.
+func siteWithPolicies() siteConfig {
+	return siteConfig{kind: guestPortalSite, hosts: hostsPerSite, rules: catalog.DefaultRules()}
 }
 
-// policyOff is the site without any decision: as many connections a host as
-// the targets' limit gives to each.
-func policyOff() siteConfig {
-	c := policyOn()
+// siteWithoutPolicies returns the site whose hosts call the targets directly,
+// without the policies of a relay. Each host has its share of the connections
+// that a target accepts.
+func siteWithoutPolicies() siteConfig {
+	c := siteWithPolicies()
 	c.direct, c.connections = true, 2
 	return c
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,12 +27,13 @@
 			short++
 		}
 	}
-	part := float64(short) / float64(len(a))
-	is.True(part > 0.61 && part < 0.65) // 1 - 1/e
+	fraction := float64(short) / float64(len(a))
+	is.True(fraction > 0.61 && fraction < 0.65) // 1 - 1/e
 }
 
-// TestStallShowsInTheLatencies covers coordinated omission: while the system
-// stalls, arrivals go on, and each of them waits from its intended start.
+// TestStallShowsInTheLatencies guards against coordinated omission: while the
+// system stalls, requests must still arrive, and the latency of each is measured
+// from its scheduled start.
 func TestStallShowsInTheLatencies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -47,13 +48,13 @@
 		for i := range starts {
 			starts[i] = time.Duration(i) * 10 * time.Millisecond
 		}
-		rec, err := drive(t.Context(), starts, 1000, stalled)
+		rec, err := sendArrivals(t.Context(), starts, 1000, stalled)
 		is.NoErr(err)
 		r := rec.report("stall", 100, len(starts), 2*time.Second)
 		is.Equal(r.Answered, 200)
-		is.True(r.P50 < 20)   // half came after the stall
-		is.True(r.P99 > 950)  // the first of them waited for nearly all of it
-		is.True(r.P999 > 990) // and the very first for all
+		is.True(r.P50 < 20)   // half of the requests arrive after the stall
+		is.True(r.P99 > 950)  // the first requests wait for nearly the whole stall
+		is.True(r.P999 > 990) // the very first waits for all of it
 	})
 }
 
@@ -64,7 +65,7 @@
 			time.Sleep(time.Minute)
 			return result{failed: true}
 		}
-		rec, err := drive(t.Context(), make([]time.Duration, 10), 4, hang)
+		rec, err := sendArrivals(t.Context(), make([]time.Duration, 10), 4, hang)
 		is.NoErr(err)
 		r := rec.report("hang", 1, 10, time.Second)
 		is.Equal(r.Unsent, 6)
@@ -75,13 +76,13 @@
 func TestRunReadsAnswersAndRefusals(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get(headerRequest)
+		id := r.Header.Get(headerRequestID)
 		var body searchBody
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		switch {
 		case r.URL.Path != pathSearch || r.Header.Get(headerBudget) != "500" || body.Workload != "guest-portal":
 			http.Error(w, "{}", http.StatusBadRequest)
-		case strings.HasSuffix(id, "0"): // not the caller's own answer
+		case strings.HasSuffix(id, "0"): // the answer to another request
 			_, _ = w.Write([]byte(`{"request_id":"another","coverage":{"shards":2,"answered":2}}`))
 		case strings.HasSuffix(id, "1"):
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -94,16 +95,16 @@
 	c := DefaultConfig()
 	c.Addresses = []string{strings.TrimPrefix(server.URL, "http://")}
 	c.Workload = "guest-portal"
-	c.Rate, c.Duration = 1e6, 100_000 // a hundred at once
+	c.Rate, c.Duration = 1e6, 100_000 // 100 requests in 100 µs
 	c.Budget = 500_000_000
 	r, err := Run(t.Context(), c)
 	is.NoErr(err)
-	is.Equal(r.Answered+r.Failed+r.RefusedAll(), r.Offered)
+	is.Equal(r.Answered+r.Failed+r.RefusedTotal(), r.Offered)
 	is.True(r.Failed > 0)
-	is.Equal(r.RefusedAll(), r.Refused[string(query.ReasonOverload)])
+	is.Equal(r.RefusedTotal(), r.Refused[string(query.ReasonOverload)])
 	is.Equal(r.Complete, 0)
 	is.Equal(r.Coverage, 0.75)
-	is.Equal(r.Extra, 0.25)
+	is.Equal(r.ExtraLoad, 0.25)
 	var text bytes.Buffer
 	is.NoErr(WriteTable(&text, []Report{r}))
 	is.True(strings.Contains(text.String(), "overload:"))
--- a/internal/load/proof_test.go
+++ b/internal/load/proof_test.go
@@ -7,75 +7,75 @@
 	"github.com/matryer/is"
 )
 
-// The proofs run the experiments' goals over the real entries and relays in
-// virtual time, on spans short enough for every run of the tests.
+// These tests check the goals of the experiments with the real entries and
+// relays in virtual time, on spans short enough for every test run.
 
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	o := Options{Span: 2 * time.Second, Seed: 1, measure: virtually(t)}
+	o := Options{Span: 2 * time.Second, Seed: 1, measure: virtualMeasure(t)}
 	reports, err := measureAll(t.Context(), o, []trial{
-		{name: "on 1.2x", site: policyOn(), load: 1.2},
-		{name: "on 2x", site: policyOn(), load: 2},
-		{name: "on 5x", site: policyOn(), load: 5},
+		{name: "on 1.2x", site: siteWithPolicies(), loadFactor: 1.2},
+		{name: "on 2x", site: siteWithPolicies(), loadFactor: 2},
+		{name: "on 5x", site: siteWithPolicies(), loadFactor: 5},
 	})
 	is.NoErr(err)
-	check(t, reports, overloadVerdicts(reports))
+	checkVerdicts(t, reports, overloadVerdicts(reports))
 }
 
-// TestStragglerHardlyShowsInTheTail begins the fault before the warm-up: how
-// many of the few queries at its onset fall among the slowest hundredth is
-// chance, and belongs into the experiment with its longer span.
+// TestStragglerHardlyShowsInTheTail injects the fault before the warm-up. How
+// many of the few queries at the onset of a fault are among the slowest 1 % is
+// random on this span; the experiment with its longer span measures the onset.
 func TestStragglerHardlyShowsInTheTail(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	on := policyOn()
-	o := Options{Span: 10 * time.Second, Seed: 1, measure: virtually(t)}
+	on := siteWithPolicies()
+	o := Options{Span: 10 * time.Second, Seed: 1, measure: virtualMeasure(t)}
 	reports, err := measureAll(t.Context(), o, []trial{
-		{name: "on, none", site: on, load: calmLoad},
-		{name: "on, one frozen", site: on, load: calmLoad, before: frozen(isOneThird)},
+		{name: "on, none", site: on, loadFactor: lightLoad},
+		{name: "on, one frozen", site: on, loadFactor: lightLoad, beforeWarmUp: freezeTargets(isThirdTargetOfFirstService)},
 	})
 	is.NoErr(err)
-	check(t, reports, []Verdict{
-		atMost("p99 over none", ratio(reports[1].P99, reports[0].P99), stragglerP99),
-		atMost("extra load", reports[1].Extra, stragglerExtra),
+	checkVerdicts(t, reports, []Verdict{
+		atMost("p99 over the run without a straggler", ratio(reports[1].P99, reports[0].P99), maxStragglerP99Ratio),
+		atMost("extra load", reports[1].ExtraLoad, maxStragglerExtraLoad),
 	})
 }
 
-// TestHedgesCarryTheOnset holds a target that freezes against the same run
-// without hedges: until it is known, only they save the queries that it holds.
-// Queries that wait until their budget ends count with that wait: a percentile
-// of answers alone looks the better the more are lost.
+// TestHedgesCarryTheOnset compares the onset of a frozen target with and without
+// hedging: until the target is detected, only hedges complete the queries sent
+// to it. Queries refused at the end of their budget count with their whole wait,
+// as a percentile of answers alone improves the more queries are lost.
 func TestHedgesCarryTheOnset(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	noHedge := policyOn()
+	noHedge := siteWithPolicies()
 	noHedge.rules.HedgeBudget = -1
-	o := Options{Span: 8 * time.Second, Seed: 1, measure: virtually(t)}
+	o := Options{Span: 8 * time.Second, Seed: 1, measure: virtualMeasure(t)}
 	reports, err := measureAll(t.Context(), o, []trial{
-		{name: "on, one frozen", site: policyOn(), load: calmLoad, during: frozen(isOneThird)},
-		{name: "no hedges, one frozen", site: noHedge, load: calmLoad, during: frozen(isOneThird)},
+		{name: "on, one frozen", site: siteWithPolicies(), loadFactor: lightLoad, afterWarmUp: freezeTargets(isThirdTargetOfFirstService)},
+		{name: "no hedges, one frozen", site: noHedge, loadFactor: lightLoad, afterWarmUp: freezeTargets(isThirdTargetOfFirstService)},
 	})
 	is.NoErr(err)
-	check(t, reports, []Verdict{
-		atMost("p99 over that without hedges", ratio(reports[0].WaitP99, reports[1].WaitP99), 0.5),
-		atMost("extra load", reports[0].Extra, stragglerExtra),
+	checkVerdicts(t, reports, []Verdict{
+		atMost("p99 over the run without hedges", ratio(reports[0].WaitP99, reports[1].WaitP99), 0.5),
+		atMost("extra load", reports[0].ExtraLoad, maxStragglerExtraLoad),
 	})
 }
 
 func TestFailuresMakeNoRetryStorm(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	o := Options{Span: 8 * time.Second, Seed: 1, measure: virtually(t)}
+	o := Options{Span: 8 * time.Second, Seed: 1, measure: virtualMeasure(t)}
 	reports, err := measureAll(t.Context(), o, []trial{
-		{name: "on, one 100 %", site: policyOn(), load: calmLoad, during: fails(1, isThird)},
-		{name: "on, all 100 %", site: policyOn(), load: calmLoad, during: fails(1, everyTarget)},
+		{name: "on, one 100 %", site: siteWithPolicies(), loadFactor: lightLoad, afterWarmUp: failTargets(1, isThirdTarget)},
+		{name: "on, all 100 %", site: siteWithPolicies(), loadFactor: lightLoad, afterWarmUp: failTargets(1, anyTarget)},
 	})
 	is.NoErr(err)
-	check(t, reports, failingVerdicts(reports))
+	checkVerdicts(t, reports, failingVerdicts(reports))
 }
 
-func check(t *testing.T, reports []Report, verdicts []Verdict) {
+func checkVerdicts(t *testing.T, reports []Report, verdicts []Verdict) {
 	t.Helper()
 	for _, v := range verdicts {
 		t.Log(v)
--- a/internal/load/recording.go
+++ b/internal/load/recording.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	histogramLowest  = 1           // microseconds
-	histogramHighest = 300_000_000 // five minutes
-	histogramDigits  = 3
+	minHistogramMicros         = 1           // values are recorded in microseconds
+	maxHistogramMicros         = 300_000_000 // five minutes
+	histogramSignificantDigits = 3
 )
 
-// recording sums the ends of the requests of one run. It is safe for
+// recorder aggregates the results of the requests of one run. It is safe for
 // concurrent use.
-type recording struct {
-	mu       sync.Mutex
-	answers  *hdrhistogram.Histogram
-	refusals *hdrhistogram.Histogram
-	waits    *hdrhistogram.Histogram // answers, and refusals at the end of the budget
-	answered int
-	complete int
-	failed   int
-	notSent  int
-	refused  map[query.Reason]int
-	coverage float64 // sum over answers
-	attempts int
-	needed   int
+type recorder struct {
+	mu               sync.Mutex
+	answerLatencies  *hdrhistogram.Histogram
+	refusalLatencies *hdrhistogram.Histogram
+	waitLatencies    *hdrhistogram.Histogram // of answers and of refusals because the budget ended
+	answered         int
+	complete         int
+	failed           int
+	unsent           int
+	refused          map[query.Reason]int
+	coverageSum      float64 // over the answers
+	attempts         int
+	needed           int
 }
 
-func newRecording() *recording {
-	return &recording{
-		answers:  hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits),
-		refusals: hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits),
-		waits:    hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits),
-		refused:  make(map[query.Reason]int),
+func newRecorder() *recorder {
+	return &recorder{
+		answerLatencies:  hdrhistogram.New(minHistogramMicros, maxHistogramMicros, histogramSignificantDigits),
+		refusalLatencies: hdrhistogram.New(minHistogramMicros, maxHistogramMicros, histogramSignificantDigits),
+		waitLatencies:    hdrhistogram.New(minHistogramMicros, maxHistogramMicros, histogramSignificantDigits),
+		refused:          make(map[query.Reason]int),
 	}
 }
 
-func (r *recording) unsent() {
+func (r *recorder) addUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notSent++
+	r.unsent++
 }
 
-func (r *recording) add(latency time.Duration, x result) {
-	us := min(max(latency.Microseconds(), histogramLowest), histogramHighest)
+func (r *recorder) add(latency time.Duration, x result) {
+	us := min(max(latency.Microseconds(), minHistogramMicros), maxHistogramMicros)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -56,28 +56,28 @@
 		r.failed++
 	case !x.answered:
 		r.refused[x.reason]++
-		_ = r.refusals.RecordValue(us) // in range
+		_ = r.refusalLatencies.RecordValue(us) // in range
 		if x.reason == query.ReasonBudget {
-			_ = r.waits.RecordValue(us)
+			_ = r.waitLatencies.RecordValue(us)
 		}
 	default:
 		r.addAnswer(us, x)
 	}
 }
 
-func (r *recording) addAnswer(us int64, x result) {
+func (r *recorder) addAnswer(us int64, x result) {
 	r.answered++
 	if x.coverage >= 1 {
 		r.complete++
 	}
-	r.coverage += x.coverage
+	r.coverageSum += x.coverage
 	r.attempts += x.attempts
 	r.needed += x.needed
-	_ = r.answers.RecordValue(us) // in range
-	_ = r.waits.RecordValue(us)
+	_ = r.answerLatencies.RecordValue(us) // in range
+	_ = r.waitLatencies.RecordValue(us)
 }
 
-func (r *recording) report(name string, rate float64, offered int, span time.Duration) Report {
+func (r *recorder) report(name string, rate float64, offered int, span time.Duration) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Report{
@@ -87,19 +87,19 @@
 		Answered:   r.answered,
 		Complete:   r.complete,
 		Failed:     r.failed,
-		Unsent:     r.notSent,
+		Unsent:     r.unsent,
 		Refused:    make(map[string]int, len(r.refused)),
 		Goodput:    float64(r.complete) / span.Seconds(),
-		Coverage:   ratio(r.coverage, float64(r.answered)),
-		P50:        milliseconds(r.answers, 50),
-		P99:        milliseconds(r.answers, 99),
-		P999:       milliseconds(r.answers, 99.9),
-		RefusalP99: milliseconds(r.refusals, 99),
-		WaitP99:    milliseconds(r.waits, 99),
-		Extra:      ratio(float64(r.attempts), float64(r.needed)) - 1,
+		Coverage:   ratio(r.coverageSum, float64(r.answered)),
+		P50:        milliseconds(r.answerLatencies, 50),
+		P99:        milliseconds(r.answerLatencies, 99),
+		P999:       milliseconds(r.answerLatencies, 99.9),
+		RefusalP99: milliseconds(r.refusalLatencies, 99),
+		WaitP99:    milliseconds(r.waitLatencies, 99),
+		ExtraLoad:  ratio(float64(r.attempts), float64(r.needed)) - 1,
 	}
 	if r.needed == 0 {
-		out.Extra = 0
+		out.ExtraLoad = 0
 	}
 	for reason, n := range r.refused {
 		out.Refused[string(reason)] = n
--- a/internal/load/relayloss.go
+++ b/internal/load/relayloss.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	lossAfter    = 8 * time.Second
-	replaceEvery = 2 * time.Second
-	settledFor   = 2 * time.Second
-	lossAnswered = 0.99 // of the searches, from the event on
-	lossSteady   = 6.0  // seconds; what membership takes and half a second
-	lossTail     = 1.5  // p99 when all is settled, over that of before
+	lossDuration       = 8 * time.Second
+	replaceInterval    = 2 * time.Second
+	settledWindow      = 2 * time.Second
+	minLossAnswered    = 0.99 // of the searches offered after the event
+	maxRecoverySeconds = 6.0  // the time that membership takes to detect a dead host, and half a second
+	maxSettledP99Ratio = 1.5  // p99 of the settled window over that of the baseline
 )
 
-// relayLoss kills, freezes or slows the host that relays most, and replaces
-// all hosts one after another. The entries that are asked are those of the
+// relayLoss kills, freezes or slows the host that relays the most services, and
+// replaces all hosts one after another. Searches are sent to the entries of the
 // other hosts.
 func relayLoss(ctx context.Context, o Options) (Findings, error) {
 	return relayLossBy(ctx, o, measureLoss, 1)
 }
 
-func relayLossBy(ctx context.Context, o Options, run lossMeasurer, seeds int) (Findings, error) {
+func relayLossBy(ctx context.Context, o Options, run lossMeasureFunc, seeds int) (Findings, error) {
 	var f Findings
 	for _, t := range relayLossTrials() {
 		if o.Brief && !t.brief {
@@ -36,40 +36,40 @@
 		}
 		f.Reports = append(f.Reports, cs.reports(t, o.Brief)...)
 		f.Verdicts = append(f.Verdicts, cs.relayVerdicts(t)...)
-		f.Verdicts = append(f.Verdicts, cs.steadyVerdict(t))
+		f.Verdicts = append(f.Verdicts, cs.recoveryVerdict(t))
 	}
 	return f, nil
 }
 
 func relayLossTrials() []lossTrial {
-	trials := []lossTrial{replacedTrial()}
+	trials := []lossTrial{replaceAllTrial()}
 	for _, f := range []hostFault{hostSlow, hostFrozen, hostKilled} {
 		trials = append([]lossTrial{lostRelayTrial(f)}, trials...)
 	}
 	return trials
 }
 
-// lostRelayTrial has the host that relays most suffer a fault.
+// lostRelayTrial injects a fault into the host that relays the most services.
 func lostRelayTrial(f hostFault) lossTrial {
 	var victim *lossHost
 	return lossTrial{
-		name: "relay " + string(f), site: lossPolicy(), load: steadyLoad, after: lossAfter,
+		name: "relay " + string(f), site: lossSiteConfig(), interactiveLoad: lossLoad, afterEvent: lossDuration,
 		brief:   f != hostSlow,
-		prepare: func(s *lossSite) { victim = s.busiest(); s.spare(victim) },
-		event:   func(_ context.Context, s *lossSite) { s.lose(f, victim) },
+		prepare: func(s *lossSite) { victim = s.busiestRelay(); s.removeFromBalancer(victim) },
+		event:   func(_ context.Context, s *lossSite) { s.injectHostFault(f, victim) },
 	}
 }
 
-// replacedTrial replaces all hosts one after another: a new one starts, a
-// second later the old one leaves, and after another one it is gone.
-func replacedTrial() lossTrial {
-	all := siteHosts * replaceEvery
+// replaceAllTrial replaces all hosts one after another: a new host starts, the
+// old one begins to leave a second later and stops after another second.
+func replaceAllTrial() lossTrial {
+	all := hostsPerSite * replaceInterval
 	return lossTrial{
-		name: "all replaced", site: lossPolicy(), load: steadyLoad, after: all + lossAfter,
+		name: "all replaced", site: lossSiteConfig(), interactiveLoad: lossLoad, afterEvent: all + lossDuration,
 		event: func(ctx context.Context, s *lossSite) {
 			start := time.Now()
-			for i, old := range s.others("") {
-				if sleepUntil(ctx, start.Add(time.Duration(i)*replaceEvery)) != nil || s.replace(ctx, old) != nil {
+			for i, old := range s.runningHostsExcept("") {
+				if sleepUntil(ctx, start.Add(time.Duration(i)*replaceInterval)) != nil || s.replaceHost(ctx, old) != nil {
 					return
 				}
 			}
@@ -77,64 +77,67 @@
 	}
 }
 
-// replace starts a host in the place of another one, which then leaves.
-func (s *lossSite) replace(ctx context.Context, old *lossHost) error {
-	fresh := old.member
-	fresh.ID += "-new"
-	known := []member.Host{fresh}
-	for _, h := range s.others("") {
-		known = append(known, h.member)
+// replaceHost starts the replacement of a host, and drains the old host
+// afterwards.
+func (s *lossSite) replaceHost(ctx context.Context, old *lossHost) error {
+	replacement := old.member
+	replacement.ID += "-new"
+	members := []member.Host{replacement}
+	for _, h := range s.runningHostsExcept("") {
+		members = append(members, h.member)
 	}
-	if err := s.startHost(ctx, fresh, known); err != nil {
+	if err := s.startHost(ctx, replacement, members); err != nil {
 		return err
 	}
-	for _, h := range s.others(fresh.ID) {
-		h.members.learnNews(s.rng, fresh, member.Alive)
+	for _, h := range s.runningHostsExcept(replacement.ID) {
+		h.members.scheduleAnnouncement(s.rng, replacement, member.Alive)
 	}
-	if err := sleepUntil(ctx, time.Now().Add(replaceEvery/2)); err != nil {
+	if err := sleepUntil(ctx, time.Now().Add(replaceInterval/2)); err != nil {
 		return err
 	}
-	s.leave(old)
+	s.drainHost(old)
 	return nil
 }
 
-// leave has a host refuse relayed work and tell the others that it leaves.
-// When the next one is replaced, it is gone.
-func (s *lossSite) leave(h *lossHost) {
-	s.spare(h)
-	h.suffer(hostLeaving)
-	for _, o := range s.others(h.member.ID) {
-		o.members.learnNews(s.rng, h.member, member.Leaving)
+// drainHost makes a host refuse relayed work and announce to the others that it
+// is leaving. The host stops before the next one is replaced.
+func (s *lossSite) drainHost(h *lossHost) {
+	s.removeFromBalancer(h)
+	h.setFault(hostLeaving)
+	for _, o := range s.runningHostsExcept(h.member.ID) {
+		o.members.scheduleAnnouncement(s.rng, h.member, member.Leaving)
 	}
-	time.AfterFunc(replaceEvery/2, func() {
-		h.suffer(hostKilled)
-		for _, o := range s.others(h.member.ID) {
-			o.members.learnNews(s.rng, h.member, member.Dead)
+	time.AfterFunc(replaceInterval/2, func() {
+		h.setFault(hostKilled)
+		for _, o := range s.runningHostsExcept(h.member.ID) {
+			o.members.scheduleAnnouncement(s.rng, h.member, member.Dead)
 		}
 	})
 }
 
-func (cs courses) relayVerdicts(t lossTrial) []Verdict {
-	before := cs.samples(query.Interactive, part{-beforeLoss, -wideBudget})
-	after := summary(cs.samples(query.Interactive, part{0, t.after}))
-	settled := summary(cs.samples(query.Interactive, part{t.after - settledFor, t.after}))
+func (cs lossRuns) relayVerdicts(t lossTrial) []Verdict {
+	before := cs.samples(query.Interactive, interval{-baselineDuration, -searchBudget})
+	after := summarize(cs.samples(query.Interactive, interval{0, t.afterEvent}))
+	settled := summarize(cs.samples(query.Interactive, interval{t.afterEvent - settledWindow, t.afterEvent}))
 	return []Verdict{
-		atLeast("answered over offered after the event, "+t.name, after.answered, lossAnswered),
-		atLeast("answered whole over offered after the event, "+t.name, after.whole, lossAnswered),
-		atMost("answers whose coverage was untrue, "+t.name, float64(after.untrue), 0),
-		atMost("p99 of the last 2 s over before, "+t.name, ratio(settled.p99.Seconds(), summary(before).p99.Seconds()), lossTail),
+		atLeast("answered over offered after the event, "+t.name, after.answered, minLossAnswered),
+		atLeast("answered completely over offered after the event, "+t.name, after.complete, minLossAnswered),
+		atMost("answers with wrong coverage, "+t.name, float64(after.wrongCoverage), 0),
+		atMost("p99 of the last 2 s over baseline, "+t.name, ratio(settled.p99.Seconds(), summarize(before).p99.Seconds()), maxSettledP99Ratio),
 	}
 }
 
-// steadyVerdict wants more searches than one seed gives.
-func (cs courses) steadyVerdict(t lossTrial) Verdict {
-	from := max(t.after-lossAfter, 0)
-	return atMost("seconds to steady state, "+t.name, cs.steady(t, from).Seconds(), lossSteady)
+// recoveryVerdict is only meaningful over several seeds: one seed gives too few
+// searches in each window.
+func (cs lossRuns) recoveryVerdict(t lossTrial) Verdict {
+	from := max(t.afterEvent-lossDuration, 0)
+	return atMost("recovery time in seconds, "+t.name, cs.recoveryTime(t, from).Seconds(), maxRecoverySeconds)
 }
 
-// lossPolicy is the site of the losses in Kolkata.
-func lossPolicy() siteConfig {
-	c := policyOn()
-	c.place = kolkata.with(0)
+// lossSiteConfig returns the site of the relay losses, with all replicas and one
+// row per shard.
+func lossSiteConfig() siteConfig {
+	c := siteWithPolicies()
+	c.kind = guestPortalSite.withReplicas(0)
 	return c
 }
--- a/internal/load/relayloss_course.go
+++ b/internal/load/relayloss_course.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	steadyWindow = time.Second
-	steadyStep   = 100 * time.Millisecond
-	steadyPart   = 0.10 // p99 and whole answers within it of before
+	recoveryWindow    = time.Second
+	recoveryStep      = 100 * time.Millisecond
+	recoveryTolerance = 0.10 // relative difference from the baseline, of p99 and of the share of complete answers
 )
 
-// part is a span of a course, counted from the event.
-type part struct{ from, to time.Duration }
+// interval is a time span of a run, relative to the event.
+type interval struct{ from, to time.Duration }
 
-var lossParts = []part{
-	{-beforeLoss, 0},
+var reportIntervals = []interval{
+	{-baselineDuration, 0},
 	{0, 500 * time.Millisecond},
 	{500 * time.Millisecond, time.Second},
 	{time.Second, 2 * time.Second},
@@ -29,7 +29,7 @@
 	{6 * time.Second, time.Hour},
 }
 
-func (p part) String() string {
+func (p interval) String() string {
 	switch {
 	case p.from < 0 && p.to == 0:
 		return "before"
@@ -39,35 +39,35 @@
 	return fmt.Sprintf("%g to %g s", p.from.Seconds(), p.to.Seconds())
 }
 
-// reports tells the course by parts and, if not brief, for each 100 ms around
-// the event.
-func (cs courses) reports(t lossTrial, brief bool) []Report {
+// reports returns a report of each interval and, if not brief, of each 100 ms
+// around the event.
+func (cs lossRuns) reports(t lossTrial, brief bool) []Report {
 	var out []Report
 	for _, u := range t.urgencies() {
-		for _, p := range lossParts {
-			if p.from < t.after {
-				out = append(out, cs.report(t, u, part{p.from, min(p.to, t.after)}, p.String()))
+		for _, p := range reportIntervals {
+			if p.from < t.afterEvent {
+				out = append(out, cs.report(t, u, interval{p.from, min(p.to, t.afterEvent)}, p.String()))
 			}
 		}
 	}
 	if brief {
 		return out
 	}
-	for at := -300 * time.Millisecond; at < 3*time.Second; at += tallyEvery {
-		out = append(out, cs.report(t, query.Interactive, part{at, at + tallyEvery}, fmt.Sprintf("at %+.1f s", at.Seconds())))
+	for at := -300 * time.Millisecond; at < 3*time.Second; at += tallyInterval {
+		out = append(out, cs.report(t, query.Interactive, interval{at, at + tallyInterval}, fmt.Sprintf("at %+.1f s", at.Seconds())))
 	}
 	return out
 }
 
 func (t lossTrial) urgencies() []query.Urgency {
-	if t.deferrable > 0 {
+	if t.deferrableLoad > 0 {
 		return []query.Urgency{query.Interactive, query.Deferrable}
 	}
 	return []query.Urgency{query.Interactive}
 }
 
-func (cs courses) report(t lossTrial, u query.Urgency, p part, when string) Report {
-	rec := newRecording()
+func (cs lossRuns) report(t lossTrial, u query.Urgency, p interval, when string) Report {
+	rec := newRecorder()
 	offered := 0
 	for _, x := range cs.samples(u, p) {
 		offered++
@@ -75,20 +75,20 @@
 	}
 	span := (p.to - p.from) * time.Duration(len(cs))
 	name := fmt.Sprintf("%s, %s", t.name, when)
-	if t.deferrable > 0 {
+	if t.deferrableLoad > 0 {
 		name = fmt.Sprintf("%s, %s, %s", t.name, u, when)
 	}
 	r := rec.report(name, float64(offered)/span.Seconds(), offered, span)
-	cs.counted(p).into(&r)
+	cs.counters(p).fillReport(&r)
 	return r
 }
 
-// samples returns the searches of a class that began in the part.
-func (cs courses) samples(u query.Urgency, p part) []sample {
+// samples returns the searches of a class that started in the interval.
+func (cs lossRuns) samples(u query.Urgency, p interval) []sample {
 	var out []sample
 	for _, c := range cs {
 		for _, x := range c.samples {
-			at := x.start - beforeLoss
+			at := x.start - baselineDuration
 			if x.urgency == u && at >= p.from && at < p.to {
 				out = append(out, x)
 			}
@@ -97,36 +97,37 @@
 	return out
 }
 
-// counted sums what hosts and targets counted in the part.
-func (cs courses) counted(p part) tally {
+// counters returns the increase of the counters of hosts and targets in the
+// interval, summed over the runs.
+func (cs lossRuns) counters(p interval) tally {
 	var sum tally
 	for _, c := range cs {
-		from, to := c.steps(p)
-		d := c.tallies[to].since(c.tallies[from])
+		from, to := c.tallyIndexes(p)
+		d := c.tallies[to].minus(c.tallies[from])
 		sum.attempts += d.attempts
-		sum.first += d.first
+		sum.firstAttempts += d.firstAttempts
 		sum.sheds += d.sheds
-		sum.connectionsMost = max(sum.connectionsMost, d.connectionsMost)
-		sum.connectionsOpen += d.connectionsOpen
-		sum.connectionsSpurn += d.connectionsSpurn
+		sum.maxConnections = max(sum.maxConnections, d.maxConnections)
+		sum.connectionsOpened += d.connectionsOpened
+		sum.connectionsRefused += d.connectionsRefused
 	}
 	return sum
 }
 
-func (c *course) steps(p part) (from, to int) {
+func (c *lossRun) tallyIndexes(p interval) (from, to int) {
 	step := func(at time.Duration) int {
-		return min(max(int((at+beforeLoss)/tallyEvery), 0), len(c.tallies)-1)
+		return min(max(int((at+baselineDuration)/tallyInterval), 0), len(c.tallies)-1)
 	}
 	return step(p.from), step(p.to)
 }
 
-// ranAtSurvivors returns the shard requests that targets ran which will not be
-// lost, or were not yet.
-func (s *lossSite) ranAtSurvivors() uint64 {
+// survivorsDone returns the number of shard requests completed by the targets
+// that are not lost at the time of the call.
+func (s *lossSite) survivorsDone() uint64 {
 	var n uint64
 	for _, t := range s.targets {
 		s.mu.Lock()
-		_, lost := s.lost[t.ID()]
+		_, lost := s.lostTargets[t.ID()]
 		s.mu.Unlock()
 		if !lost {
 			n += t.Counters().Count(target.ResultDone)
@@ -135,59 +136,60 @@
 	return n
 }
 
-// survivorsLoad returns the part of the surviving targets' slots that was
-// busy, after the event.
-func (cs courses) survivorsLoad(p part) float64 {
+// survivorsUtilization returns the fraction of the surviving targets' slots that
+// was busy in an interval after the event.
+func (cs lossRuns) survivorsUtilization(p interval) float64 {
 	busy, slots := 0.0, 0.0
 	for _, c := range cs {
-		from, to := c.steps(p)
-		busy += float64(c.done[to]-c.done[from]) * serviceMean.Seconds()
-		left := len(c.site.targets) - len(c.site.lost)
-		slots += float64(left*c.site.cfg.place.slots) * (p.to - p.from).Seconds()
+		from, to := c.tallyIndexes(p)
+		busy += float64(c.survivorsDone[to]-c.survivorsDone[from]) * meanServiceTime.Seconds()
+		left := len(c.site.targets) - len(c.site.lostTargets)
+		slots += float64(left*c.site.cfg.kind.slots) * (p.to - p.from).Seconds()
 	}
 	return ratio(busy, slots)
 }
 
-// steady returns the time from which on p99 and the share of whole answers, in
-// each window of a second, stay within 10 % of before, counted from a time
-// after the event. Of before the window with the highest p99 counts, as windows
-// are few searches. What never gets steady takes to the end of the trial.
-func (cs courses) steady(t lossTrial, from time.Duration) time.Duration {
-	var before sums
-	for at := -beforeLoss; at+steadyWindow < 0; at += steadyWindow {
+// recoveryTime returns the time from start, which is at or after the event, until
+// p99 and the share of complete answers in each window of a second stay within
+// 10 % of the baseline. The baseline is the maximum over the windows before the
+// event, as a window has few searches. If the run never recovers, the result is
+// the time to its end.
+func (cs lossRuns) recoveryTime(t lossTrial, start time.Duration) time.Duration {
+	var before searchStats
+	for at := -baselineDuration; at+recoveryWindow < 0; at += recoveryWindow {
 		w := cs.window(at)
 		before.p99 = max(before.p99, w.p99)
-		before.whole = max(before.whole, w.whole)
+		before.complete = max(before.complete, w.complete)
 	}
-	steady := from
-	for at := from; at+steadyWindow <= t.after; at += steadyStep {
+	recovered := start
+	for at := start; at+recoveryWindow <= t.afterEvent; at += recoveryStep {
 		now := cs.window(at)
-		slow := float64(now.p99) > (1+steadyPart)*float64(before.p99)
-		if slow || now.whole < (1-steadyPart)*before.whole {
-			steady = at + steadyStep
+		slow := float64(now.p99) > (1+recoveryTolerance)*float64(before.p99)
+		if slow || now.complete < (1-recoveryTolerance)*before.complete {
+			recovered = at + recoveryStep
 		}
 	}
-	if steady+steadyWindow > t.after {
-		return t.after - from
+	if recovered+recoveryWindow > t.afterEvent {
+		return t.afterEvent - start
 	}
-	return steady - from
+	return recovered - start
 }
 
-func (cs courses) window(at time.Duration) sums {
-	return summary(cs.samples(query.Interactive, part{at, at + steadyWindow}))
+func (cs lossRuns) window(at time.Duration) searchStats {
+	return summarize(cs.samples(query.Interactive, interval{at, at + recoveryWindow}))
 }
 
-// sums of some searches.
-type sums struct {
-	p99             time.Duration // of answers
-	answered, whole float64       // over offered
-	coverage        float64       // reached over possible, of answers
-	untrue          int
+// searchStats are statistics of a set of searches.
+type searchStats struct {
+	p99                time.Duration // of answers
+	answered, complete float64       // fraction of the offered searches
+	coverage           float64       // of answers: coverage reached over possible coverage
+	wrongCoverage      int
 }
 
-func summary(all []sample) sums {
+func summarize(all []sample) searchStats {
 	var latencies []time.Duration
-	var s sums
+	var s searchStats
 	reached, possible := 0.0, 0.0
 	for _, x := range all {
 		if !x.answered {
@@ -196,16 +198,16 @@
 		latencies = append(latencies, x.latency)
 		s.answered++
 		if x.result.coverage >= 1 {
-			s.whole++
+			s.complete++
 		}
-		if x.untrue {
-			s.untrue++
+		if x.wrong {
+			s.wrongCoverage++
 		}
 		reached += x.result.coverage
-		possible += x.possible
+		possible += x.possibleCoverage
 	}
 	s.answered = ratio(s.answered, float64(len(all)))
-	s.whole = ratio(s.whole, float64(len(all)))
+	s.complete = ratio(s.complete, float64(len(all)))
 	s.coverage = ratio(reached, possible)
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
--- a/internal/load/relayloss_host.go
+++ b/internal/load/relayloss_host.go
@@ -13,103 +13,103 @@
 	"rhubarbwood.example/rhubarbwood/internal/relay"
 )
 
-// slowness is how many times later a slow host answers.
-const slowness = 10
+// slowFactor multiplies the latency of a slow host.
+const slowFactor = 10
 
-var errHostLost = Error.New("host is lost")
+var errHostLost = Error.New("connection to killed host is lost")
 
-// hostFault is what became of a host.
+// hostFault is the fault injected into a host.
 type hostFault string
 
 const (
-	hostWell    hostFault = ""
+	hostHealthy hostFault = ""
 	hostKilled  hostFault = "killed"  // calls to it fail
 	hostFrozen  hostFault = "frozen"  // calls to it are never answered
-	hostSlow    hostFault = "slow"    // its answers come 10 times later
-	hostLeaving hostFault = "leaving" // it refuses relayed work in good order
+	hostSlow    hostFault = "slow"    // results take slowFactor times as long
+	hostLeaving hostFault = "leaving" // it refuses relayed work without running it
 )
 
 // lossHost is one host of a lossSite.
 type lossHost struct {
 	*siteHost
-	member  member.Host
-	members *changingMembers
-	asked   bool // gets callers' requests; guarded by the site's lock
+	member           member.Host
+	members          *delayedMembers
+	receivesRequests bool // gets requests of callers; guarded by lossSite.mu
 
-	fault atomic.Value  // hostFault
-	gone  chan struct{} // closes when the host is killed or frozen
-	once  sync.Once
+	fault        atomic.Value  // hostFault
+	unresponsive chan struct{} // closes when the host is killed or frozen
+	closeOnce    sync.Once
 }
 
-func (h *lossHost) state() hostFault {
+func (h *lossHost) currentFault() hostFault {
 	f, _ := h.fault.Load().(hostFault)
 	return f
 }
 
-// suffer puts a fault in force for good.
-func (h *lossHost) suffer(f hostFault) {
+// setFault injects a fault. A killed or frozen host doesn't recover.
+func (h *lossHost) setFault(f hostFault) {
 	h.fault.Store(f)
 	if f == hostKilled || f == hostFrozen {
-		h.once.Do(func() { close(h.gone) })
+		h.closeOnce.Do(func() { close(h.unresponsive) })
 	}
 }
 
-// lossAccess gives an entry the relays of the site as they are: those of other
-// hosts are a round trip away and may be lost.
-type lossAccess struct {
+// lossSiteRelays implements entry.Relays for one host. Relays on other hosts are
+// a round trip away and may have faults.
+type lossSiteRelays struct {
 	site *lossSite
 	self string
 }
 
 // Searcher implements entry.Relays.
-func (a *lossAccess) Searcher(h member.Host) relay.Searcher {
+func (a *lossSiteRelays) Searcher(h member.Host) relay.Searcher {
 	host := a.site.host(h.ID)
 	if h.ID == a.self {
 		return host.relay
 	}
-	return &shakyRelay{distant{host.relay}, host}
+	return &faultyRelay{remoteRelay{host.relay}, host}
 }
 
-// Reserver implements entry.Relays; the runs reserve nothing.
-func (a *lossAccess) Reserver(member.Host) claim.Reserver { return nil }
+// Reserver implements entry.Relays. It is unused, as the runs reserve nothing.
+func (a *lossSiteRelays) Reserver(member.Host) claim.Reserver { return nil }
 
-// shakyRelay is the relay on another host, which may have a fault.
-type shakyRelay struct {
-	distant
+// faultyRelay is the relay on another host, subject to the fault of that host.
+type faultyRelay struct {
+	remoteRelay
 	host *lossHost
 }
 
 // Search implements relay.Searcher.
-func (s *shakyRelay) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
-	if s.host.state() == hostLeaving {
-		return s.refuse(ctx, b, emit)
+func (s *faultyRelay) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	if s.host.currentFault() == hostLeaving {
+		return s.refuseDraining(ctx, b, emit)
 	}
-	callers := ctx
+	callerCtx := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
 		select {
-		case <-s.host.gone:
+		case <-s.host.unresponsive:
 			cancel()
 		case <-ended:
 		}
 	}()
-	err := s.search(ctx, b, emit)
-	switch s.host.state() {
+	err := s.forwardResults(ctx, b, emit)
+	switch s.host.currentFault() {
 	case hostKilled:
 		return errHostLost
 	case hostFrozen:
-		<-callers.Done()
-		return Error.New("wait for frozen host: %w", callers.Err())
+		<-callerCtx.Done()
+		return Error.New("wait for response of frozen host: %w", callerCtx.Err())
 	}
 	return err
 }
 
-// refuse is a host that leaves: it has run nothing.
-func (s *shakyRelay) refuse(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
-	if err := sleepUntil(ctx, time.Now().Add(hop)); err != nil {
+// refuseDraining refuses all shards as a leaving host does, without running them.
+func (s *faultyRelay) refuseDraining(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	if err := sleepUntil(ctx, time.Now().Add(hostRoundTrip)); err != nil {
 		return err
 	}
 	for _, p := range b.Parts {
@@ -124,31 +124,32 @@
 	return nil
 }
 
-// search passes results on as long as the host is there, each 10 times later
-// if it is slow.
-func (s *shakyRelay) search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+// forwardResults runs the search and emits its results until the host becomes
+// unresponsive. Results of a slow host are delayed to slowFactor times their
+// latency.
+func (s *faultyRelay) forwardResults(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 	start := time.Now()
 	var mu sync.Mutex
-	var late sync.WaitGroup
-	pass := func(r query.ShardResult) {
+	var delayed sync.WaitGroup
+	forward := func(r query.ShardResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		if ctx.Err() == nil {
 			emit(r)
 		}
 	}
-	err := s.distant.Search(ctx, b, func(r query.ShardResult) {
-		if s.host.state() != hostSlow {
-			pass(r)
+	err := s.remoteRelay.Search(ctx, b, func(r query.ShardResult) {
+		if s.host.currentFault() != hostSlow {
+			forward(r)
 			return
 		}
-		at := start.Add(slowness * time.Since(start))
-		late.Go(func() {
+		at := start.Add(slowFactor * time.Since(start))
+		delayed.Go(func() {
 			if sleepUntil(ctx, at) == nil {
-				pass(r)
+				forward(r)
 			}
 		})
 	})
-	late.Wait()
+	delayed.Wait()
 	return err
 }
--- a/internal/load/relayloss_members.go
+++ b/internal/load/relayloss_members.go
@@ -10,37 +10,38 @@
 	"rhubarbwood.example/rhubarbwood/internal/member"
 )
 
-// What membership takes at 9 hosts, as measured in docs/design/membership.md.
+// Delays of membership changes at 9 hosts, measured in
+// docs/design/membership.md.
 const (
-	deathKnownLeast = 4000 * time.Millisecond
-	deathKnownMost  = 5500 * time.Millisecond
-	suspectFor      = 3300 * time.Millisecond // before it is held for dead
-	newsKnownLeast  = 500 * time.Millisecond  // of a host that joins or leaves
-	newsKnownMost   = 1000 * time.Millisecond
+	minDeathDetectionDelay = 4000 * time.Millisecond
+	maxDeathDetectionDelay = 5500 * time.Millisecond
+	suspectDuration        = 3300 * time.Millisecond // from suspicion to the declaration of death
+	minAnnouncementDelay   = 500 * time.Millisecond  // of a host that joins or leaves, to other hosts
+	maxAnnouncementDelay   = 1000 * time.Millisecond
 )
 
-var _ member.View = (*changingMembers)(nil)
+var _ member.View = (*delayedMembers)(nil)
 
-// changingMembers is a membership as one host sees it, in which each change is
-// seen at its own time. It is safe for concurrent use.
-type changingMembers struct {
+// delayedMembers is the membership view of one host, in which each change
+// becomes visible at a scheduled time. It is safe for concurrent use.
+type delayedMembers struct {
 	self string
 
 	mu         sync.Mutex
-	hosts      []member.Host // by id; replaced, never changed
-	due        []memberChange
+	hosts      []member.Host // sorted by id; replaced on a change, never modified
+	pending    []memberChange
 	generation uint64
 }
 
-// memberChange is what a host will know from a time on. The state Dead takes
-// the host off the list.
+// memberChange is a change that becomes visible at a time. The state Dead
+// removes the host from the list.
 type memberChange struct {
 	at   time.Time
 	host member.Host
 }
 
-func newChangingMembers(self string, hosts []member.Host) *changingMembers {
-	return &changingMembers{self: self, hosts: sortedHosts(hosts), generation: 1}
+func newDelayedMembers(self string, hosts []member.Host) *delayedMembers {
+	return &delayedMembers{self: self, hosts: sortedHosts(hosts), generation: 1}
 }
 
 func sortedHosts(hosts []member.Host) []member.Host {
@@ -50,7 +51,7 @@
 }
 
 // Self implements member.View.
-func (m *changingMembers) Self() member.Host {
+func (m *delayedMembers) Self() member.Host {
 	for _, h := range m.Hosts() {
 		if h.ID == m.self {
 			return h
@@ -60,7 +61,7 @@
 }
 
 // Hosts implements member.View.
-func (m *changingMembers) Hosts() []member.Host {
+func (m *delayedMembers) Hosts() []member.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.apply(time.Now())
@@ -68,20 +69,20 @@
 }
 
 // Count implements member.View.
-func (m *changingMembers) Count() int { return len(m.Hosts()) }
+func (m *delayedMembers) Count() int { return len(m.Hosts()) }
 
 // Generation implements member.View.
-func (m *changingMembers) Generation() uint64 {
+func (m *delayedMembers) Generation() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.apply(time.Now())
 	return m.generation
 }
 
-func (m *changingMembers) apply(now time.Time) {
-	for len(m.due) > 0 && !m.due[0].at.After(now) {
-		h := m.due[0].host
-		m.due = m.due[1:]
+func (m *delayedMembers) apply(now time.Time) {
+	for len(m.pending) > 0 && !m.pending[0].at.After(now) {
+		h := m.pending[0].host
+		m.pending = m.pending[1:]
 		hosts := slices.DeleteFunc(slices.Clone(m.hosts), func(o member.Host) bool { return o.ID == h.ID })
 		if h.State != member.Dead {
 			hosts = append(hosts, h)
@@ -91,28 +92,28 @@
 	}
 }
 
-// learn makes the host know of a change from the time on.
-func (m *changingMembers) learn(at time.Time, h member.Host, state member.State) {
+// schedule makes a change visible from the given time on.
+func (m *delayedMembers) schedule(at time.Time, h member.Host, state member.State) {
 	h.State = state
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.due = append(m.due, memberChange{at, h})
-	slices.SortStableFunc(m.due, func(a, b memberChange) int { return a.at.Compare(b.at) })
+	m.pending = append(m.pending, memberChange{at, h})
+	slices.SortStableFunc(m.pending, func(a, b memberChange) int { return a.at.Compare(b.at) })
 }
 
-// learnDeath makes the host suspect another that died now, and then hold it
-// for dead.
-func (m *changingMembers) learnDeath(rng *rand.Rand, h member.Host) {
-	known := time.Now().Add(between(rng, deathKnownLeast, deathKnownMost))
-	m.learn(known.Add(-suspectFor), h, member.Suspect)
-	m.learn(known, h, member.Dead)
+// scheduleDeath schedules the detection of a host that died now: first the state
+// Suspect, then Dead.
+func (m *delayedMembers) scheduleDeath(rng *rand.Rand, h member.Host) {
+	detected := time.Now().Add(randomDuration(rng, minDeathDetectionDelay, maxDeathDetectionDelay))
+	m.schedule(detected.Add(-suspectDuration), h, member.Suspect)
+	m.schedule(detected, h, member.Dead)
 }
 
-// learnNews makes the host know what another one tells of itself now.
-func (m *changingMembers) learnNews(rng *rand.Rand, h member.Host, state member.State) {
-	m.learn(time.Now().Add(between(rng, newsKnownLeast, newsKnownMost)), h, state)
+// scheduleAnnouncement schedules the state that another host announces now.
+func (m *delayedMembers) scheduleAnnouncement(rng *rand.Rand, h member.Host, state member.State) {
+	m.schedule(time.Now().Add(randomDuration(rng, minAnnouncementDelay, maxAnnouncementDelay)), h, state)
 }
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)))
+func randomDuration(rng *rand.Rand, lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 }
--- a/internal/load/relayloss_run.go
+++ b/internal/load/relayloss_run.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	steadyLoad   = 0.5 // of the slots' capacity
-	lossMinimum  = 0.5 // coverage that callers accept, so that partial answers show
-	beforeLoss   = 4 * time.Second
-	tallyEvery   = 100 * time.Millisecond
-	deferrables  = 9 // services that single searches ask
-	seedOfOthers = 1000
+	lossLoad             = 0.5 // as a fraction of the slots' capacity
+	lossMinCoverage      = 0.5 // accepted by callers, so that partial answers are returned and counted
+	baselineDuration     = 4 * time.Second
+	tallyInterval        = 100 * time.Millisecond
+	deferrableServices   = 9 // number of services that deferrable searches go to
+	deferrableSeedOffset = 1000
 )
 
-// lossTrial is one run in which hosts or targets are lost at a time.
+// lossTrial is one run in which an event, such as the loss of hosts or targets,
+// occurs after a baseline.
 type lossTrial struct {
-	name       string
-	site       siteConfig
-	load       float64 // interactive searches of the whole workload, of the slots' capacity
-	deferrable float64 // deferrable searches of single services besides, likewise
-	after      time.Duration
-	brief      bool
-	prepare    func(s *lossSite)                      // before anything is asked; nil does nothing
-	event      func(ctx context.Context, s *lossSite) // may last; the time counts from its start
+	name            string
+	site            siteConfig
+	interactiveLoad float64 // searches of the whole workload, as a fraction of the slots' capacity
+	deferrableLoad  float64 // additional searches of single services, likewise
+	afterEvent      time.Duration
+	brief           bool
+	prepare         func(s *lossSite)                      // called before the warm-up; may be nil
+	event           func(ctx context.Context, s *lossSite) // may take time; intervals are relative to its start
 }
 
-// lossMeasurer runs a trial and returns its course.
-type lossMeasurer func(ctx context.Context, o Options, t lossTrial) (*course, error)
+// lossMeasureFunc runs a trial and returns what was recorded.
+type lossMeasureFunc func(ctx context.Context, o Options, t lossTrial) (*lossRun, error)
 
-// measureLoss runs a trial: a warm-up that is not recorded, a steady part, and
-// the event with what comes after it.
-func measureLoss(ctx context.Context, o Options, t lossTrial) (*course, error) {
+// measureLoss runs a trial: a warm-up that is not recorded, the baseline, and the
+// event with the time after it.
+func measureLoss(ctx context.Context, o Options, t lossTrial) (*lossRun, error) {
 	s, err := newLossSite(ctx, t.site, o.Seed)
 	if err != nil {
 		return nil, err
@@ -45,74 +46,74 @@
 	if t.prepare != nil {
 		t.prepare(s)
 	}
-	if err := s.offer(ctx, o.Seed+1, t, warmUp, nil); err != nil {
+	if err := s.offerLoad(ctx, o.Seed+1, t, warmUpDuration, nil); err != nil {
 		return nil, err
 	}
-	c := newCourse(s)
+	c := newLossRun(s)
 	var all sync.WaitGroup
 	all.Go(func() {
-		if sleepUntil(ctx, c.begin.Add(beforeLoss)) == nil {
+		if sleepUntil(ctx, c.begin.Add(baselineDuration)) == nil {
 			t.event(ctx, s)
 		}
 	})
-	all.Go(func() { c.watch(ctx, beforeLoss+t.after) })
-	err = s.offer(ctx, o.Seed, t, beforeLoss+t.after, c)
+	all.Go(func() { c.recordTallies(ctx, baselineDuration+t.afterEvent) })
+	err = s.offerLoad(ctx, o.Seed, t, baselineDuration+t.afterEvent, c)
 	all.Wait()
 	return c, err
 }
 
-// offer drives both classes of searches over a span and notes them in the
-// course, if there is one.
-func (s *lossSite) offer(ctx context.Context, seed uint64, t lossTrial, span time.Duration, c *course) error {
+// offerLoad sends both classes of searches over a span and records them in the
+// run, unless it is nil.
+func (s *lossSite) offerLoad(ctx context.Context, seed uint64, t lossTrial, span time.Duration, c *lossRun) error {
 	var all sync.WaitGroup
 	var failed error
-	if t.deferrable > 0 {
-		perService := t.deferrable * t.site.place.capacity()
-		starts := arrivals(deferrables*perService, span, seed+seedOfOthers)
+	if t.deferrableLoad > 0 {
+		perService := t.deferrableLoad * t.site.kind.capacity()
+		starts := arrivals(deferrableServices*perService, span, seed+deferrableSeedOffset)
 		all.Go(func() {
-			_, _ = drive(ctx, starts, outstanding, s.lossAsker(seed+seedOfOthers, starts, query.Deferrable, c))
+			_, _ = sendArrivals(ctx, starts, maxOutstanding, s.lossSearchFunc(seed+deferrableSeedOffset, starts, query.Deferrable, c))
 		})
 	}
-	starts := arrivals(t.load*t.site.place.capacity(), span, seed)
-	_, failed = drive(ctx, starts, outstanding, s.lossAsker(seed, starts, query.Interactive, c))
+	starts := arrivals(t.interactiveLoad*t.site.kind.capacity(), span, seed)
+	_, failed = sendArrivals(ctx, starts, maxOutstanding, s.lossSearchFunc(seed, starts, query.Interactive, c))
 	all.Wait()
 	return failed
 }
 
-// lossAsker sends interactive searches of the whole workload, or deferrable
-// ones of single services in turn. The first service is interactive and gives
-// its urgency to the whole workload; all others are deferrable, so that both
-// classes meet in the queues of their targets.
-func (s *lossSite) lossAsker(seed uint64, starts []time.Duration, u query.Urgency, c *course) asker {
+// lossSearchFunc returns a function that sends interactive searches of the whole
+// workload, or deferrable searches of single services in turn. The first service
+// is interactive, which makes searches of the whole workload interactive; all
+// others are deferrable, so that both classes share the queues of their targets.
+func (s *lossSite) lossSearchFunc(seed uint64, starts []time.Duration, u query.Urgency, c *lossRun) searchFunc {
 	begin := time.Now()
 	return func(ctx context.Context, index int) result {
 		q := query.Search{
 			RequestID:   requestID(seed, index),
 			Caller:      "load",
-			MinCoverage: lossMinimum,
-			Budget:      wideBudget,
+			MinCoverage: lossMinCoverage,
+			Budget:      searchBudget,
 		}
 		services := s.catalog.services
 		if u == query.Deferrable {
-			services = services[1+index%deferrables:][:1]
+			services = services[1+index%deferrableServices:][:1]
 			q.Service = services[0].Name
 		} else {
 			q.Workload = s.workload
 		}
-		r, v := s.ask(ctx, q, services, index)
+		r, check := s.search(ctx, q, services, index)
 		if c != nil {
-			c.note(sample{start: starts[index], latency: time.Since(begin.Add(starts[index])), urgency: u, result: r, truth: v})
+			c.addSample(sample{start: starts[index], latency: time.Since(begin.Add(starts[index])), urgency: u, result: r, coverageCheck: check})
 		}
 		return r
 	}
 }
 
-func (s *lossSite) ask(ctx context.Context, q query.Search, services []catalog.Service, index int) (result, truth) {
-	e := s.asked(index).entry
+func (s *lossSite) search(ctx context.Context, q query.Search, services []catalog.Service, index int) (result, coverageCheck) {
+	e := s.pickHost(index).entry
 	began := time.Now()
 	answer, refusal := e.Search(ctx, q)
 	if refusal != nil {
-		return result{reason: refusal.Reason}, truth{}
+		return result{reason: refusal.Reason}, coverageCheck{}
 	}
 	r := result{
 		answered: true,
@@ -120,83 +121,83 @@
 		attempts: answer.Attempts,
 		needed:   answer.Needed,
 	}
-	return r, s.judge(answer, services, began)
+	return r, s.checkCoverage(answer, services, began)
 }
 
-// asked returns the host that a balancer would ask.
-func (s *lossSite) asked(index int) *lossHost {
+// pickHost returns the host that a load balancer would choose.
+func (s *lossSite) pickHost(index int) *lossHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var up []*lossHost
-	for _, h := range s.fleet {
-		if h.asked {
+	for _, h := range s.lossHosts {
+		if h.receivesRequests {
 			up = append(up, h)
 		}
 	}
 	return up[index%len(up)]
 }
 
-// closeAll lets frozen callers go first.
+// closeAll releases the calls to frozen hosts and then closes the site.
 func (s *lossSite) closeAll() {
-	for _, h := range s.fleet {
-		h.suffer(hostKilled)
+	for _, h := range s.lossHosts {
+		h.setFault(hostKilled)
 	}
 	s.close()
 }
 
-// Course is what was seen over the time of a trial.
-type course struct {
+// lossRun is the record of one run of a trial over time.
+type lossRun struct {
 	begin time.Time
 	site  *lossSite
 
-	mu      sync.Mutex
-	samples []sample
-	tallies []tally // each tallyEvery, the first at the beginning
-	done    []uint64
+	mu            sync.Mutex
+	samples       []sample
+	tallies       []tally // one per tallyInterval, the first at the beginning
+	survivorsDone []uint64
 }
 
-// sample is one search of a course.
+// sample is one search of a run.
 type sample struct {
 	start, latency time.Duration
 	urgency        query.Urgency
 	result
-	truth
+	coverageCheck
 }
 
-func newCourse(s *lossSite) *course { return &course{begin: time.Now(), site: s} }
+func newLossRun(s *lossSite) *lossRun { return &lossRun{begin: time.Now(), site: s} }
 
-func (c *course) note(x sample) {
+func (c *lossRun) addSample(x sample) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.samples = append(c.samples, x)
 }
 
-// watch notes what hosts and targets count, in even steps.
-func (c *course) watch(ctx context.Context, span time.Duration) {
-	for at := time.Duration(0); at <= span; at += tallyEvery {
+// recordTallies records the counters of hosts and targets every tallyInterval.
+func (c *lossRun) recordTallies(ctx context.Context, span time.Duration) {
+	for at := time.Duration(0); at <= span; at += tallyInterval {
 		if sleepUntil(ctx, c.begin.Add(at)) != nil {
 			return
 		}
 		c.mu.Lock()
 		c.tallies = append(c.tallies, c.site.tally())
-		c.done = append(c.done, c.site.ranAtSurvivors())
+		c.survivorsDone = append(c.survivorsDone, c.site.survivorsDone())
 		c.mu.Unlock()
 	}
 }
 
-// courses are the runs of one trial with several seeds; they are reported as
-// one.
-type courses []*course
+// lossRuns are the runs of one trial with several seeds, which are reported
+// together.
+type lossRuns []*lossRun
 
-func measureSeeds(ctx context.Context, o Options, run lossMeasurer, seeds int, t lossTrial) (courses, error) {
-	var all courses
+func measureSeeds(ctx context.Context, o Options, run lossMeasureFunc, seeds int, t lossTrial) (lossRuns, error) {
+	var all lossRuns
 	for range seeds {
 		c, err := run(ctx, o, t)
 		if err != nil {
 			return all, fmt.Errorf("%s, seed %d: %w", t.name, o.Seed, err)
 		}
 		all = append(all, c)
-		o.Seed += 2 // the warm-up has the one between
+		o.Seed += 2 // Seed+1 is the seed of the warm-up
 	}
 	return all, nil
 }
--- a/internal/load/relayloss_site.go
+++ b/internal/load/relayloss_site.go
@@ -18,46 +18,46 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/target"
 )
 
-// lossSite is a site whose hosts and targets can be lost, and whose hosts
-// learn of it as late as the real membership tells them.
+// lossSite is a site whose hosts and targets can be lost. Its hosts see a loss
+// with the delays of the real membership.
 type lossSite struct {
 	*site
-	cfg  siteConfig
-	net  *lossyNetwork
-	rng  *rand.Rand // of the membership's delays
-	maps fixture.Layout
-
-	mu    sync.Mutex
-	fleet []*lossHost
-	byID  map[string]*lossHost
-	lost  map[string]time.Time // targets, since when
+	cfg         siteConfig
+	blackhole   *blackholeNetwork
+	rng         *rand.Rand // for the delays of membership changes
+	shardLayout fixture.Layout
+
+	mu          sync.Mutex
+	lossHosts   []*lossHost
+	byID        map[string]*lossHost
+	lostTargets map[string]time.Time // by target id: the time of the loss
 }
 
 func newLossSite(ctx context.Context, c siteConfig, seed uint64) (*lossSite, error) {
 	if c.network == nil {
 		c.network = loopback{}
 	}
-	lossy := &lossyNetwork{network: c.network, silent: make(map[string]bool)}
+	lossy := &blackholeNetwork{network: c.network, blackholed: make(map[string]bool)}
 	c.network = lossy
 	s := &lossSite{
-		site: &site{listeners: make(map[string]net.Listener), workload: c.place.workload},
-		cfg:  c,
-		net:  lossy,
-		rng:  rand.New(rand.NewPCG(seed, seed)),
-		byID: make(map[string]*lossHost),
-		lost: make(map[string]time.Time),
+		site:        &site{listeners: make(map[string]net.Listener), workload: c.kind.workload},
+		cfg:         c,
+		blackhole:   lossy,
+		rng:         rand.New(rand.NewPCG(seed, seed)),
+		byID:        make(map[string]*lossHost),
+		lostTargets: make(map[string]time.Time),
 	}
 	layout, err := s.layout(c)
 	if err != nil {
 		return nil, err
 	}
-	s.maps = layout
+	s.shardLayout = layout
 	s.catalog = newFixedCatalog(layout, s.workload, c.rules)
 	for i := range s.catalog.services[1:] {
-		s.catalog.services[i+1].Urgency = query.Deferrable // see asker
+		s.catalog.services[i+1].Urgency = query.Deferrable // see lossSearchFunc
 	}
 	s.startTargets(layout)
-	hosts := hostsOf(c.hosts, layout.Domains)
+	hosts := newHosts(c.hosts, layout.Domains)
 	for _, h := range hosts {
 		if err := s.startHost(ctx, h, hosts); err != nil {
 			s.close()
@@ -67,23 +67,24 @@
 	return s, nil
 }
 
-// startHost starts the entry and the relay of a host that knows the others.
+// startHost starts the entry and the relay of a host whose membership view
+// begins with the given hosts.
 func (s *lossSite) startHost(ctx context.Context, h member.Host, known []member.Host) error {
-	members := newChangingMembers(h.ID, known)
+	members := newDelayedMembers(h.ID, known)
 	host := &lossHost{
 		siteHost: &siteHost{metrics: prometheus.NewRegistry()},
-		member:   h, members: members, asked: true, gone: make(chan struct{}),
+		member:   h, members: members, receivesRequests: true, unresponsive: make(chan struct{}),
 	}
 	host.relay = relay.New(relayConfig(), s.catalog, members, nil, event.Discard(), host.metrics)
 	host.relay.DialWith(s.cfg.network.dial)
 	if err := host.relay.Start(ctx); err != nil {
 		return Error.New("start relay of %s: %w", h.ID, err)
 	}
-	access := &lossAccess{site: s, self: h.ID}
-	host.entry = entry.New(entry.DefaultConfig(), s.catalog, members, access, alwaysFresh{}, noRecords{}, host.metrics)
+	access := &lossSiteRelays{site: s, self: h.ID}
+	host.entry = entry.New(entry.DefaultConfig(), s.catalog, members, access, neverStale{}, discardRecorder{}, host.metrics)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet = append(s.fleet, host)
+	s.lossHosts = append(s.lossHosts, host)
 	s.byID[h.ID] = host
 	s.hosts = append(s.hosts, host.siteHost)
 	return nil
@@ -95,24 +96,25 @@
 	return s.byID[id]
 }
 
-// others returns the hosts that are not lost, but for one.
-func (s *lossSite) others(id string) []*lossHost {
+// runningHostsExcept returns the hosts that are neither killed nor frozen,
+// without the one with the given id.
+func (s *lossSite) runningHostsExcept(id string) []*lossHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*lossHost
-	for _, h := range s.fleet {
-		if f := h.state(); h.member.ID != id && f != hostKilled && f != hostFrozen {
+	for _, h := range s.lossHosts {
+		if f := h.currentFault(); h.member.ID != id && f != hostKilled && f != hostFrozen {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// busiest returns the host that relays most services.
-func (s *lossSite) busiest() *lossHost {
+// busiestRelay returns the host that relays the most services.
+func (s *lossSite) busiestRelay() *lossHost {
 	var most *lossHost
 	count := -1
-	for _, h := range s.others("") {
+	for _, h := range s.runningHostsExcept("") {
 		n := 0
 		for _, c := range s.catalog.services {
 			if h.relay.Assigned(c.Name) {
@@ -126,19 +128,19 @@
 	return most
 }
 
-// spare takes the hosts out of those that get callers' requests.
-func (s *lossSite) spare(hosts ...*lossHost) {
+// removeFromBalancer stops sending requests of callers to the hosts.
+func (s *lossSite) removeFromBalancer(hosts ...*lossHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range hosts {
-		h.asked = false
+		h.receivesRequests = false
 	}
 }
 
-// inDomain returns the hosts of a failure domain.
-func (s *lossSite) inDomain(domain string) []*lossHost {
+// hostsInDomain returns the running hosts of a failure domain.
+func (s *lossSite) hostsInDomain(domain string) []*lossHost {
 	var in []*lossHost
-	for _, h := range s.others("") {
+	for _, h := range s.runningHostsExcept("") {
 		if h.member.FailureDomain == domain {
 			in = append(in, h)
 		}
@@ -146,62 +148,64 @@
 	return in
 }
 
-// lose puts a fault in force at hosts; if it silences them, the others learn
-// of it as of a death.
-func (s *lossSite) lose(f hostFault, hosts ...*lossHost) {
+// injectHostFault injects a fault into hosts. Unless the fault is hostSlow, the
+// other hosts detect it as a death.
+func (s *lossSite) injectHostFault(f hostFault, hosts ...*lossHost) {
 	for _, h := range hosts {
-		h.suffer(f)
+		h.setFault(f)
 	}
 	if f == hostSlow {
 		return
 	}
 	for _, h := range hosts {
-		for _, o := range s.others(h.member.ID) {
-			o.members.learnDeath(s.rng, h.member)
+		for _, o := range s.runningHostsExcept(h.member.ID) {
+			o.members.scheduleDeath(s.rng, h.member)
 		}
 	}
 }
 
-// loseTargets makes the targets of a failure domain go: killed, their
-// connections are cut and new ones refused; frozen, they are never answered.
+// loseTargets kills or freezes the targets of a failure domain. The connections of
+// killed targets are closed and new ones refused; frozen targets accept no
+// connection and answer no request.
 func (s *lossSite) loseTargets(f hostFault, domain string) {
 	cut, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i, t := range s.targets {
-		conf := s.target(t.ID())
+		conf := s.targetByID(t.ID())
 		if conf.FailureDomain != domain {
 			continue
 		}
 		s.mu.Lock()
-		s.lost[t.ID()] = time.Now()
+		s.lostTargets[t.ID()] = time.Now()
 		s.mu.Unlock()
 		if f == hostKilled {
-			_ = s.servers[i].Shutdown(cut) // ends with an error, as it is cut
+			_ = s.servers[i].Shutdown(cut) // returns an error, as the context has ended
 			continue
 		}
-		s.net.silence(conf.Address)
+		s.blackhole.dropAddress(conf.Address)
 		t.SetFaults(target.Faults{Freeze: target.FreezeBefore, FreezeStatus: true})
 	}
 }
 
-// lossyNetwork is a network in which some addresses never answer.
-type lossyNetwork struct {
+// blackholeNetwork is a network in which connection attempts to some addresses
+// hang until the context ends.
+type blackholeNetwork struct {
 	network
-	mu     sync.Mutex
-	silent map[string]bool
+	mu         sync.Mutex
+	blackholed map[string]bool
 }
 
-func (n *lossyNetwork) silence(address string) {
+func (n *blackholeNetwork) dropAddress(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent[address] = true
+	n.blackholed[address] = true
 }
 
-func (n *lossyNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (n *blackholeNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	n.mu.Lock()
-	silent := n.silent[address]
+	blackholed := n.blackholed[address]
 	n.mu.Unlock()
-	if silent {
+	if blackholed {
 		<-ctx.Done()
 		return nil, Error.New("dial %s: %w", address, ctx.Err())
 	}
--- a/internal/load/relayloss_test.go
+++ b/internal/load/relayloss_test.go
@@ -12,13 +12,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin"
 )
 
-var lossTables = flag.Int("loss-tables", 0, "write the tables of the losses in virtual time, each over so many seeds")
+var lossTables = flag.Int("loss-tables", 0, "number of seeds for the loss experiments in virtual time, whose tables are written; 0 skips them")
 
-// virtualLoss returns a measurer in virtual time.
-func virtualLoss(t *testing.T) lossMeasurer {
-	return func(_ context.Context, o Options, x lossTrial) (c *course, err error) {
+// virtualLossMeasure returns a lossMeasureFunc that runs in virtual time over an
+// in-memory network.
+func virtualLossMeasure(t *testing.T) lossMeasureFunc {
+	return func(_ context.Context, o Options, x lossTrial) (c *lossRun, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			x.site.network = memory{standin.NewNetwork()}
+			x.site.network = memoryNetwork{standin.NewNetwork()}
 			c, err = measureLoss(t.Context(), o, x)
 			synctest.Wait()
 		})
@@ -28,55 +29,56 @@
 
 func TestLossTables(t *testing.T) {
 	if *lossTables == 0 {
-		t.Skip("wants -loss-tables")
+		t.Skip("needs -loss-tables")
 	}
 	is := is.New(t)
 	o := Options{Seed: 1}
-	relays, err := relayLossBy(t.Context(), o, virtualLoss(t), *lossTables)
+	relays, err := relayLossBy(t.Context(), o, virtualLossMeasure(t), *lossTables)
 	is.NoErr(err)
 	is.NoErr(Experiment{Name: "relayloss"}.Write(os.Stdout, relays))
-	domains, err := domainLossBy(t.Context(), o, virtualLoss(t), *lossTables)
+	domains, err := domainLossBy(t.Context(), o, virtualLossMeasure(t), *lossTables)
 	is.NoErr(err)
 	is.NoErr(Experiment{Name: "domainloss"}.Write(os.Stdout, domains))
 }
 
-// TestSearchesSurviveALostRelay loses the host that relays most services.
+// TestSearchesSurviveALostRelay kills, freezes or slows the host that relays the
+// most services.
 func TestSearchesSurviveALostRelay(t *testing.T) {
 	for _, f := range []hostFault{hostKilled, hostFrozen, hostSlow} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			survives(t, lostRelayTrial(f), courses.relayVerdicts)
+			checkTrial(t, lostRelayTrial(f), lossRuns.relayVerdicts)
 		})
 	}
 }
 
 func TestSearchesSurviveTheReplacementOfAllHosts(t *testing.T) {
 	t.Parallel()
-	survives(t, replacedTrial(), courses.relayVerdicts)
+	checkTrial(t, replaceAllTrial(), lossRuns.relayVerdicts)
 }
 
-// TestSearchesSurviveALostDomain loses a third or a quarter of hosts and
-// targets at once. With one replica a shard, coverage is what the targets left
-// hold.
+// TestSearchesSurviveALostDomain loses a third or a quarter of the hosts and
+// targets at once. With one replica per shard, the possible coverage is that of
+// the shards on the remaining targets.
 func TestSearchesSurviveALostDomain(t *testing.T) {
 	var trials []lossTrial
-	for _, p := range []place{kolkata, nordeste} {
+	for _, p := range []siteKind{guestPortalSite, vitrineSite} {
 		trials = append(trials, lostDomainTrial(p, hostKilled, 0), lostDomainTrial(p, hostFrozen, 0),
 			lostDomainTrial(p, hostKilled, 1))
 	}
 	for _, x := range trials {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			survives(t, x, courses.domainVerdicts)
+			checkTrial(t, x, lossRuns.domainVerdicts)
 		})
 	}
 }
 
-func survives(t *testing.T, x lossTrial, verdicts func(courses, lossTrial) []Verdict) {
+func checkTrial(t *testing.T, x lossTrial, verdicts func(lossRuns, lossTrial) []Verdict) {
 	t.Helper()
-	cs, err := measureSeeds(t.Context(), Options{Seed: 1}, virtualLoss(t), 1, x)
+	cs, err := measureSeeds(t.Context(), Options{Seed: 1}, virtualLossMeasure(t), 1, x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, cs.reports(x, true), verdicts(cs, x))
+	checkVerdicts(t, cs.reports(x, true), verdicts(cs, x))
 }
--- a/internal/load/relayloss_truth.go
+++ b/internal/load/relayloss_truth.go
@@ -8,16 +8,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// truth is what an answer says of its coverage, held against its rows and
-// against what the targets hold.
-type truth struct {
-	untrue   bool    // rows and coverage differ, or a shard was answered that nobody could answer
-	possible float64 // part of the shards that some target held throughout
+// coverageCheck is the result of comparing the coverage stated by an answer with
+// its rows and with the shards that targets store.
+type coverageCheck struct {
+	wrong            bool    // coverage and rows differ, or a shard was answered that no target could answer
+	possibleCoverage float64 // fraction of the shards stored on a target that is still not lost
 }
 
-// target returns the settings of a target.
-func (s *lossSite) target(id string) catalog.Target {
-	for _, c := range s.maps.Services {
+// targetByID returns the settings of a target, or the zero value.
+func (s *lossSite) targetByID(id string) catalog.Target {
+	for _, c := range s.shardLayout.Services {
 		for _, t := range c.Targets {
 			if t.ID == id {
 				return t
@@ -27,48 +27,49 @@
 	return catalog.Target{}
 }
 
-// judge checks an answer to a search of some services that began at a time.
-// The search asked for all rows, so each shard that was answered has some.
-func (s *lossSite) judge(a *query.Answer, services []catalog.Service, began time.Time) truth {
+// checkCoverage checks the answer to a search of the services that began at the
+// given time. The search has no row limit, so each shard that was answered has
+// rows in the answer.
+func (s *lossSite) checkCoverage(a *query.Answer, services []catalog.Service, began time.Time) coverageCheck {
 	answered := make(map[query.ShardKey]bool)
 	for _, r := range a.Rows {
 		answered[query.ShardKey{Service: r.Service, Shard: r.Shard}] = true
 	}
-	v := truth{untrue: len(answered) != a.Coverage.Answered}
-	held, all := 0, 0
+	check := coverageCheck{wrong: len(answered) != a.Coverage.Answered}
+	possible, all := 0, 0
 	for _, c := range services {
-		for shard := range uint32(siteShards) {
+		for shard := range uint32(shardsPerService) {
 			key := query.ShardKey{Service: c.Name, Shard: shard}
 			all++
-			throughout, once := s.held(key, began)
+			throughout, atStart := s.shardAvailable(key, began)
 			if throughout {
-				held++
+				possible++
 			}
 			missing := slices.Contains(a.Coverage.Missing, key)
-			if answered[key] == missing || (answered[key] && !once) {
-				v.untrue = true
+			if answered[key] == missing || (answered[key] && !atStart) {
+				check.wrong = true
 			}
 		}
 	}
-	v.untrue = v.untrue || a.Coverage.Shards != all
-	v.possible = ratio(float64(held), float64(all))
-	return v
+	check.wrong = check.wrong || a.Coverage.Shards != all
+	check.possibleCoverage = ratio(float64(possible), float64(all))
+	return check
 }
 
-// held reports whether a target that holds the shard is there still, and
-// whether one was at the time. What a target holds is read from its own
-// settings, not from the shard map.
-func (s *lossSite) held(key query.ShardKey, at time.Time) (throughout, once bool) {
+// shardAvailable reports whether a target that stores the shard is not lost yet,
+// and whether one was not lost at the given time. The shards of a target are
+// read from its own settings, not from the shard map.
+func (s *lossSite) shardAvailable(key query.ShardKey, at time.Time) (throughout, atStart bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.maps.Targets {
+	for _, c := range s.shardLayout.Targets {
 		h, ok := c.Services[key.Service]
 		if !ok || !slices.Contains(h.Shards, key.Shard) {
 			continue
 		}
-		since, lost := s.lost[c.ID]
+		since, lost := s.lostTargets[c.ID]
 		throughout = throughout || !lost
-		once = once || !lost || !since.Before(at)
+		atStart = atStart || !lost || !since.Before(at)
 	}
-	return throughout, once
+	return throughout, atStart
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,33 +9,33 @@
 	"text/tabwriter"
 )
 
-// Report is what one run showed. Latencies are of answers, in milliseconds,
-// from the intended start.
+// Report is the result of one run. Latencies are those of answers unless noted,
+// in milliseconds from the scheduled start.
 type Report struct {
-	Name        string         `json:"name"`
-	Rate        float64        `json:"rate"` // offered, requests a second
-	Offered     int            `json:"offered"`
-	Answered    int            `json:"answered"`
-	Complete    int            `json:"complete"` // answered with every shard
-	Failed      int            `json:"failed"`   // neither answer nor refusal
-	Unsent      int            `json:"unsent"`   // too many were in flight
-	Refused     map[string]int `json:"refused"`  // by reason
-	Goodput     float64        `json:"goodput"`  // complete answers a second
-	Coverage    float64        `json:"coverage"` // mean over answers
-	P50         float64        `json:"p50_ms"`
-	P99         float64        `json:"p99_ms"`
-	P999        float64        `json:"p999_ms"`
-	RefusalP99  float64        `json:"refusal_p99_ms"`
-	WaitP99     float64        `json:"wait_p99_ms"`           // of answers, and of refusals because the budget had ended
-	Extra       float64        `json:"extra_load"`            // attempts over needed ones, less 1
-	Sheds       int            `json:"sheds"`                 // by targets; experiments only
-	Connections int            `json:"connections,omitempty"` // most at one target; experiments only
-	Dials       int            `json:"dials,omitempty"`       // connections opened; experiments only
-	Spurned     int            `json:"spurned,omitempty"`     // connections over a target's limit; experiments only
+	Name               string         `json:"name"`
+	Rate               float64        `json:"rate"` // offered requests per second
+	Offered            int            `json:"offered"`
+	Answered           int            `json:"answered"`
+	Complete           int            `json:"complete"` // answered with every shard
+	Failed             int            `json:"failed"`   // neither a valid answer nor a refusal
+	Unsent             int            `json:"unsent"`   // not sent, as too many requests were in flight
+	Refused            map[string]int `json:"refused"`  // by reason
+	Goodput            float64        `json:"goodput"`  // complete answers per second
+	Coverage           float64        `json:"coverage"` // mean over answers
+	P50                float64        `json:"p50_ms"`
+	P99                float64        `json:"p99_ms"`
+	P999               float64        `json:"p999_ms"`
+	RefusalP99         float64        `json:"refusal_p99_ms"`
+	WaitP99            float64        `json:"wait_p99_ms"`           // of answers, and of refusals because the budget ended
+	ExtraLoad          float64        `json:"extra_load"`            // attempts over needed attempts, minus 1
+	Sheds              int            `json:"sheds"`                 // requests shed by targets; experiments only
+	MaxConnections     int            `json:"connections,omitempty"` // most connections to one target; experiments only
+	Dials              int            `json:"dials,omitempty"`       // connections opened; experiments only
+	ConnectionsRefused int            `json:"spurned,omitempty"`     // refused, as over the limit of a target; experiments only
 }
 
-// RefusedAll returns the refusals of all reasons.
-func (r Report) RefusedAll() int {
+// RefusedTotal returns the number of refusals for all reasons.
+func (r Report) RefusedTotal() int {
 	n := 0
 	for _, count := range r.Refused {
 		n += count
@@ -53,16 +53,16 @@
 	return nil
 }
 
-const tableHead = "run\toffered/s\tgoodput/s\tp50 ms\tp99 ms\tp99.9 ms\tcoverage\textra %\tsheds\trefused\trefusal p99 ms\tfailed\tconns\tdials\tspurned"
+const tableHeader = "run\toffered/s\tgoodput/s\tp50 ms\tp99 ms\tp99.9 ms\tcoverage\textra %\tsheds\trefused\trefusal p99 ms\tfailed\tconns\tdials\tconns refused"
 
-// WriteTable writes one line a report.
+// WriteTable writes the reports as a table with one line per report.
 func WriteTable(w io.Writer, reports []Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, tableHead+"\t")
+	fmt.Fprintln(t, tableHeader+"\t")
 	for _, r := range reports {
 		fmt.Fprintf(t, "%s\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.4f\t%.2f\t%d\t%s\t%.1f\t%d\t%d\t%d\t%d\t\n",
-			r.Name, r.Rate, r.Goodput, r.P50, r.P99, r.P999, r.Coverage, 100*r.Extra, r.Sheds,
-			refusals(r), r.RefusalP99, r.Failed+r.Unsent, r.Connections, r.Dials, r.Spurned)
+			r.Name, r.Rate, r.Goodput, r.P50, r.P99, r.P999, r.Coverage, 100*r.ExtraLoad, r.Sheds,
+			refusalsText(r), r.RefusalP99, r.Failed+r.Unsent, r.MaxConnections, r.Dials, r.ConnectionsRefused)
 	}
 	if err := t.Flush(); err != nil {
 		return Error.New("write table: %w", err)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func refusals(r Report) string {
+func refusalsText(r Report) string {
 	if len(r.Refused) == 0 {
 		return "0"
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,44 +9,46 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// result is how one request ended.
+// result is the outcome of one request.
 type result struct {
 	answered bool
-	failed   bool         // no word at all: connection lost, or not a valid answer
+	failed   bool         // connection lost or invalid response
 	reason   query.Reason // of a refusal
 	coverage float64      // of an answer
 	attempts int
 	needed   int
 }
 
-// asker sends one request and returns its end; index is that of the arrival.
-type asker func(ctx context.Context, index int) result
+// searchFunc sends one request and returns its result; index is that of the
+// arrival.
+type searchFunc func(ctx context.Context, index int) result
 
-// drive sends every arrival at its time, whatever became of those before, and
-// returns what was recorded when all have ended.
-func drive(ctx context.Context, starts []time.Duration, outstanding int, ask asker) (*recording, error) {
-	rec := newRecording()
+// sendArrivals sends every request at its scheduled time, independent of earlier
+// requests, and returns the recorder when all have ended. Arrivals above the
+// maximum in flight are only counted.
+func sendArrivals(ctx context.Context, starts []time.Duration, outstanding int, search searchFunc) (*recorder, error) {
+	rec := newRecorder()
 	var inFlight atomic.Int64
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	begin := time.Now()
 	for i, offset := range starts {
 		if err := sleepUntil(ctx, begin.Add(offset)); err != nil {
 			break
 		}
 		if inFlight.Load() >= int64(outstanding) {
-			rec.unsent()
+			rec.addUnsent()
 			continue
 		}
 		inFlight.Add(1)
-		all.Go(func() {
+		requests.Go(func() {
 			defer inFlight.Add(-1)
-			r := ask(ctx, i)
+			r := search(ctx, i)
 			rec.add(time.Since(begin.Add(offset)), r)
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	if err := ctx.Err(); err != nil {
-		return rec, Error.New("run ended early: %w", err)
+		return rec, Error.New("run was interrupted: %w", err)
 	}
 	return rec, nil
 }
@@ -66,8 +68,8 @@
 	}
 }
 
-// Run offers the load of the configuration to the callers' API and returns
-// what came of it. A run cut short returns the report so far and an error.
+// Run generates the configured load on the callers' API and returns the report.
+// If the context ends early, it returns the report so far and an error.
 func Run(ctx context.Context, c Config) (Report, error) {
 	if err := c.Validate(); err != nil {
 		return Report{}, err
@@ -75,6 +77,6 @@
 	client := newClient(c)
 	defer client.close()
 	starts := arrivals(c.Rate, c.Duration.Std(), c.Seed)
-	rec, err := drive(ctx, starts, c.Outstanding, client.ask)
+	rec, err := sendArrivals(ctx, starts, c.Outstanding, client.search)
 	return rec.report("run", c.Rate, len(starts), c.Duration.Std()), err
 }
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// arrivals returns the intended starts of a Poisson process, as offsets from
-// the start of the run. The same seed gives the same arrivals.
+// arrivals returns the scheduled starts of the requests of a Poisson process with
+// the given rate per second, as offsets from the start of the run. The same seed
+// gives the same arrivals.
 func arrivals(rate float64, span time.Duration, seed uint64) []time.Duration {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var starts []time.Duration
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -23,42 +23,43 @@
 )
 
 const (
-	siteShards   = 3
-	serviceMean  = 20 * time.Millisecond // long, so that the machine is not what binds
-	serviceSigma = 0.3
-	hop          = 2 * time.Millisecond // there and back between hosts
-	stopWait     = 5 * time.Second
+	shardsPerService = 3
+	meanServiceTime  = 20 * time.Millisecond // long enough that targets, not the CPU of the machine, are the bottleneck
+	serviceTimeSigma = 0.3
+	hostRoundTrip    = 2 * time.Millisecond // network round trip between hosts
+	stopTimeout      = 5 * time.Second
 )
 
-// place is a workload of 10 services of 3 targets.
-type place struct {
+// siteKind is a layout with the workload that is searched: 10 services with 3
+// targets each.
+type siteKind struct {
 	workload string
-	slots    int // of a target
+	slots    int // per target
 	layout   func(fixture.Options) fixture.Layout
 }
 
 var (
-	kolkata  = place{"guest-portal", 2, fixture.Kolkata}
-	nordeste = place{"vitrine", 3, fixture.Nordeste}
+	guestPortalSite = siteKind{"guest-portal", 2, fixture.Kolkata}
+	vitrineSite     = siteKind{"vitrine", 3, fixture.Nordeste}
 )
 
-// capacity returns the queries a second that the slots of the place can run.
-func (p place) capacity() float64 {
+// capacity returns the queries per second that the slots of all targets can run.
+func (p siteKind) capacity() float64 {
 	const services, targets = 10, 3
-	perSecond := float64(services*targets*p.slots) * float64(time.Second) / float64(serviceMean)
-	return perSecond / (services * siteShards)
+	perSecond := float64(services*targets*p.slots) * float64(time.Second) / float64(meanServiceTime)
+	return perSecond / (services * shardsPerService)
 }
 
-// siteConfig is one workload in this process: the real entries and relays of
-// some hosts over target stand-ins.
+// siteConfig is the configuration of a site in this process: the real entries
+// and relays of some hosts, over stand-ins for the targets of one workload.
 type siteConfig struct {
-	place       place
+	kind        siteKind
 	hosts       int
 	rules       catalog.Rules
-	direct      bool    // every decision off: see direct
-	connections int     // direct: to one target from one host, 0 for no limit
-	retries     int     // direct
-	queue       int     // of a target; 0 is the stand-in's default
+	direct      bool    // hosts call targets without the policies of a relay: see directSearcher
+	connections int     // with direct: maximum from one host to one target; 0: no limit
+	retries     int     // with direct: after a failed attempt
+	queue       int     // queue length of a target; 0: the default of the stand-in
 	network     network // nil: loopback
 }
 
@@ -68,7 +69,7 @@
 	dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// loopback is the network of the machine.
+// loopback is the loopback interface of the machine.
 type loopback struct{}
 
 func (loopback) listen(string) (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
@@ -78,7 +79,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// site is started by newSite and ended by close.
+// site is a running site. It is started by newSite and stopped by close.
 type site struct {
 	listeners map[string]net.Listener
 	targets   []*target.Target
@@ -92,7 +93,7 @@
 type siteHost struct {
 	entry   *entry.Entry
 	relay   *relay.Relay
-	direct  *direct
+	direct  *directSearcher
 	metrics *prometheus.Registry
 }
 
@@ -103,7 +104,7 @@
 	s := &site{
 		listeners: make(map[string]net.Listener),
 		searchers: make(map[string]relay.Searcher),
-		workload:  c.place.workload,
+		workload:  c.kind.workload,
 	}
 	layout, err := s.layout(c)
 	if err != nil {
@@ -111,7 +112,7 @@
 	}
 	s.catalog = newFixedCatalog(layout, s.workload, c.rules)
 	s.startTargets(layout)
-	hosts := hostsOf(c.hosts, layout.Domains)
+	hosts := newHosts(c.hosts, layout.Domains)
 	for i := range hosts {
 		if err := s.startHost(ctx, c, &fixedMembers{self: i, hosts: hosts}); err != nil {
 			s.close()
@@ -121,7 +122,7 @@
 	return s, nil
 }
 
-// layout makes the layout and listens for every target of it.
+// layout creates the layout and a listener for each of its targets.
 func (s *site) layout(c siteConfig) (fixture.Layout, error) {
 	var failed error
 	address := func(id string) string {
@@ -134,12 +135,12 @@
 		return ln.Addr().String()
 	}
 	edit := func(t *target.Config) {
-		t.ServiceTime = standin.Latency{Mean: unit.Duration(serviceMean), Sigma: serviceSigma}
+		t.ServiceTime = standin.Latency{Mean: unit.Duration(meanServiceTime), Sigma: serviceTimeSigma}
 		if c.queue > 0 {
 			t.QueueLength = c.queue
 		}
 	}
-	return c.place.layout(fixture.Options{Address: address, Shards: siteShards, Edit: edit}), failed
+	return c.kind.layout(fixture.Options{Address: address, Shards: shardsPerService, Edit: edit}), failed
 }
 
 func (s *site) startTargets(l fixture.Layout) {
@@ -151,7 +152,7 @@
 		}
 		t := target.New(c)
 		server := target.NewServer(t)
-		go func() { _ = server.Serve(ln) }() // ends with Shutdown
+		go func() { _ = server.Serve(ln) }() // returns after Shutdown
 		s.targets = append(s.targets, t)
 		s.servers = append(s.servers, server)
 	}
@@ -161,7 +162,7 @@
 	h := &siteHost{metrics: prometheus.NewRegistry()}
 	id := members.Self().ID
 	if c.direct {
-		h.direct = newDirect(s.catalog, c.network, c.connections, c.retries)
+		h.direct = newDirectSearcher(s.catalog, c.network, c.connections, c.retries)
 		s.searchers[id] = h.direct
 	} else {
 		h.relay = relay.New(relayConfig(), s.catalog, members, nil, event.Discard(), h.metrics)
@@ -171,14 +172,14 @@
 		}
 		s.searchers[id] = h.relay
 	}
-	access := &access{site: s, self: id, direct: c.direct}
-	h.entry = entry.New(entry.DefaultConfig(), s.catalog, members, access, alwaysFresh{}, noRecords{}, h.metrics)
+	access := &siteRelays{site: s, self: id, direct: c.direct}
+	h.entry = entry.New(entry.DefaultConfig(), s.catalog, members, access, neverStale{}, discardRecorder{}, h.metrics)
 	s.hosts = append(s.hosts, h)
 	return nil
 }
 
-// relayConfig is the default but for the ramp of targets newly seen: the runs
-// measure the steady state.
+// relayConfig returns the default configuration without the ramp-up of new
+// targets, as the runs measure the steady state.
 func relayConfig() relay.Config {
 	c := relay.DefaultConfig()
 	c.ColdRamp = 0
@@ -186,16 +187,16 @@
 }
 
 func (s *site) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, t := range s.targets {
-		t.SetFaults(target.Faults{}) // lets frozen requests end
+		t.SetFaults(target.Faults{}) // releases frozen requests
 	}
 	for _, h := range s.hosts {
 		h.close(ctx)
 	}
 	for _, server := range s.servers {
-		_ = server.Shutdown(ctx) // what is cut here belongs to no run
+		_ = server.Shutdown(ctx) // the run is over, aborted requests don't count
 	}
 }
 
@@ -207,8 +208,8 @@
 	_ = h.relay.Stop(ctx) // the run is over
 }
 
-// fault puts faults in force at some targets.
-func (s *site) fault(f target.Faults, pick func(t *target.Target) bool) {
+// setFaults injects faults into the targets that pick selects.
+func (s *site) setFaults(f target.Faults, pick func(t *target.Target) bool) {
 	for _, t := range s.targets {
 		if pick(t) {
 			t.SetFaults(f)
@@ -216,8 +217,9 @@
 	}
 }
 
-// asker spreads the requests over the hosts as a balancer would.
-func (s *site) asker(seed uint64, budget time.Duration) asker {
+// searchFunc returns a function that distributes the requests over the hosts as
+// a load balancer does.
+func (s *site) searchFunc(seed uint64, budget time.Duration) searchFunc {
 	return func(ctx context.Context, index int) result {
 		e := s.hosts[index%len(s.hosts)].entry
 		answer, refusal := e.Search(ctx, query.Search{
@@ -240,37 +242,39 @@
 	}
 }
 
-// access gives an entry the relays of the site; those of other hosts are a
+// siteRelays implements entry.Relays for one host. Relays on other hosts are a
 // round trip away.
-type access struct {
+type siteRelays struct {
 	site   *site
 	self   string
 	direct bool
 }
 
-// Searcher implements entry.Relays. Direct hosts ask no other.
-func (a *access) Searcher(h member.Host) relay.Searcher {
+// Searcher implements entry.Relays. With direct, a host always uses its own
+// searcher.
+func (a *siteRelays) Searcher(h member.Host) relay.Searcher {
 	if a.direct {
 		return a.site.searchers[a.self]
 	}
 	if h.ID == a.self {
 		return a.site.searchers[h.ID]
 	}
-	return &distant{a.site.searchers[h.ID]}
+	return &remoteRelay{a.site.searchers[h.ID]}
 }
 
-// Reserver implements entry.Relays; the runs reserve nothing.
-func (a *access) Reserver(member.Host) claim.Reserver { return nil }
+// Reserver implements entry.Relays. It is unused, as the runs reserve nothing.
+func (a *siteRelays) Reserver(member.Host) claim.Reserver { return nil }
 
-// distant is a relay on another host. The whole round trip is waited for
-// before the work: results come back one by one and must not wait in a row.
-type distant struct{ relay.Searcher }
+// remoteRelay is a relay on another host. It sleeps for the whole round trip
+// before the search: results are emitted one by one, and a delay for each of
+// them would add up.
+type remoteRelay struct{ relay.Searcher }
 
 // Search implements relay.Searcher.
-func (d *distant) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
-	if err := sleepUntil(ctx, time.Now().Add(hop)); err != nil {
-		return fmt.Errorf("reach relay: %w", err)
+func (d *remoteRelay) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	if err := sleepUntil(ctx, time.Now().Add(hostRoundTrip)); err != nil {
+		return fmt.Errorf("send search to remote relay: %w", err)
 	}
-	b.Budget -= hop
+	b.Budget -= hostRoundTrip
 	return d.Searcher.Search(ctx, b, emit)
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -6,20 +6,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/target"
 )
 
-// Names of the relay's metrics that the runs read.
+// Names of the metrics of relays that the runs read.
 const (
 	metricAttempts = "rhubarbwood_relay_attempts_total"
 	metricHedges   = "rhubarbwood_relay_hedges_total"
 	metricRetries  = "rhubarbwood_relay_retries_total"
 )
 
-// tally is what hosts and targets of a site counted so far.
+// tally is a snapshot of the counters of the hosts and targets of a site.
 type tally struct {
-	attempts, first  float64
-	sheds            int
-	connectionsMost  int // at one target
-	connectionsOpen  int // ever opened, all targets
-	connectionsSpurn int // over a target's limit
+	attempts, firstAttempts float64
+	sheds                   int
+	maxConnections          int // maximum at one target
+	connectionsOpened       int // to all targets
+	connectionsRefused      int // over a target's limit
 }
 
 func (s *site) tally() tally {
@@ -30,9 +30,9 @@
 	for _, x := range s.targets {
 		c := x.Counters()
 		t.sheds += int(c.Count(target.ResultShed))
-		t.connectionsMost = max(t.connectionsMost, c.ConnectionsMax)
-		t.connectionsOpen += int(c.ConnectionsOpened)
-		t.connectionsSpurn += int(c.ConnectionsRefused)
+		t.maxConnections = max(t.maxConnections, c.ConnectionsMax)
+		t.connectionsOpened += int(c.ConnectionsOpened)
+		t.connectionsRefused += int(c.ConnectionsRefused)
 	}
 	return t
 }
@@ -40,34 +40,34 @@
 func (t *tally) addHost(h *siteHost) {
 	if h.direct != nil {
 		t.attempts += float64(h.direct.attempts.Load())
-		t.first += float64(h.direct.first.Load())
+		t.firstAttempts += float64(h.direct.firstAttempts.Load())
 		return
 	}
 	attempts := counterOf(h.metrics, metricAttempts)
 	t.attempts += attempts
-	t.first += attempts - counterOf(h.metrics, metricHedges) - counterOf(h.metrics, metricRetries)
+	t.firstAttempts += attempts - counterOf(h.metrics, metricHedges) - counterOf(h.metrics, metricRetries)
 }
 
-// since returns what was counted after an earlier tally. The most connections
-// are those ever held.
-func (t tally) since(before tally) tally {
+// minus returns the increase since an earlier tally. maxConnections is not
+// reduced: it is the maximum since the start of the site.
+func (t tally) minus(before tally) tally {
 	t.attempts -= before.attempts
-	t.first -= before.first
+	t.firstAttempts -= before.firstAttempts
 	t.sheds -= before.sheds
-	t.connectionsOpen -= before.connectionsOpen
-	t.connectionsSpurn -= before.connectionsSpurn
+	t.connectionsOpened -= before.connectionsOpened
+	t.connectionsRefused -= before.connectionsRefused
 	return t
 }
 
-// into fills the fields of a report that only the site knows. Its extra load
-// also counts the attempts of requests that were refused in the end.
-func (t tally) into(r *Report) {
+// fillReport sets the fields of a report that come from the counters of the site.
+// The extra load then includes the attempts of requests that were refused.
+func (t tally) fillReport(r *Report) {
 	r.Sheds = t.sheds
-	r.Connections = t.connectionsMost
-	r.Dials = t.connectionsOpen
-	r.Spurned = t.connectionsSpurn
-	if t.first > 0 {
-		r.Extra = t.attempts/t.first - 1
+	r.MaxConnections = t.maxConnections
+	r.Dials = t.connectionsOpened
+	r.ConnectionsRefused = t.connectionsRefused
+	if t.firstAttempts > 0 {
+		r.ExtraLoad = t.attempts/t.firstAttempts - 1
 	}
 }
 
--- a/internal/load/view.go
+++ b/internal/load/view.go
@@ -9,8 +9,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/fixture"
 )
 
-// fixedCatalog is a configuration that does not change; rules already hold
-// their defaults.
+// fixedCatalog is a configuration that doesn't change. Its rules have the
+// defaults filled in.
 type fixedCatalog struct {
 	services  []catalog.Service
 	snapshots []catalog.Snapshot
@@ -54,13 +54,13 @@
 // Revision implements catalog.View.
 func (c *fixedCatalog) Revision() uint64 { return 1 }
 
-// fixedMembers is a membership that does not change, as one host sees it.
+// fixedMembers is the membership view of one host; it doesn't change.
 type fixedMembers struct {
 	self  int
 	hosts []member.Host
 }
 
-func hostsOf(n int, domains []string) []member.Host {
+func newHosts(n int, domains []string) []member.Host {
 	hosts := make([]member.Host, n)
 	for i := range hosts {
 		hosts[i] = member.Host{
@@ -84,14 +84,15 @@
 // Generation implements member.View.
 func (m *fixedMembers) Generation() uint64 { return 1 }
 
-// alwaysFresh is a configuration that is never out of date.
-type alwaysFresh struct{}
+// neverStale implements entry.Freshness for a configuration that is always
+// current.
+type neverStale struct{}
 
 // Stale implements entry.Freshness.
-func (alwaysFresh) Stale() bool { return false }
+func (neverStale) Stale() bool { return false }
 
-// noRecords drops the delivery records.
-type noRecords struct{}
+// discardRecorder discards delivery records.
+type discardRecorder struct{}
 
 // Record implements delivery.Recorder.
-func (noRecords) Record(delivery.Delivery) {}
+func (discardRecorder) Record(delivery.Delivery) {}
--- a/internal/load/virtual_test.go
+++ b/internal/load/virtual_test.go
@@ -9,21 +9,22 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin"
 )
 
-// memory is the network of a site in virtual time: what is measured comes from
-// the decisions alone, whatever else the machine does.
-type memory struct{ network *standin.Network }
+// memoryNetwork is an in-memory network for sites in virtual time. Results then
+// don't depend on other load on the machine.
+type memoryNetwork struct{ network *standin.Network }
 
-func (m memory) listen(id string) (net.Listener, error) { return m.network.Listen(id + ":80") }
+func (m memoryNetwork) listen(id string) (net.Listener, error) { return m.network.Listen(id + ":80") }
 
-func (m memory) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (m memoryNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return m.network.Dial(ctx, network, address)
 }
 
-// virtually returns a measurer in virtual time.
-func virtually(t *testing.T) measurer {
+// virtualMeasure returns a measureFunc that runs in virtual time over an
+// in-memory network.
+func virtualMeasure(t *testing.T) measureFunc {
 	return func(_ context.Context, o Options, x trial) (r Report, err error) {
 		synctest.Test(t, func(t *testing.T) {
-			x.site.network = memory{standin.NewNetwork()}
+			x.site.network = memoryNetwork{standin.NewNetwork()}
 			r, err = measure(t.Context(), o, x)
 			synctest.Wait()
 		})
