--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -134,7 +134,7 @@
 	gs.FailureDomain = s.layout.Domains[0]
 	gs.Addresses = gatewayhost.Addresses{Callers: freePort, Readiness: freePort, Metrics: freePort, Peers: freePort}
 	gs.Platform.Addresses = []string{address}
-	gs.Stop.BalancerLag = 0 // no balancer stands before it
+	gs.Stop.BalancerLag = 0 // there is no load balancer to wait for
 	h, err := gatewayhost.New(gs, gatewayhost.OnPlatform(), o.Log(gs.ID))
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 	}
 	hs.Operators = []host.Operator{{Name: "demo", Token: settings.Secret(Token)}}
 	hs.Platform.Addresses = []string{platform}
-	hs.Stop.BalancerLag = 0 // no balancer stands before it
+	hs.Stop.BalancerLag = 0 // there is no load balancer to wait for
 	return hs
 }
 
--- a/internal/load/domainloss.go
+++ b/internal/load/domainloss.go
@@ -16,9 +16,9 @@
 	settledFrom           = 6 * time.Second // membership has detected the loss
 	mixedInteractiveLoad  = 0.4             // as a fraction of the slots' capacity
 	mixedDeferrableLoad   = 0.45            // additional deferrable load, likewise
-	minDomainAnswered     = 0.99
-	minDomainCoverage     = 0.99 // of the coverage possible with the remaining targets
-	rowsPerShard          = 1    // a row identifies the shard that answered
+	minDomainAnswered     = 0.99            // of the searches offered after the event
+	minDomainCoverage     = 0.99            // of the coverage possible with the remaining targets
+	rowsPerShard          = 1               // a row identifies the shard that answered
 )
 
 // domainLoss removes all hosts and targets of a failure domain at once, in both
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -13,8 +13,8 @@
 	hostsPerSite   = 9
 	warmUpDuration = 2 * time.Second
 	searchBudget   = time.Second
-	lightLoad      = 0.3 // as a fraction of the slots' capacity
-	maxOutstanding = 5000
+	lightLoad      = 0.3  // as a fraction of the slots' capacity
+	maxOutstanding = 5000 // requests in flight, above which arrivals are counted as unsent
 )
 
 // Options of an experiment.
--- a/internal/load/relayloss_run.go
+++ b/internal/load/relayloss_run.go
@@ -15,8 +15,8 @@
 	lossMinCoverage      = 0.5 // accepted by callers, so that partial answers are returned and counted
 	baselineDuration     = 4 * time.Second
 	tallyInterval        = 100 * time.Millisecond
-	deferrableServices   = 9 // number of services that deferrable searches go to
-	deferrableSeedOffset = 1000
+	deferrableServices   = 9    // number of services that deferrable searches go to
+	deferrableSeedOffset = 1000 // added to the seed, so that deferrable arrivals differ from interactive ones
 )
 
 // lossTrial is one run in which an event, such as the loss of hosts or targets,
@@ -24,9 +24,9 @@
 type lossTrial struct {
 	name            string
 	site            siteConfig
-	interactiveLoad float64 // searches of the whole workload, as a fraction of the slots' capacity
-	deferrableLoad  float64 // additional searches of single services, likewise
-	afterEvent      time.Duration
+	interactiveLoad float64       // searches of the whole workload, as a fraction of the slots' capacity
+	deferrableLoad  float64       // additional searches of single services, likewise
+	afterEvent      time.Duration // time from the event to the end of the run
 	brief           bool
 	prepare         func(s *lossSite)                      // called before the warm-up; may be nil
 	event           func(ctx context.Context, s *lossSite) // may take time; intervals are relative to its start
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -25,8 +25,8 @@
 const (
 	shardsPerService = 3
 	meanServiceTime  = 20 * time.Millisecond // long enough that targets, not the CPU of the machine, are the bottleneck
-	serviceTimeSigma = 0.3
-	hostRoundTrip    = 2 * time.Millisecond // network round trip between hosts
+	serviceTimeSigma = 0.3                   // of the log-normal distribution of service times
+	hostRoundTrip    = 2 * time.Millisecond  // network round trip between hosts
 	stopTimeout      = 5 * time.Second
 )
 
