--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -18,16 +18,17 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// fakeEntry answers with what it is given and keeps what it was asked.
+// fakeEntry returns a fixed answer, or the refusal if it is set, and records the
+// requests.
 type fakeEntry struct {
-	search  query.Search
-	asked   int
-	refusal *query.Refusal
+	lastSearch query.Search
+	calls      int
+	refusal    *query.Refusal
 }
 
 func (f *fakeEntry) Search(_ context.Context, q query.Search) (*query.Answer, *query.Refusal) {
-	f.search = q
-	f.asked++
+	f.lastSearch = q
+	f.calls++
 	if f.refusal != nil {
 		f.refusal.RequestID = q.RequestID
 		return nil, f.refusal
@@ -36,7 +37,7 @@
 }
 
 func (f *fakeEntry) Reserve(_ context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
-	f.asked++
+	f.calls++
 	return query.Reservation{RequestID: r.RequestID, ReservationID: r.ReservationID, Outcome: outcome.Done}, nil
 }
 
@@ -64,8 +65,8 @@
 	return NewCallers(DefaultConfig(), "", e, h, event.Discard()).server.Handler
 }
 
-// TestBadRequests checks that each malformed request is refused with a typed
-// reason as not run, and reaches no entry.
+// TestBadRequests checks that each malformed request is refused with a reason and
+// "not_run", and doesn't reach the entry.
 func TestBadRequests(t *testing.T) {
 	long := strings.Repeat("x", int(DefaultConfig().MaxBody))
 	cases := []struct {
@@ -93,13 +94,13 @@
 			is.Equal(fields["not_run"], true)
 			is.Equal(fields["request_id"], "mine")
 			is.Equal(res.Header.Get(headerRequestID), "mine")
-			is.Equal(e.asked, 0)
+			is.Equal(e.calls, 0)
 		})
 	}
 }
 
-// TestRefusalStatus checks the status, the body and the time to come back of
-// each kind of refusal.
+// TestRefusalStatus checks the status, the body and the Retry-After of each kind
+// of refusal.
 func TestRefusalStatus(t *testing.T) {
 	cases := []struct {
 		reason  query.Reason
@@ -138,22 +139,22 @@
 	e := &fakeEntry{}
 	res, fields := call(callers(e, &fakeHost{}), "/v1/search", `{"workload":"w","text":"pot"}`, "X-Budget-Ms", "0.5", "X-Caller", "shop")
 	is.Equal(res.StatusCode, 200)
-	is.Equal(e.search.Budget, 500*time.Microsecond)
-	is.Equal(e.search.MinCoverage, 1.0)
-	is.Equal(e.search.Caller, "shop")
+	is.Equal(e.lastSearch.Budget, 500*time.Microsecond)
+	is.Equal(e.lastSearch.MinCoverage, 1.0)
+	is.Equal(e.lastSearch.Caller, "shop")
 	coverage := fields["coverage"].(map[string]any)
 	is.Equal(coverage["complete"], false)
 	is.Equal(coverage["missing"], []any{"s/1"})
 	for _, b := range []string{"0", "-3", "NaN", "-Inf"} {
 		call(callers(e, &fakeHost{}), "/v1/search", `{"workload":"w"}`, "X-Budget-Ms", b)
-		is.True(e.search.Budget < 0) // had run out, which is not "none named"
+		is.True(e.lastSearch.Budget < 0) // a budget that has run out differs from none, which is 0
 	}
 	call(callers(e, &fakeHost{}), "/v1/search", `{"workload":"w"}`, "X-Budget-Ms", "+Inf")
-	is.True(e.search.Budget > 0)
+	is.True(e.lastSearch.Budget > 0)
 }
 
-// TestLeavingHostClosesConnections checks that clients of a leaving host are
-// told not to use the connection again.
+// TestLeavingHostClosesConnections checks that a leaving host asks clients to
+// close their connections.
 func TestLeavingHostClosesConnections(t *testing.T) {
 	is := is.New(t)
 	host := &fakeHost{}
@@ -189,7 +190,7 @@
 	is.Equal(exec.operator, "joao")
 }
 
-// TestNotReady checks that a host that takes no callers says why.
+// TestNotReady checks that a host that isn't ready returns the reason.
 func TestNotReady(t *testing.T) {
 	is := is.New(t)
 	host := &fakeHost{}
--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -9,7 +9,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Entry answers the requests of callers.
+// Entry runs the requests of callers.
 type Entry interface {
 	Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal)
 	Reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal)
@@ -18,17 +18,17 @@
 // queryService implements the goa service "query" over an Entry.
 type queryService struct{ entry Entry }
 
-// Search turns the payload into a search and its answer back.
+// Search runs the search of the payload and encodes its answer or refusal.
 func (s queryService) Search(ctx context.Context, p *genquery.SearchPayload) (*genquery.SearchAnswer, error) {
 	answer, refusal := s.entry.Search(ctx, query.Search{
 		RequestID:   requestID(ctx),
-		Caller:      value(p.Caller),
-		Service:     value(p.Service),
-		Workload:    value(p.Workload),
-		Text:        value(p.Text),
+		Caller:      stringOrEmpty(p.Caller),
+		Service:     stringOrEmpty(p.Service),
+		Workload:    stringOrEmpty(p.Workload),
+		Text:        stringOrEmpty(p.Text),
 		Limit:       p.Limit,
 		MinCoverage: p.MinCoverage,
-		Budget:      budget(p.BudgetMs),
+		Budget:      budgetFromMS(p.BudgetMs),
 	})
 	if refusal != nil {
 		return nil, encodeRefusal(refusal)
@@ -36,15 +36,15 @@
 	return encodeAnswer(answer), nil
 }
 
-// Reserve turns the payload into a reservation and its answer back.
+// Reserve runs the reservation of the payload and encodes its answer or refusal.
 func (s queryService) Reserve(ctx context.Context, p *genquery.ReservePayload) (*genquery.ReservationAnswer, error) {
 	r, refusal := s.entry.Reserve(ctx, query.Reserve{
 		RequestID:     requestID(ctx),
-		Caller:        value(p.Caller),
+		Caller:        stringOrEmpty(p.Caller),
 		ReservationID: p.ReservationID,
 		Service:       p.Service,
 		Item:          p.Item,
-		Budget:        budget(p.BudgetMs),
+		Budget:        budgetFromMS(p.BudgetMs),
 	})
 	if refusal != nil {
 		return nil, encodeRefusal(refusal)
@@ -83,13 +83,13 @@
 	}
 }
 
-// maxBudgetMS keeps a caller's budget within time.Duration; the entry caps it
-// far below.
+// maxBudgetMS caps a caller's budget so that it doesn't overflow time.Duration;
+// the entry's own cap is far lower.
 const maxBudgetMS = 1e9
 
-// budget returns the budget that a caller named: 0 if none, negative if it
-// had run out or is no number.
-func budget(ms *float64) time.Duration {
+// budgetFromMS converts a caller's budget from milliseconds. It returns 0 if none
+// was given, and a negative duration if it has run out or is not a number.
+func budgetFromMS(ms *float64) time.Duration {
 	switch {
 	case ms == nil:
 		return 0
@@ -99,7 +99,7 @@
 	return -1
 }
 
-func value(s *string) string {
+func stringOrEmpty(s *string) string {
 	if s == nil {
 		return ""
 	}
@@ -109,10 +109,10 @@
 // healthService implements the goa service "health".
 type healthService struct{ ready func() error }
 
-// Live answers while the process runs.
+// Live succeeds as long as the process runs.
 func (healthService) Live(context.Context) (string, error) { return "ok\n", nil }
 
-// Ready tells the balancer whether to send callers here.
+// Ready reports to the balancer whether this host accepts callers.
 func (s healthService) Ready(context.Context) (string, error) {
 	if err := s.ready(); err != nil {
 		return "", genhealth.NotReady(err.Error() + "\n")
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -7,19 +7,20 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Config bounds what a client of the HTTP listeners may cost this host.
+// Config limits the resources that a client of the HTTP listeners can use on this
+// host.
 type Config struct {
 	// MaxBody is the largest body of a caller's request, in bytes.
 	MaxBody int64 `json:"max_body"`
 	// MaxStatement is the largest body of an operator's request, in bytes.
 	MaxStatement int64 `json:"max_statement"`
-	// ReadTimeout bounds the reading of one request.
+	// ReadTimeout limits the time from the start of a request until its body is read.
 	ReadTimeout unit.Duration `json:"read_timeout"`
-	// IdleTimeout closes a connection that carries no request.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout unit.Duration `json:"idle_timeout"`
 }
 
-// DefaultConfig returns the values used where the settings name none.
+// DefaultConfig returns the values used where the settings have none.
 func DefaultConfig() Config {
 	return Config{
 		MaxBody:      64 << 10,
@@ -29,7 +30,7 @@
 	}
 }
 
-// Validate reports every value out of range.
+// Validate returns an error for every value that is out of range.
 func (c Config) Validate() error {
 	var problems []error
 	if c.MaxBody < 1 {
--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -15,8 +15,8 @@
 
 const headerRequestID = "X-Request-Id"
 
-// errorBodyTooLarge names the goa error of a body over the limit. It must not
-// be a class of the design, whose errors goa takes for refusals.
+// errorBodyTooLarge names the goa error of a body over the limit. It must differ
+// from every error name of the design, as goa would encode it as a refusal.
 const errorBodyTooLarge = "body_too_large"
 
 type requestIDKey struct{}
@@ -27,8 +27,8 @@
 	return id
 }
 
-// withRequestID gives a request without an id a new one, and echoes the id in
-// the answer's header.
+// withRequestID assigns a new id to a request that has none, and returns the id in
+// the response header.
 func withRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(headerRequestID)
@@ -41,13 +41,14 @@
 	})
 }
 
-// decoder reads a JSON body strictly: a field that the design doesn't know is
-// refused, as a misspelt one would otherwise be ignored without a word.
-func decoder(r *http.Request) goahttp.Decoder { return strictDecoder{r} }
+// newDecoder returns a decoder that refuses fields that are not in the design, as a
+// misspelt field would otherwise be ignored silently.
+func newDecoder(r *http.Request) goahttp.Decoder { return strictDecoder{r} }
 
 type strictDecoder struct{ request *http.Request }
 
-// Decode reads the body into v. A body over the limit has an error of its own.
+// Decode decodes the body into v. For a body over the size limit it returns
+// errorBodyTooLarge.
 func (d strictDecoder) Decode(v any) error {
 	dec := json.NewDecoder(d.request.Body)
 	dec.DisallowUnknownFields()
--- a/internal/api/events.go
+++ b/internal/api/events.go
@@ -8,9 +8,9 @@
 
 var (
 	evWriteFailed = event.Define(9001, "api_write_failed", plog.WarnLevel,
-		"An answer could not be written to the client, which has mostly gone away.",
-		"None, unless it is frequent: then compare the timeouts of balancer and callers with api.read_timeout.", "request", "error")
+		"A response could not be written to the client, most often because the client closed the connection.",
+		"None if it is rare. If it is frequent, compare the timeouts of the balancer and the callers with api.read_timeout.", "request", "error")
 	evServeFailed = event.Define(9002, "api_serve_failed", plog.ErrorLevel,
-		"A listener stopped taking connections.",
-		"Look at the error and restart the host.", "address", "error")
+		"A listener stopped accepting connections.",
+		"Check the error and restart the host.", "address", "error")
 )
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -12,22 +12,23 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Operator is a person or program that may run statements.
+// Operator is a person or program that is authorized to run statements.
 type Operator struct {
 	Name  string `json:"name"`
 	Token string `json:"token"`
 }
 
-// Result is what a statement shows.
+// Result is the table that a statement returns.
 type Result struct {
 	Columns []string
 	Rows    [][]string
 	Message string
 }
 
-// Executor runs one statement for the named operator. A dry run checks and
-// tells but changes nothing. A *query.Refusal, or an error with the method
-// Refusal, says why it did not.
+// Executor runs one statement for the named operator. A dry run checks
+// a change and shows its effect without writing it. If the error is a
+// *query.Refusal, its reason and outcome are returned to the operator; any other
+// error is returned as a bad request.
 type Executor interface {
 	Execute(ctx context.Context, operator, statement string, dryRun bool) (Result, error)
 }
@@ -40,7 +41,7 @@
 
 // Statement runs one statement of an authorized operator.
 func (s *operateService) Statement(ctx context.Context, p *genoperate.StatementPayload) (*genoperate.StatementResult, error) {
-	name, ok := authorize(s.operators, value(p.Authorization))
+	name, ok := authorize(s.operators, stringOrEmpty(p.Authorization))
 	if !ok {
 		return nil, &genoperate.Refusal{
 			Name: string(classUnauthorized), RequestID: requestID(ctx), Reason: string(classUnauthorized),
@@ -54,27 +55,27 @@
 	return &genoperate.StatementResult{Columns: r.Columns, Rows: r.Rows, Message: r.Message}, nil
 }
 
-// authorize returns the operator with the bearer token. Digests of equal
-// length are compared in constant time, all of them, so that the time tells
-// nothing about a token.
+// authorize returns the operator with the bearer token. It compares
+// digests, which have equal length, in constant time and always all of them, so
+// that the response time reveals nothing about a token.
 func authorize(operators []Operator, header string) (string, bool) {
 	token, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok {
 		return "", false
 	}
-	got := sha256.Sum256([]byte(token))
+	digest := sha256.Sum256([]byte(token))
 	name, found := "", false
 	for _, o := range operators {
-		want := sha256.Sum256([]byte(o.Token))
-		if subtle.ConstantTimeCompare(got[:], want[:]) == 1 {
+		operatorDigest := sha256.Sum256([]byte(o.Token))
+		if subtle.ConstantTimeCompare(digest[:], operatorDigest[:]) == 1 {
 			name, found = o.Name, true
 		}
 	}
 	return name, found
 }
 
-// encodeStatementError turns an error of a statement into the goa service's.
-// One that is no refusal is of the statement itself.
+// encodeStatementError converts an error of a statement to the goa service's. An
+// error that is not a refusal is a bad request.
 func encodeStatementError(ctx context.Context, err error) error {
 	r := &query.Refusal{Reason: query.ReasonBadRequest, Outcome: outcome.NotSent, Detail: err.Error()}
 	errors.As(err, &r)
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -15,25 +15,27 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// class is the name of a refusal in the goa design; it fixes the status.
-type class string
+// errorClass is the name of an error in the goa design, which determines the HTTP
+// status.
+type errorClass string
 
 const (
-	classBadRequest     class = "bad_request"
-	classUnauthorized   class = "unauthorized"
-	classUnknownService class = "unknown_service"
-	classConflict       class = "conflict"
-	classTimeout        class = "timeout"
-	classTooLarge       class = "too_large"
-	classExpired        class = "expired"
-	classOverload       class = "overload"
-	classFailed         class = "failed"
-	classUnavailable    class = "unavailable"
-	classDeadline       class = "deadline"
+	classBadRequest     errorClass = "bad_request"
+	classUnauthorized   errorClass = "unauthorized"
+	classUnknownService errorClass = "unknown_service"
+	classConflict       errorClass = "conflict"
+	classTimeout        errorClass = "timeout"
+	classTooLarge       errorClass = "too_large"
+	classExpired        errorClass = "expired"
+	classOverload       errorClass = "overload"
+	classFailed         errorClass = "failed"
+	classUnavailable    errorClass = "unavailable"
+	classDeadline       errorClass = "deadline"
 )
 
-// classes of the reasons; a reason that is not listed is classUnavailable.
-var classes = map[query.Reason]class{
+// classByReason maps the reasons to their classes; a reason that is not listed is
+// classUnavailable.
+var classByReason = map[query.Reason]errorClass{
 	query.ReasonBadRequest:     classBadRequest,
 	query.ReasonUnknownService: classUnknownService,
 	query.ReasonConflict:       classConflict,
@@ -46,19 +48,19 @@
 	query.ReasonBudget:         classDeadline,
 }
 
-// classOf returns the class of a refusal. A budget that had run out before
-// anything was sent is the caller's doing.
-func classOf(r *query.Refusal) class {
+// classOf returns the class of a refusal. A budget that ended before anything was
+// sent is attributed to the caller, as classTimeout.
+func classOf(r *query.Refusal) errorClass {
 	if r.Reason == query.ReasonBudget && r.Outcome == outcome.NotSent && r.Coverage == nil {
 		return classTimeout
 	}
-	if c, ok := classes[r.Reason]; ok {
+	if c, ok := classByReason[r.Reason]; ok {
 		return c
 	}
 	return classUnavailable
 }
 
-// encodeRefusal turns a refusal into the error of the goa service.
+// encodeRefusal converts a refusal to the error of the goa service.
 func encodeRefusal(r *query.Refusal) *genquery.Refusal {
 	g := &genquery.Refusal{
 		Name:      string(classOf(r)),
@@ -69,7 +71,7 @@
 		Detail:    r.Detail,
 	}
 	if r.RetryAfter > 0 {
-		ms, s := r.RetryAfter.Milliseconds(), wholeSeconds(r.RetryAfter)
+		ms, s := r.RetryAfter.Milliseconds(), ceilSeconds(r.RetryAfter)
 		g.RetryAfterMs, g.RetryAfterS = &ms, &s
 	}
 	if r.Coverage != nil {
@@ -78,24 +80,25 @@
 	return g
 }
 
-// wholeSeconds rounds up, as Retry-After knows no fractions.
-func wholeSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
+// ceilSeconds rounds up to whole seconds, as Retry-After has no fractions.
+func ceilSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
-// body is the JSON form of every refusal, of the goa services and of goa's
-// own checks of a request.
-type body struct {
-	Name         string        `json:"name"`
-	RequestID    string        `json:"request_id"`
-	Reason       string        `json:"reason"`
-	Outcome      string        `json:"outcome"`
-	NotRun       bool          `json:"not_run"`
-	RetryAfterMS *int64        `json:"retry_after_ms,omitempty"`
-	Detail       string        `json:"detail"`
-	Coverage     *bodyCoverage `json:"coverage,omitempty"`
+// errorBody is the JSON body of every error response, whether a goa service
+// returned the error or goa's own validation of the request.
+type errorBody struct {
+	Name         string         `json:"name"`
+	RequestID    string         `json:"request_id"`
+	Reason       string         `json:"reason"`
+	Outcome      string         `json:"outcome"`
+	NotRun       bool           `json:"not_run"`
+	RetryAfterMS *int64         `json:"retry_after_ms,omitempty"`
+	Detail       string         `json:"detail"`
+	Coverage     *errorCoverage `json:"coverage,omitempty"`
 	status       int
 }
 
-type bodyCoverage struct {
+// errorCoverage is the coverage that a refused search had reached.
+type errorCoverage struct {
 	Shards   int      `json:"shards"`
 	Answered int      `json:"answered"`
 	Fraction float64  `json:"fraction"`
@@ -103,46 +106,46 @@
 	Missing  []string `json:"missing"`
 }
 
-// StatusCode is the status of errors that the goa design doesn't name.
-func (b *body) StatusCode() int { return b.status }
+// StatusCode is the HTTP status of errors that the goa design doesn't name.
+func (b *errorBody) StatusCode() int { return b.status }
 
-// format makes the body of an error response.
-func format(ctx context.Context, err error) goahttp.Statuser {
-	var q *genquery.Refusal
-	if errors.As(err, &q) {
-		return bodyOf(q)
+// formatError returns the body of an error response.
+func formatError(ctx context.Context, err error) goahttp.Statuser {
+	var queryRefusal *genquery.Refusal
+	if errors.As(err, &queryRefusal) {
+		return refusalBody(queryRefusal)
 	}
-	var o *genoperate.Refusal
-	if errors.As(err, &o) {
-		return bodyOf(&genquery.Refusal{
-			Name: o.Name, RequestID: o.RequestID, Reason: o.Reason, Outcome: o.Outcome, NotRun: o.NotRun,
-			RetryAfterMs: o.RetryAfterMs, Detail: o.Detail,
+	var operateRefusal *genoperate.Refusal
+	if errors.As(err, &operateRefusal) {
+		return refusalBody(&genquery.Refusal{
+			Name: operateRefusal.Name, RequestID: operateRefusal.RequestID, Reason: operateRefusal.Reason, Outcome: operateRefusal.Outcome, NotRun: operateRefusal.NotRun,
+			RetryAfterMs: operateRefusal.RetryAfterMs, Detail: operateRefusal.Detail,
 		})
 	}
-	return checkFailed(ctx, err)
+	return validationErrorBody(ctx, err)
 }
 
-func bodyOf(r *genquery.Refusal) *body {
-	b := &body{
+func refusalBody(r *genquery.Refusal) *errorBody {
+	b := &errorBody{
 		Name: r.Name, RequestID: r.RequestID, Reason: r.Reason, Outcome: r.Outcome, NotRun: r.NotRun,
 		RetryAfterMS: r.RetryAfterMs, Detail: r.Detail,
 	}
 	if c := r.Coverage; c != nil {
-		b.Coverage = &bodyCoverage{c.Shards, c.Answered, c.Fraction, c.Complete, c.Missing}
+		b.Coverage = &errorCoverage{c.Shards, c.Answered, c.Fraction, c.Complete, c.Missing}
 	}
 	return b
 }
 
-// checkFailed is the body for a request that goa's checks refused: nothing of
-// it ran. An error of another kind is a fault of this host, of which nothing
-// is known.
-func checkFailed(ctx context.Context, err error) *body {
-	b := &body{RequestID: requestID(ctx), Detail: err.Error()}
-	var g *goa.ServiceError
+// validationErrorBody returns the body for a request that failed goa's
+// validation, so that none of it ran. Any other error is a fault of this host,
+// and the outcome is unknown.
+func validationErrorBody(ctx context.Context, err error) *errorBody {
+	b := &errorBody{RequestID: requestID(ctx), Detail: err.Error()}
+	var serviceErr *goa.ServiceError
 	switch {
-	case errors.As(err, &g) && g.Name == errorBodyTooLarge:
+	case errors.As(err, &serviceErr) && serviceErr.Name == errorBodyTooLarge:
 		b.Name, b.Reason, b.status = string(classTooLarge), string(query.ReasonTooLarge), http.StatusRequestEntityTooLarge
-	case errors.As(err, &g) && !g.Fault:
+	case errors.As(err, &serviceErr) && !serviceErr.Fault:
 		b.Name, b.Reason, b.status = string(classBadRequest), string(query.ReasonBadRequest), http.StatusBadRequest
 	default:
 		b.Name, b.Reason, b.Outcome, b.status = "fault", "fault", outcome.Unknown.String(), http.StatusInternalServerError
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,5 +1,3 @@
-// Package api serves the HTTP API of the goa design: one listener for callers
-// and the balancer, one for operators.
 package api
 
 import (
@@ -21,7 +19,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/event"
 )
 
-// Server is one HTTP listener.
+// Server is one HTTP listener and its server.
 type Server struct {
 	address string
 	server  *http.Server
@@ -30,9 +28,9 @@
 	log     *event.Log
 }
 
-// Host tells the listeners about the state of the process.
+// Host is the state of the process that the listeners report.
 type Host interface {
-	// Ready returns why the host takes no callers, or nil.
+	// Ready returns the reason why the host doesn't accept callers, or nil.
 	Ready() error
 	// Leaving reports whether the host is stopping.
 	Leaving() bool
@@ -42,21 +40,21 @@
 func NewCallers(cfg Config, address string, entry Entry, host Host, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genquery.NewEndpoints(queryService{entry})
-	queryserver.New(endpoints, mux, decoder, goahttp.ResponseEncoder, faults(log), format).Mount(mux)
+	queryserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
 	health := genhealth.NewEndpoints(healthService{host.Ready})
-	healthserver.New(health, mux, decoder, goahttp.ResponseEncoder, faults(log), nil).Mount(mux)
+	healthserver.New(health, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), nil).Mount(mux)
 	handler := http.MaxBytesHandler(mux, cfg.MaxBody)
-	return newServer(cfg, address, closing(host, withRequestID(handler)), log)
+	return newServer(cfg, address, closeWhenLeaving(host, withRequestID(handler)), log)
 }
 
 // NewOperators returns the listener for operators: statements, metrics and
-// health. Operators are authorized apart from callers.
+// health. Only statements require an operator's bearer token.
 func NewOperators(cfg Config, address string, operators []Operator, exec Executor, host Host, metrics prometheus.Gatherer, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genoperate.NewEndpoints(&operateService{operators: operators, exec: exec})
-	operateserver.New(endpoints, mux, decoder, goahttp.ResponseEncoder, faults(log), format).Mount(mux)
+	operateserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
 	health := genhealth.NewEndpoints(healthService{host.Ready})
-	healthserver.New(health, mux, decoder, goahttp.ResponseEncoder, faults(log), nil).Mount(mux)
+	healthserver.New(health, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), nil).Mount(mux)
 	mux.Handle(http.MethodGet, "/metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{}).ServeHTTP)
 	handler := http.MaxBytesHandler(mux, cfg.MaxStatement)
 	return newServer(cfg, address, withRequestID(handler), log)
@@ -71,9 +69,10 @@
 	}}
 }
 
-// closing asks clients of a leaving host to close their connections, so that
-// none sends a request on one that is about to be closed.
-func closing(host Host, next http.Handler) http.Handler {
+// closeWhenLeaving closes connections after their response while the host is
+// leaving, so that no client sends a request on a connection that is about to be
+// closed.
+func closeWhenLeaving(host Host, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if host.Leaving() {
 			w.Header().Set("Connection", "close")
@@ -82,18 +81,20 @@
 	})
 }
 
-// faults logs an answer that could not be written.
-func faults(log *event.Log) func(context.Context, http.ResponseWriter, error) {
+// logWriteErrors returns an error handler that logs responses that could not be
+// written.
+func logWriteErrors(log *event.Log) func(context.Context, http.ResponseWriter, error) {
 	return func(ctx context.Context, _ http.ResponseWriter, err error) {
 		log.Event(evWriteFailed).Str("request", requestID(ctx)).Err(err).Msg("")
 	}
 }
 
-// On makes the server use a listener that is open already, so that its
-// address can be known before Start. The server closes it at Stop.
+// On makes the server use a listener that is already open, so that its address
+// is available before Start. Stop closes it.
 func (s *Server) On(ln net.Listener) { s.ln = ln }
 
-// Start serves until Stop, and listens first unless it was given a listener.
+// Start serves in the background until Stop. It opens a listener unless On has
+// set one.
 func (s *Server) Start(context.Context) error {
 	if s.ln == nil {
 		ln, err := net.Listen("tcp", s.address)
@@ -111,11 +112,11 @@
 	return nil
 }
 
-// Addr returns the address listened on, after On or Start.
+// Addr returns the listener's address. It must not be called before On or Start.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Stop takes no new connections and waits for the requests in flight; when ctx
-// is done first it cuts them off and says so.
+// Stop accepts no new connections and waits for the requests in flight. If ctx
+// ends first, it closes their connections and returns an error.
 func (s *Server) Stop(ctx context.Context) error {
 	if !s.serving {
 		return nil
--- a/internal/operate/errors.go
+++ b/internal/operate/errors.go
@@ -13,26 +13,30 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("operate")
 
-// badRequest refuses a statement that the operator must correct; nothing was done.
+// badRequest returns the refusal of a statement that the operator must correct;
+// nothing was changed.
 func badRequest(format string, args ...any) error {
 	return refusal(query.ReasonBadRequest, outcome.NotSent, Error.New(format, args...))
 }
 
-// platformUnavailable refuses a statement because the platform could not be read.
+// platformUnavailable returns the refusal of a statement for which the platform
+// could not be read.
 func platformUnavailable(err error) error {
 	return refusal(query.ReasonPlatform, outcome.NotSent, Error.Wrap(err))
 }
 
-// refusal returns the error of a statement that was not run, or not as a whole.
+// refusal returns the error of a statement that was not run, or was run only in
+// part.
 func refusal(reason query.Reason, o outcome.Outcome, err error) error {
 	return &query.Refusal{Reason: reason, Outcome: o, Detail: oneLine(err)}
 }
 
-// oneLine joins the lines of joined errors.
+// oneLine returns the error's text with line breaks replaced by semicolons;
+// errors.Join puts each error on a line of its own.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
-// badRequestFrom refuses a statement for the joined problems of err. A refusal
-// is passed on as it is.
+// badRequestFrom returns a bad request refusal with the text of err. It returns
+// an err that is a refusal already unchanged.
 func badRequestFrom(err error) error {
 	var r *query.Refusal
 	if errors.As(err, &r) {
--- a/internal/operate/execute.go
+++ b/internal/operate/execute.go
@@ -1,6 +1,3 @@
-// Package operate runs the statements of operators on a host: it shows
-// services, targets, hosts, configuration and delivery reports, and changes
-// the configuration.
 package operate
 
 import (
@@ -16,19 +13,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// Catalog is what the executor reads of the configuration in force here.
+// Catalog is the read access to the configuration in force on this host.
 type Catalog interface {
 	catalog.View
 	InForce(ctx context.Context, revision uint64) catalog.InForce
 	Stale() bool
 }
 
-// Editor changes the configuration.
+// Editor reads and changes the configuration in the store.
 type Editor interface {
 	Read(ctx context.Context, name string) (catalog.Stored, error)
 	Change(ctx context.Context, r catalog.Request) catalog.Result
-	PublishSnapshot(ctx context.Context, s catalog.Snapshot, by catalog.Author, dryRun bool) catalog.Result
-	RetireSnapshot(ctx context.Context, workload string, id uint64, by catalog.Author, dryRun bool) catalog.Result
+	PublishSnapshot(ctx context.Context, s catalog.Snapshot, author catalog.Author, dryRun bool) catalog.Result
+	RetireSnapshot(ctx context.Context, workload string, id uint64, author catalog.Author, dryRun bool) catalog.Result
 }
 
 // Reports merges the delivery records of all hosts.
@@ -38,12 +35,13 @@
 	Burn(ctx context.Context, objectives []delivery.Objective) (delivery.BurnReport, error)
 }
 
-// Claims tells what became of reservations.
+// Claims looks up the stored state of reservations.
 type Claims interface {
 	Lookup(ctx context.Context, reservation string) (claim.LookupResult, error)
 }
 
-// Target is what this host, as a relay, knows of a target.
+// Target is the state of a target as observed by this host, which relays to it.
+// Attempts, Sheds and Errors are counters.
 type Target struct {
 	Service     string
 	ID          string
@@ -54,14 +52,15 @@
 	Attempts    int64
 	Sheds       int64
 	Errors      int64
-	LastReason  query.Reason // of the newest attempt without an answer
+	LastReason  query.Reason // why the newest attempt without an answer failed
 }
 
-// Relay tells the targets that this host relays.
+// Relay returns the states of the targets that this host relays to.
 type Relay interface{ TargetStates() []Target }
 
-// Parts are what an executor works on. Relay and Claims may be nil. Without a
-// Catalog only reports can be shown, and only Reports and Objectives are used.
+// Parts are the dependencies of an executor. Relay and Claims may be nil. If
+// Catalog is nil, only reports can be shown, and only Reports and Objectives are
+// used.
 type Parts struct {
 	Members member.View
 	Store   objstore.Store
@@ -70,26 +69,27 @@
 	Reports Reports
 	Claims  Claims
 	Relay   Relay
-	// Objectives returns those whose burn is shown.
+	// Objectives returns the objectives whose burn rates are reported.
 	Objectives func() []delivery.Objective
 }
 
-// Executor runs statements.
-type Executor struct{ parts Parts }
+// Executor runs the statements of operators.
+type Executor struct{ deps Parts }
 
-// New returns an executor.
-func New(p Parts) *Executor { return &Executor{parts: p} }
+// New returns an executor with the given dependencies.
+func New(p Parts) *Executor { return &Executor{deps: p} }
 
-// Execute runs a statement for the named operator; a dry run tells what a
-// change would do. The error is a *query.Refusal: its outcome says whether a
-// change was made, and Unknown that the platform has not answered.
+// Execute runs a statement for the named operator. A dry run checks a change and
+// shows its effect without writing it; a statement with the "dry run" prefix is
+// one too. The error is a *query.Refusal: its outcome says whether the change was
+// applied, and is Unknown if the platform did not answer.
 func (e *Executor) Execute(ctx context.Context, operator string, stmt lang.Statement, dryRun bool) (Table, error) {
-	stmt, prefixed := lang.Unwrap(stmt)
+	stmt, dryRunPrefix := lang.Unwrap(stmt)
 	_, changes := stmt.(lang.Change)
 	if dryRun && !changes {
 		return Table{}, badRequest("a dry run is of a change, and %q changes nothing", stmt)
 	}
-	t, err := e.execute(ctx, catalog.Author{Operator: operator}, stmt, dryRun || prefixed)
+	t, err := e.execute(ctx, catalog.Author{Operator: operator}, stmt, dryRun || dryRunPrefix)
 	if err != nil {
 		return Table{}, err
 	}
@@ -105,8 +105,9 @@
 	return e.Execute(ctx, operator, stmt, dryRun)
 }
 
-func (e *Executor) execute(ctx context.Context, by catalog.Author, stmt lang.Statement, dryRun bool) (*Table, error) {
-	if e.parts.Catalog == nil && !isReport(stmt) {
+// execute runs a statement whose dry run prefix has been removed.
+func (e *Executor) execute(ctx context.Context, author catalog.Author, stmt lang.Statement, dryRun bool) (*Table, error) {
+	if e.deps.Catalog == nil && !isReport(stmt) {
 		return nil, badRequest("%q is not a report on answers, coverage or burn; send it to a host", stmt)
 	}
 	switch s := stmt.(type) {
@@ -115,19 +116,19 @@
 	case lang.ShowClaim:
 		return e.showClaim(ctx, s)
 	case lang.CreateService:
-		return e.create(ctx, by, s, dryRun)
+		return e.create(ctx, author, s, dryRun)
 	case lang.AlterService:
-		return e.alter(ctx, by, s, dryRun)
+		return e.alter(ctx, author, s, dryRun)
 	case lang.DropService:
-		return e.drop(ctx, by, s, dryRun)
+		return e.drop(ctx, author, s, dryRun)
 	case lang.DrainTarget:
-		return e.drain(ctx, by, s.Target, s.Service, true, dryRun)
+		return e.drain(ctx, author, s.Target, s.Service, true, dryRun)
 	case lang.UndrainTarget:
-		return e.drain(ctx, by, s.Target, s.Service, false, dryRun)
+		return e.drain(ctx, author, s.Target, s.Service, false, dryRun)
 	case lang.PublishSnapshot:
-		return e.publish(ctx, by, s, dryRun)
+		return e.publish(ctx, author, s, dryRun)
 	case lang.RetireSnapshot:
-		return e.changeTable(ctx, e.parts.Editor.RetireSnapshot(ctx, s.Workload, s.ID, by, dryRun))
+		return e.resultTable(ctx, e.deps.Editor.RetireSnapshot(ctx, s.Workload, s.ID, author, dryRun))
 	}
 	return nil, badRequest("%q is a caller's statement; send it to a host's caller address", stmt)
 }
@@ -138,6 +139,8 @@
 	return ok && (s.Subject == lang.Answers || s.Subject == lang.Coverage || s.Subject == lang.Burn)
 }
 
+// show runs a show statement: reports come from the delivery records of a time
+// range, all other subjects show the current state.
 func (e *Executor) show(ctx context.Context, s lang.Show) (*Table, error) {
 	switch s.Subject {
 	case lang.Answers:
@@ -147,23 +150,24 @@
 	case lang.Burn:
 		return e.showBurn(ctx, s)
 	}
-	t := e.present(ctx, s)
-	if err := t.refine(s); err != nil {
+	t := e.showState(ctx, s)
+	if err := t.applyClauses(s); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-func (e *Executor) present(ctx context.Context, s lang.Show) *Table {
+// showState returns the unfiltered table of a subject that has no history.
+func (e *Executor) showState(ctx context.Context, s lang.Show) *Table {
 	switch s.Subject {
 	case lang.Services:
-		return e.services(ctx)
+		return e.showServices(ctx)
 	case lang.Targets:
-		return e.targets()
+		return e.showTargets()
 	case lang.Snapshots:
-		return e.snapshots()
+		return e.showSnapshots()
 	case lang.Config:
-		return e.config(ctx)
+		return e.showConfig(ctx)
 	}
-	return e.hosts()
+	return e.showHosts()
 }
--- a/internal/operate/fields.go
+++ b/internal/operate/fields.go
@@ -11,16 +11,19 @@
 	"rhubarbwood.example/rhubarbwood/internal/lang"
 )
 
+// rulesPrefix may precede the name of a rule in an assignment.
 const rulesPrefix = "rules."
 
-// The fields of a service that a statement may set, by their JSON names.
+// The JSON names of the fields that a statement may set, of the service itself
+// and of its rules.
 var (
-	serviceFields = settable(catalog.Service{}, "name", "rules", "dropped", "change")
-	ruleFields    = settable(catalog.Rules{})
+	serviceFields = settableFields(catalog.Service{}, "name", "rules", "dropped", "change")
+	ruleFields    = settableFields(catalog.Rules{})
 )
 
-// settable returns the JSON names of the fields of the struct v.
-func settable(v any, except ...string) []string {
+// settableFields returns the JSON names of the fields of the struct v, but for
+// those in except.
+func settableFields(v any, except ...string) []string {
 	var names []string
 	t := reflect.TypeOf(v)
 	for i := range t.NumField() {
@@ -32,14 +35,14 @@
 	return names
 }
 
-// assign returns the service with the fields set. Rules may be named with or
-// without their prefix; null gives a field its default.
-func assign(s catalog.Service, set []lang.Assignment) (catalog.Service, error) {
-	whole, err := fieldsOf(s)
+// applyAssignments returns the service with the assigned fields set. A rule may
+// be named with or without rulesPrefix; null resets a field to its default.
+func applyAssignments(s catalog.Service, set []lang.Assignment) (catalog.Service, error) {
+	fields, err := jsonFields(s)
 	if err != nil {
 		return s, err
 	}
-	rules, err := fieldsOf(s.Rules)
+	rules, err := jsonFields(s.Rules)
 	if err != nil {
 		return s, err
 	}
@@ -47,17 +50,17 @@
 		rule := strings.TrimPrefix(a.Key, rulesPrefix)
 		switch {
 		case slices.Contains(serviceFields, a.Key):
-			setField(whole, a.Key, a.Value.Raw())
+			setField(fields, a.Key, a.Value.Raw())
 		case slices.Contains(ruleFields, rule):
 			setField(rules, rule, a.Value.Raw())
 		default:
 			return s, badRequest("no field %q, want one of %s", a.Key, strings.Join(slices.Concat(serviceFields, ruleFields), ", "))
 		}
 	}
-	return assemble(whole, rules)
+	return decodeService(fields, rules)
 }
 
-// setField sets a field, or takes it out for null.
+// setField sets a field, or removes it if the value is null.
 func setField(m map[string]json.RawMessage, key string, value json.RawMessage) {
 	if string(value) == "null" {
 		delete(m, key)
@@ -66,8 +69,8 @@
 	m[key] = value
 }
 
-// fieldsOf takes the JSON form of v apart by field.
-func fieldsOf(v any) (map[string]json.RawMessage, error) {
+// jsonFields returns the JSON encoding of each field of v by name.
+func jsonFields(v any) (map[string]json.RawMessage, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, Error.New("encode %T: %w", v, err)
@@ -76,21 +79,22 @@
 	return m, Error.Wrap(json.Unmarshal(b, &m))
 }
 
-// assemble returns the service that has these fields and rules.
-func assemble(whole, rules map[string]json.RawMessage) (catalog.Service, error) {
+// decodeService decodes a service from its JSON fields and those of its rules.
+func decodeService(fields, rules map[string]json.RawMessage) (catalog.Service, error) {
 	b, err := json.Marshal(rules)
 	if err != nil {
 		return catalog.Service{}, Error.New("encode rules: %w", err)
 	}
-	whole["rules"] = b
-	if b, err = json.Marshal(whole); err != nil {
+	fields["rules"] = b
+	if b, err = json.Marshal(fields); err != nil {
 		return catalog.Service{}, Error.New("encode service: %w", err)
 	}
 	var s catalog.Service
 	return s, decodeStrict(b, &s)
 }
 
-// decodeStrict refuses unknown fields and wrong types.
+// decodeStrict decodes JSON and refuses unknown fields and wrong types as a bad
+// request.
 func decodeStrict(b []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -10,28 +10,33 @@
 	"rhubarbwood.example/rhubarbwood/internal/lang"
 )
 
-// fieldRequest groups answers by request: it shows the single records.
+// fieldRequest is the field that groups answers by request, which lists the
+// individual records. delivery.Field has no such value.
 const fieldRequest = "request"
 
+// showAnswers reports the number, latency and attempts of answers by group, by
+// default by service, caller, outcome and reason.
 func (e *Executor) showAnswers(ctx context.Context, s lang.Show) (*Table, error) {
-	if wantsRecords(s) {
+	if selectsRecords(s) {
 		return e.showRecords(ctx, s)
 	}
-	report, err := e.report(ctx, s, delivery.FieldService, delivery.FieldCaller, delivery.FieldOutcome, delivery.FieldReason)
+	report, err := e.queryReport(ctx, s, delivery.FieldService, delivery.FieldCaller, delivery.FieldOutcome, delivery.FieldReason)
 	if err != nil {
 		return nil, err
 	}
-	t := newTable(append(names(report.Query.By), "answers", "p50", "p99", "attempts_per_needed")...)
+	t := newTable(append(fieldNames(report.Query.By), "answers", "p50", "p99", "attempts_per_needed")...)
 	for _, l := range report.Lines {
-		t.add(append(cells(l.Key, report.Query.By),
-			number(l.Sums.Count), milliseconds(l.Sums.Quantile(0.5)), milliseconds(l.Sums.Quantile(0.99)),
-			ratio(l.Sums.Attempts, l.Sums.Needed))...)
+		t.addRow(append(keyCells(l.Key, report.Query.By),
+			formatUint(l.Sums.Count), formatMilliseconds(l.Sums.Quantile(0.5)), formatMilliseconds(l.Sums.Quantile(0.99)),
+			formatRatio(l.Sums.Attempts, l.Sums.Needed))...)
 	}
 	t.limit(s.Limit)
 	t.noteCompleteness(report.Completeness)
 	return t, nil
 }
 
+// showCoverage reports how many searches had which coverage, by group, by
+// default by service. Reservations have no coverage and are excluded.
 func (e *Executor) showCoverage(ctx context.Context, s lang.Show) (*Table, error) {
 	s.Where = append(s.Where, lang.Condition{Field: string(delivery.FieldCoverage), Not: true, Value: string(delivery.BandReservation)})
 	groups := len(s.By)
@@ -40,7 +45,7 @@
 		groups = 1
 	}
 	s.By = append(s.By, string(delivery.FieldCoverage))
-	report, err := e.report(ctx, s)
+	report, err := e.queryReport(ctx, s)
 	if err != nil {
 		return nil, err
 	}
@@ -50,46 +55,52 @@
 	return t, nil
 }
 
-var bands = []delivery.Band{
+// coverageBands are the columns of the coverage report, from the highest to the
+// lowest.
+var coverageBands = []delivery.Band{
 	delivery.BandFull, delivery.BandOver99, delivery.BandOver90, delivery.BandOver50, delivery.BandUnder50, delivery.BandNone,
 }
 
-// coverageTable puts the bands of each group side by side. Lines are sorted by
-// key, so those of a group may stand apart.
+// coverageTable returns one row for each group, with a column for each coverage
+// band. The report's lines are sorted by key, so the lines of one group need not
+// be adjacent.
 func coverageTable(report delivery.Report, by []delivery.Field) *Table {
-	t := newTable(append(names(by), "searches")...)
-	for _, b := range bands {
+	t := newTable(append(fieldNames(by), "searches")...)
+	for _, b := range coverageBands {
 		t.Columns = append(t.Columns, string(b))
 	}
 	counts := map[string]map[delivery.Band]uint64{}
-	var order [][]string
+	var groups [][]string
 	for _, l := range report.Lines {
-		group := cells(l.Key, by)
+		group := keyCells(l.Key, by)
 		key := groupKey(group)
 		if counts[key] == nil {
 			counts[key] = map[delivery.Band]uint64{}
-			order = append(order, group)
+			groups = append(groups, group)
 		}
 		counts[key][l.Key.Band] += l.Sums.Count
 	}
-	for _, group := range order {
-		t.add(append(group, bandCells(counts[groupKey(group)])...)...)
+	for _, group := range groups {
+		t.addRow(append(group, bandCells(counts[groupKey(group)])...)...)
 	}
 	return t
 }
 
+// bandCells returns the total of the counts, followed by the count of each band.
 func bandCells(counts map[delivery.Band]uint64) []string {
 	var total uint64
 	row := []string{""}
-	for _, b := range bands {
+	for _, b := range coverageBands {
 		total += counts[b]
-		row = append(row, number(counts[b]))
+		row = append(row, formatUint(counts[b]))
 	}
-	row[0] = number(total)
+	row[0] = formatUint(total)
 	return row
 }
 
-func (e *Executor) report(ctx context.Context, s lang.Show, by ...delivery.Field) (delivery.Report, error) {
+// queryReport runs the delivery query of a show statement; by are the groups
+// where the statement names none.
+func (e *Executor) queryReport(ctx context.Context, s lang.Show, by ...delivery.Field) (delivery.Report, error) {
 	q := delivery.Query{Since: s.Since, By: by}
 	if len(s.By) > 0 {
 		q.By = nil
@@ -103,15 +114,16 @@
 	if err := q.Validate(); err != nil {
 		return delivery.Report{}, badRequestFrom(err)
 	}
-	report, err := e.parts.Reports.Report(ctx, q)
+	report, err := e.deps.Reports.Report(ctx, q)
 	if err != nil {
 		return report, platformUnavailable(err)
 	}
 	return report, nil
 }
 
-// wantsRecords reports whether the statement asks for single deliveries.
-func wantsRecords(s lang.Show) bool {
+// selectsRecords reports whether the statement groups by request or filters by
+// request or reservation, which lists individual records.
+func selectsRecords(s lang.Show) bool {
 	for _, f := range s.By {
 		if f == fieldRequest {
 			return true
@@ -125,30 +137,33 @@
 	return false
 }
 
+// showRecords lists the individual delivery records that match the statement.
 func (e *Executor) showRecords(ctx context.Context, s lang.Show) (*Table, error) {
-	records, completeness, err := e.parts.Reports.Records(ctx, s.Since, func(delivery.Record) bool { return true })
+	records, completeness, err := e.deps.Reports.Records(ctx, s.Since, func(delivery.Record) bool { return true })
 	if err != nil {
 		return nil, platformUnavailable(err)
 	}
 	t := newTable(fieldRequest, "reservation", "caller", "service", "outcome", "reason", "coverage", "snapshot", "latency", "host", "until")
 	for _, r := range records {
-		t.add(r.Request, r.Reservation, r.Caller, r.Service, r.Outcome.String(), string(r.Reason), fraction(r.Coverage),
-			number(r.Snapshot), milliseconds(r.Latency), r.Host, r.Until.UTC().Format(time.RFC3339))
+		t.addRow(r.Request, r.Reservation, r.Caller, r.Service, r.Outcome.String(), string(r.Reason), formatFraction(r.Coverage),
+			formatUint(r.Snapshot), formatMilliseconds(r.Latency), r.Host, r.Until.UTC().Format(time.RFC3339))
 	}
-	if err := t.where(s.Where); err != nil {
+	if err := t.filter(s.Where); err != nil {
 		return nil, err
 	}
 	t.limit(s.Limit)
-	t.note("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.LeftOut)
+	t.addNote("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.LeftOut)
 	t.noteCompleteness(completeness)
 	return t, nil
 }
 
+// showBurn reports the burn rates of the objectives: the share of bad requests
+// relative to the share that the objective allows.
 func (e *Executor) showBurn(ctx context.Context, s lang.Show) (*Table, error) {
 	if s.Since != 0 || len(s.By) > 0 {
 		return nil, badRequest("show burn has spans of its own, so it takes neither since nor by")
 	}
-	report, err := e.parts.Reports.Burn(ctx, e.parts.Objectives())
+	report, err := e.deps.Reports.Burn(ctx, e.deps.Objectives())
 	if err != nil {
 		return nil, platformUnavailable(err)
 	}
@@ -158,49 +173,51 @@
 	}
 	t.Columns = append(t.Columns, "bad_"+delivery.WindowLabel(delivery.BurnWindows[1]), "requests_"+delivery.WindowLabel(delivery.BurnWindows[1]))
 	for _, o := range report.Objectives {
-		row := []string{o.Objective.Service, string(o.Objective.Aim), target(o.Objective)}
+		row := []string{o.Objective.Service, string(o.Objective.Aim), formatObjective(o.Objective)}
 		for _, b := range o.Burns {
 			row = append(row, strconv.FormatFloat(b.Rate, 'f', 2, 64))
 		}
-		t.add(append(row, number(o.Burns[1].Bad), number(o.Burns[1].Total))...)
+		t.addRow(append(row, formatUint(o.Burns[1].Bad), formatUint(o.Burns[1].Total))...)
 	}
-	if err := t.where(s.Where); err != nil {
+	if err := t.filter(s.Where); err != nil {
 		return nil, err
 	}
 	t.limit(s.Limit)
-	t.note("at 1 the budget of bad requests lasts exactly the objective's period")
+	t.addNote("at 1 the budget of bad requests lasts exactly the objective's period")
 	t.noteCompleteness(report.Completeness)
 	return t, nil
 }
 
-func target(o delivery.Objective) string {
+// formatObjective describes the goal of an objective, such as "99% within 110ms".
+func formatObjective(o delivery.Objective) string {
 	if o.Aim == delivery.AimLatency {
-		return fmt.Sprintf("%s within %s", percent(o.Ratio), o.Threshold)
+		return fmt.Sprintf("%s within %s", formatPercent(o.Ratio), o.Threshold)
 	}
-	return percent(o.Ratio) + " from every shard"
+	return formatPercent(o.Ratio) + " from every shard"
 }
 
-// noteCompleteness notes the time that the report covers, and what it lacks.
+// noteCompleteness adds notes on the time range of the report and on the data
+// missing from it.
 func (t *Table) noteCompleteness(c delivery.Completeness) {
-	t.note("from %s to %s, %d windows", moment(c.From), moment(c.To), c.Windows)
+	t.addNote("from %s to %s, %d windows", formatTime(c.From), formatTime(c.To), c.Windows)
 	if c.Folded > 0 {
-		t.note("%d answers are summed under %s", c.Folded, delivery.Other)
+		t.addNote("%d answers are summed under %s", c.Folded, delivery.Other)
 	}
 	for _, g := range c.Missing {
-		t.note("missing: %s", g)
+		t.addNote("missing: %s", g)
 	}
 	for _, o := range c.Open {
-		t.note("missing: %s", o)
+		t.addNote("missing: %s", o)
 	}
 	for _, name := range c.Unreadable {
-		t.note("unreadable: %s", name)
+		t.addNote("unreadable: %s", name)
 	}
 	if c.Complete() {
-		t.note("nothing is missing")
+		t.addNote("nothing is missing")
 	}
 }
 
-func names(fields []delivery.Field) []string {
+func fieldNames(fields []delivery.Field) []string {
 	out := make([]string, 0, len(fields))
 	for _, f := range fields {
 		out = append(out, string(f))
@@ -208,7 +225,8 @@
 	return out
 }
 
-func cells(k delivery.Key, fields []delivery.Field) []string {
+// keyCells returns the key's values of the fields.
+func keyCells(k delivery.Key, fields []delivery.Field) []string {
 	out := make([]string, 0, len(fields))
 	for _, f := range fields {
 		out = append(out, k.Value(f))
@@ -216,17 +234,18 @@
 	return out
 }
 
-func moment(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(timestamp time.Time) string { return timestamp.UTC().Format(time.RFC3339) }
 
-func milliseconds(d time.Duration) string {
+func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', 1, 64) + "ms"
 }
 
-func percent(f float64) string { return strconv.FormatFloat(f*100, 'g', 6, 64) + "%" }
+func formatPercent(f float64) string { return strconv.FormatFloat(f*100, 'g', 6, 64) + "%" }
 
-func ratio(a, b uint64) string {
-	if b == 0 {
+// formatRatio returns the ratio as text, empty if the denominator is 0.
+func formatRatio(numerator, denominator uint64) string {
+	if denominator == 0 {
 		return ""
 	}
-	return strconv.FormatFloat(float64(a)/float64(b), 'f', 3, 64)
+	return strconv.FormatFloat(float64(numerator)/float64(denominator), 'f', 3, 64)
 }
--- a/internal/operate/reports_test.go
+++ b/internal/operate/reports_test.go
@@ -14,9 +14,9 @@
 	"rhubarbwood.example/rhubarbwood/internal/query"
 )
 
-// serve records deliveries on both hosts and ends the first: the second one
-// never writes a window.
-func (h *testHost) serve() {
+// recordDeliveries records deliveries on the first host and stops it, so that it
+// writes its window. The second host never writes one.
+func (h *testHost) recordDeliveries() {
 	windows := delivery.New(delivery.DefaultConfig(), h.client, h, event.Discard(), prometheus.NewRegistry())
 	_ = windows.Start(h.t.Context())
 	for i := range 10 {
@@ -36,36 +36,36 @@
 }
 
 func TestShowReports(t *testing.T) {
-	run(t, func(t *testing.T, is *is.I, h *testHost) {
+	runWithHost(t, func(t *testing.T, is *is.I, h *testHost) {
 		h.create("guest-01")
-		h.serve()
+		h.recordDeliveries()
 
-		a := h.do("show answers since 1h by caller, outcome")
+		a := h.mustRun("show answers since 1h by caller, outcome")
 		is.Equal(a.Columns, []string{"caller", "outcome", "answers", "p50", "p99", "attempts_per_needed"})
 		is.Equal(a.Rows[0][:3], []string{"shop-a", "done", "10"})
 		is.Equal(a.cell(0, "attempts_per_needed"), "1.100")
 		is.True(strings.Contains(a.Message, "missing: host h1, incarnation 1 (unseen): nothing is known"))
-		is.Equal(len(h.do("show answers where caller = shop-b and outcome != done").Rows), 1)
+		is.Equal(len(h.mustRun("show answers where caller = shop-b and outcome != done").Rows), 1)
 
-		c := h.do("show coverage")
+		c := h.mustRun("show coverage")
 		is.Equal(len(c.Rows), 1) // reservations have no coverage
 		is.Equal(c.Rows[0], []string{"guest-01", "11", "8", "0", "2", "0", "0", "1"})
 
-		r := h.do("show answers by request")
+		r := h.mustRun("show answers by request")
 		is.Equal(len(r.Rows), 4) // the refusal, the reservation and two partial answers
-		is.Equal(h.do("show answers where request = refused-1").cell(0, "reason"), "overload")
-		is.Equal(h.do("show answers where reservation = 01JE3W2S6P8N0Q4T7V9X1Z3B5D").cell(0, "request"), "reserve-1")
-		is.True(strings.Contains(h.do("show answers by request limit 1").Message, "1 of 4 rows"))
+		is.Equal(h.mustRun("show answers where request = refused-1").cell(0, "reason"), "overload")
+		is.Equal(h.mustRun("show answers where reservation = 01JE3W2S6P8N0Q4T7V9X1Z3B5D").cell(0, "request"), "reserve-1")
+		is.True(strings.Contains(h.mustRun("show answers by request limit 1").Message, "1 of 4 rows"))
 
-		b := h.do("show burn where service = guest-01 and objective = latency")
+		b := h.mustRun("show burn where service = guest-01 and objective = latency")
 		is.Equal(b.cell(0, "target"), "99% within 110ms")
 		is.Equal(b.cell(0, "bad_1h"), "1")
-		is.Equal(b.cell(0, "burn_1h"), "9.09") // 1 of 11, and 1 of 100 may be
-		is.Equal(len(h.do("show burn").Rows), 4)
+		is.Equal(b.cell(0, "burn_1h"), "9.09") // 1 of 11 requests is bad, the objective allows 1 of 100
+		is.Equal(len(h.mustRun("show burn").Rows), 4)
 
-		is.Equal(h.fail("asha", "show answers by colour").Reason, query.ReasonBadRequest)
-		is.Equal(h.fail("asha", "show burn since 1h").Reason, query.ReasonBadRequest)
+		is.Equal(h.mustRefuse("asha", "show answers by colour").Reason, query.ReasonBadRequest)
+		is.Equal(h.mustRefuse("asha", "show burn since 1h").Reason, query.ReasonBadRequest)
 		h.platform.Outage(true)
-		is.Equal(h.fail("asha", "show answers").Reason, query.ReasonPlatform)
+		is.Equal(h.mustRefuse("asha", "show answers").Reason, query.ReasonPlatform)
 	})
 }
--- a/internal/operate/table.go
+++ b/internal/operate/table.go
@@ -9,36 +9,38 @@
 	"rhubarbwood.example/rhubarbwood/internal/lang"
 )
 
-// Table is what a statement shows. Each row has one cell a column.
+// Table is the result of a statement. Each row has one cell for each column.
 type Table struct {
 	Columns []string
 	Rows    [][]string
-	Message string // notes on the rows, such as what they lack
+	Message string // notes on the rows, such as missing data
 }
 
 func newTable(columns ...string) *Table { return &Table{Columns: columns} }
 
-func (t *Table) add(cells ...string) { t.Rows = append(t.Rows, cells) }
+func (t *Table) addRow(cells ...string) { t.Rows = append(t.Rows, cells) }
 
-// refine applies the clauses of a Show statement to a table of the present
-// state, which has no history.
-func (t *Table) refine(s lang.Show) error {
+// applyClauses applies the clauses of a Show statement to a table of the current
+// state. It refuses a since clause, as the current state has no history.
+func (t *Table) applyClauses(s lang.Show) error {
 	if s.Since != 0 {
 		return badRequest("show %s tells the present, so it takes no since", s.Subject)
 	}
-	if err := t.where(s.Where); err != nil {
+	if err := t.filter(s.Where); err != nil {
 		return err
 	}
-	if err := t.by(s.By); err != nil {
+	if err := t.countBy(s.By); err != nil {
 		return err
 	}
 	t.limit(s.Limit)
 	return nil
 }
 
-func (t *Table) where(conditions []lang.Condition) error {
+// filter removes the rows that don't meet all conditions. Values are compared
+// ignoring case.
+func (t *Table) filter(conditions []lang.Condition) error {
 	for _, c := range conditions {
-		i, err := t.column(c.Field)
+		i, err := t.columnIndex(c.Field)
 		if err != nil {
 			return err
 		}
@@ -49,7 +51,9 @@
 	return nil
 }
 
-func (t *Table) column(name string) (int, error) {
+// columnIndex returns the index of a column, or a bad request refusal that lists
+// the columns.
+func (t *Table) columnIndex(name string) (int, error) {
 	i := slices.Index(t.Columns, name)
 	if i < 0 {
 		return 0, badRequest("no field %q, want one of %s", name, strings.Join(t.Columns, ", "))
@@ -57,14 +61,15 @@
 	return i, nil
 }
 
-// by counts the rows that have the same cells in the given columns.
-func (t *Table) by(fields []string) error {
+// countBy replaces the rows by one for each combination of values in the given
+// columns, with the number of rows that have it.
+func (t *Table) countBy(fields []string) error {
 	if len(fields) == 0 {
 		return nil
 	}
 	var columns []int
 	for _, f := range fields {
-		i, err := t.column(f)
+		i, err := t.columnIndex(f)
 		if err != nil {
 			return err
 		}
@@ -79,7 +84,7 @@
 		}
 		key := groupKey(cells)
 		if counts[key] == 0 {
-			grouped.add(cells...)
+			grouped.addRow(cells...)
 		}
 		counts[key]++
 	}
@@ -91,20 +96,21 @@
 	return nil
 }
 
-// groupKey joins the cells that rows are grouped by into a map key.
+// groupKey returns the map key of a group from the cells that rows are grouped by.
 func groupKey(cells []string) string { return strings.Join(cells, "\x00") }
 
-// limit keeps the first rows and says how many there were.
+// limit keeps the first n rows, all if n is 0, and adds a note if rows were
+// removed.
 func (t *Table) limit(n int) {
 	if n == 0 || len(t.Rows) <= n {
 		return
 	}
-	t.note("%d of %d rows", n, len(t.Rows))
+	t.addNote("%d of %d rows", n, len(t.Rows))
 	t.Rows = t.Rows[:n]
 }
 
-// note adds a sentence to the message.
-func (t *Table) note(format string, args ...any) {
+// addNote appends a note to the message.
+func (t *Table) addNote(format string, args ...any) {
 	if t.Message != "" {
 		t.Message += "; "
 	}
