--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# Targets: build, demo, test, model, fuzz, lint, bench, profile, generate, docs, clean. Wants
-# Go, gcc and make; what else a target needs it installs, but for protoc, which
-# generate takes as it finds it.
+# Targets: build, demo, test, model, fuzz, lint, bench, profile, generate, docs, clean. Requires
+# Go, gcc and make; targets install their other tools, except for protoc, which generate
+# needs on the PATH.
 
 BIN := $(CURDIR)/.cache/bin
 
@@ -9,24 +9,24 @@
 build:
 	go build -o bin/rhubarbwood ./cmd/rhubarbwood
 
-# A platform stand-in, targets and three hosts on loopback: a search, a
-# reservation, then it serves until interrupted.
+# Starts a platform stand-in, targets and three hosts on loopback, runs a search
+# and a reservation, and then serves until interrupted.
 demo: build
 	./bin/rhubarbwood demo
 
-# The fuzz targets come before the tests: make stops at the first failure, and a test that is known to fail
-# must not hide them.
+# The fuzz tests run before the other tests: make stops at the first failure, and a test that is known to fail
+# must not keep them from running.
 test: model
 	go vet ./...
 	tools/fuzz.sh 2000
 	go test -timeout 400s ./...
 
-# The protocol models and their broken twins.
+# Checks the protocol models with spin, and that it finds the faults in their broken variants.
 model:
 	tools/spin.sh
 	model/check.sh
 
-# A long run of the fuzz targets, of about five minutes.
+# A longer run of the fuzz tests, about five minutes.
 fuzz:
 	tools/fuzz.sh 500000
 
@@ -39,11 +39,11 @@
 $(BIN)/staticcheck: tools/go.mod tools/go.sum
 	cd tools && GOBIN=$(BIN) go install honnef.co/go/tools/cmd/staticcheck
 
-# A short measurement of the policy under load; ends in five minutes.
+# A short load test of the policy; takes at most five minutes.
 bench: build
 	./bin/rhubarbwood load --bench
 
-# Where the processor time of a forwarded query goes: the benchmark of the request path, and its profile.
+# CPU profile of the benchmark of the request path.
 profile:
 	mkdir -p .cache
 	go test ./internal/gateway -run '^$$' -bench BenchmarkGather -benchtime 3s -o .cache/gateway.test -cpuprofile .cache/gather.prof
@@ -55,6 +55,6 @@
 clean:
 	rm -rf bin .cache
 
-# The pages that are made from the code, and the examples.
+# Regenerates the pages that are generated from the code, and the examples.
 docs:
 	go test ./internal/cli ./internal/host ./examples -run 'Page|Files' -update
--- a/model/check.sh
+++ b/model/check.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Checks the models with spin: each true one must pass, and spin must find an
-# error in each broken twin, so that a check that cannot fail is noticed.
+# Checks the models with spin: each correct model must pass, and spin must find an
+# error in each broken variant, which shows that the model's assertions can fail.
 # Needs spin and a C compiler. Works in a temporary directory.
 set -eu
 
@@ -9,8 +9,8 @@
 trap 'rm -rf "$work"' EXIT
 failures=0
 
-# run OPTIMIZATION MODEL FLAGS...: compiles and searches; the report is in
-# $work/out. A long search gains more from the compiler than it costs.
+# run OPTIMIZATION MODEL FLAGS...: compiles the verifier and runs the search; its
+# report is in $work/out. Compiler optimization pays off only for long searches.
 run() {
 	optimize=$1
 	model=$2
@@ -24,7 +24,7 @@
 	)
 }
 
-# holds MODEL FLAGS...: the search must be complete and find no error.
+# holds MODEL FLAGS...: the search must complete without finding an error.
 holds() {
 	run -O2 "$@"
 	if grep -q 'errors: 0' "$work/out" && ! grep -qE 'max search depth too small|out of memory|interrupted' "$work/out"; then
@@ -36,7 +36,8 @@
 	fi
 }
 
-# refuted MODEL TWIN FLAGS...: the search must violate an assertion.
+# refuted MODEL VARIANT FLAGS...: the search must find a violated assertion in the
+# broken variant.
 refuted() {
 	model=$1
 	twin=$2
@@ -73,8 +74,8 @@
 	refuted config "$twin" -DHOSTS=2 -DREVISIONS=2
 done
 
-# Spread of beliefs and their ages. Two hosts, two changes; with pauses of any
-# length, fewer ticks.
+# Propagation of cached state and its age. Two hosts, two changes; fewer ticks with
+# pauses of any length.
 holds spread -DTIME=6
 holds spread -DTIME=4 -DVERSIONS=1 -DPAUSES
 for twin in BROKEN_ARRIVAL BROKEN_DEAF BROKEN_BACK BROKEN_FRESH BROKEN_PEERS; do
@@ -82,26 +83,26 @@
 done
 refuted spread BROKEN_WATCH -DTIME=3 -DPAUSES
 
-# What hosts tell each other of the registry: two targets over three revisions, one over four.
+# Exchange of the registry between hosts: two targets over three revisions, one over four.
 holds registry -DREVISIONS=3
 holds registry -DREVISIONS=4 -DTARGETS=1
 refuted registry BROKEN_READ
 refuted registry BROKEN_QUIET
 refuted registry BROKEN_LATE
 
-# A store that comes back from an older copy. Two restores and three revisions.
+# A store that is restored from an older copy. Two restores and three revisions.
 holds restore
 for twin in BROKEN_NUMBER BROKEN_WATCH BROKEN_HOST; do
 	refuted restore "$twin"
 done
 
-# What cold targets bear, divided among hosts.
+# The rate limit of cold targets, shared among hosts.
 holds cold -DHOSTS=2
 for twin in BROKEN_COUNT BROKEN_WRITE BROKEN_AGAIN BROKEN_START; do
 	refuted cold "$twin" -DHOSTS=2
 done
 
-# The same over a restore of the store.
+# The same with a restore of the store.
 holds cold -DHOSTS=2 -DRESTORES=1 -DBOUND=2 -DSTARTS=0
 for twin in BROKEN_ERA BROKEN_WAIT BROKEN_ANSWER; do
 	refuted cold "$twin" -DHOSTS=2 -DRESTORES=1 -DBOUND=2 -DSTARTS=0
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -2,39 +2,39 @@
  * A reservation's record and its target, for one reservation id.
  *
  * Each Request is one request of the caller, at a host of its own choice; the
- * hosts share nothing but the record, the word on their own attempts (Ask) and
- * the target. A host that freezes at any step and wakes at any later time, or
- * never, is the interleaving itself. The view of who lives is not trusted: a
- * request that meets another's attempt may always take its host for dead. So
- * may any write meet an outage of the platform, of any length.
+ * hosts share nothing but the record, the answers of other hosts on their own
+ * attempts (Ask) and the target. A host that pauses at any step and resumes at
+ * any later time, or never, is covered by the interleaving. Membership is not
+ * trusted: a request that finds another's attempt may always assume that its
+ * host is dead. Any write may fail in an outage of the platform of any length.
  *
- * With RESTORE the platform comes back from an older copy of the record once, at
- * any step. The reservation's id is older than that.
+ * With RESTORE the platform is restored from an older copy of the record once, at
+ * any step. The reservation's id is older than the restore.
  *
- * Checked: the target runs the reservation at most once, and no request that
- * was told "not run" has run or runs later.
+ * Checked: the target runs the reservation at most once, and no request whose
+ * response was "not run" has run or runs later.
  *
- * Each macro named in check.sh switches one mechanism off or adds one wrong
- * step; spin must refute each of them.
+ * Each macro named in check.sh disables one mechanism or adds one wrong step;
+ * spin must find a violation with each of them.
  */
 
 #ifndef REQUESTS
 #define REQUESTS 3
 #endif
 #ifndef ATTEMPTS
-#define ATTEMPTS 4  /* attempt 0 is none */
+#define ATTEMPTS 4  /* attempt 0 means no attempt */
 #endif
-#define SLOTS 2 /* writes on their way that land late, or never */
+#define SLOTS 2 /* delayed writes, which are applied late or never */
 #ifndef FAULTS
-#define FAULTS   3  /* answers lost and writes held back, in all */
+#define FAULTS   3  /* lost answers and delayed writes in total */
 #endif
 
-/* Phases of a record; NONE is no record. */
+/* Phases of a record; NONE means that there is no record. */
 #define NONE     0
 #define SENDING  1
 #define RELEASED 2
 #define SETTLED  3
-#define UNCLEAR  4  /* settled as unknown */
+#define UNCLEAR  4  /* settled with an unknown outcome */
 
 /* Results of a conditional write. */
 #define APPLIED    0
@@ -42,13 +42,13 @@
 #define NOTAPPLIED 2
 #define AMBIGUOUS  3
 
-/* The platform. Versions start again from 1 after a removal. */
+/* The platform. Versions restart from 1 after a removal. */
 byte version = 0;
 byte phase = NONE;
 byte attempt = 0;
-bool writtenPast = false; /* the record was written past the horizon */
+bool writtenPast = false; /* the record was written after the horizon */
 bool past = false;        /* the platform's clock is past the horizon */
-bool wellPast = false;    /* and past the age of removal */
+bool wellPast = false;    /* and past the age at which records are removed */
 byte faults = FAULTS;
 
 #ifdef RESTORE
@@ -68,7 +68,7 @@
 bool ran[ATTEMPTS];
 bool refused[ATTEMPTS];
 
-/* What hosts know of their own attempts, and what callers were told. */
+/* neverRuns: the attempt's host has decided that it won't run. toldNotRun: the caller got the response "not run". */
 bool neverRuns[ATTEMPTS];
 bool requestRan[REQUESTS];
 bool toldNotRun[REQUESTS];
@@ -85,8 +85,9 @@
 }
 
 /*
- * put writes if the version stands; cv, cp, ca and cw are the record then. It
- * is used inside atomic: what follows it there works on local variables only.
+ * put writes if the version still matches; cv, cp, ca and cw are set to the record
+ * after the write. It is used inside atomic: the code after it there uses local
+ * variables only.
  */
 inline put(ifVer, toPhase, toAttempt) {
 	if
@@ -105,10 +106,10 @@
 	fi
 }
 
-/* forget makes states equal that differ only in what is not read again. */
+/* forget resets variables that are not read again, so that states differing only in them are merged. */
 inline forget() { cp = NONE; ca = 0; cw = false; result = APPLIED; doubt = false; tries = 0 }
 
-/* Inside atomic. */
+/* tellNotRun responds "not run" to the caller. It is used inside atomic. */
 inline tellNotRun() {
 	assert(!requestRan[me]);
 	toldNotRun[me] = true
@@ -117,12 +118,12 @@
 proctype Request(byte me) {
 	byte base, cv, cp, ca, result, tries;
 	byte mine = 0;  /* the newest attempt */
-	byte held = 0;  /* an earlier one that was rejected, named by the record */
+	byte held = 0;  /* an earlier, rejected attempt that the record still names */
 	bool cw, doubt;
-	bool lossy; /* the record was written after the platform may have lost an earlier one */
+	bool lossy; /* the record was written after a restore, which may have lost an earlier record */
 
-	/* Requests are alike, so the order in which they begin is fixed. The host
-	   looks at the clock; its reading may be old. */
+	/* Requests are interchangeable, so they begin in a fixed order. The host
+	   reads the clock; the reading may be out of date when it is used. */
 	atomic {
 		me == begun;
 		begun++;
@@ -177,26 +178,26 @@
 		held = 0;
 #ifndef TRUST_COPY
 		if
-		:: lossy -> neverRuns[mine] = true; base = cv; cv = 0; forget(); goto release /* told as unknown */
+		:: lossy -> neverRuns[mine] = true; base = cv; cv = 0; forget(); goto release /* the response is "unknown" */
 		:: else -> skip
 		fi;
 #endif
 #ifndef NO_RECHECK
 		if
-		:: cw -> neverRuns[mine] = true; base = cv; cv = 0; forget(); goto release /* told as expired */
+		:: cw -> neverRuns[mine] = true; base = cv; cv = 0; forget(); goto release /* the response is "expired" */
 		:: else -> skip
 		fi;
 #endif
 		base = 0;
 		forget();
 		if
-		:: true -> /* the budget has ended */
+		:: true -> /* the request's budget has ended */
 			neverRuns[mine] = true; base = cv; cv = 0; tellNotRun(); goto release
 		:: true -> skip
 		fi
 	};
 send:
-	/* The bytes are on their way, and arrive at any later time. */
+	/* The request was sent and arrives at any later time. */
 	atomic {
 		if
 		:: refused[mine] -> goto rejected
@@ -256,15 +257,15 @@
 met:
 	atomic {
 		if
-		:: cp == NONE -> goto end /* told as expired */
+		:: cp == NONE -> goto end /* the response is "expired" */
 		:: cp == SETTLED -> assert(ran[ca]); goto end
 		:: cp == RELEASED -> base = cv; goto next
-		:: (cp == SENDING || cp == UNCLEAR) && neverRuns[ca] -> base = cv; goto next /* its host says so */
-		:: (cp == SENDING || cp == UNCLEAR) -> goto end /* told as unknown */
+		:: (cp == SENDING || cp == UNCLEAR) && neverRuns[ca] -> base = cv; goto next /* the attempt's host reports that it never runs */
+		:: (cp == SENDING || cp == UNCLEAR) -> goto end /* the response is "unknown" */
 #ifdef TAKEOVER_WITHOUT_SETTLE
 		:: (cp == SENDING || cp == UNCLEAR) -> base = cv; goto next
 #endif
-		:: (cp == SENDING || cp == UNCLEAR) -> /* ask the target */
+		:: (cp == SENDING || cp == UNCLEAR) -> /* query the target, which refuses the attempt from now on unless it ran */
 			if
 			:: ran[ca] -> mine = ca; base = cv; cv = 0; forget(); held = 0; goto outcome
 			:: else -> refused[ca] = true; base = cv; goto next
@@ -272,7 +273,7 @@
 		fi
 	};
 release:
-	/* Neither mine nor held runs any more, whoever meets them. */
+	/* The attempts mine and held can no longer run, whichever host finds them in the record. */
 	tries = 0;
 free:
 	atomic {
@@ -292,7 +293,7 @@
 		:: result >= NOTAPPLIED ->
 			if
 			:: tries < 1 -> tries++; result = APPLIED; goto free
-			:: true -> goto end /* abandoned, or the host is lost */
+			:: true -> goto end /* given up, or the host failed */
 			fi
 		fi
 	};
@@ -300,7 +301,7 @@
 	atomic { base = 0; cv = 0; cp = 0; ca = 0; result = 0; tries = 0; mine = 0; held = 0; cw = false; doubt = false; lossy = false }
 }
 
-/* Writes that were held back land at any time, or never. */
+/* Delayed writes are applied at any time, or never. */
 proctype Network() {
 end:
 	do
@@ -311,7 +312,7 @@
 	od
 }
 
-/* The horizon passes, and later old records are removed. */
+/* The horizon passes; later, old records are removed. */
 proctype Clock() {
 #ifdef REMOVE_EARLY
 	atomic { version > 0 -> version = 0; phase = NONE; attempt = 0; writtenPast = false };
@@ -325,7 +326,7 @@
 }
 
 #ifdef RESTORE
-/* A copy of the record is made, and later takes its place. */
+/* A copy of the record is made, and later replaces the record. */
 proctype Restore() {
 	atomic { copyVersion = version; copyPhase = phase; copyAttempt = attempt; copyPast = writtenPast };
 	atomic {
--- a/model/cold.pml
+++ b/model/cold.pml
@@ -1,42 +1,45 @@
 /*
- * How hosts divide what a cold target bears: internal/warmup, discovery/permit.go and gateway/cold.go. A host that sees a cold
- * target without a permit writes one to the store, for the hosts that it knows, unless one stands; whoever finds it there or
- * hears of it holds the same. Each host named in it sends no more than its part in any second, of which it keeps count; one
- * that has just started sends nothing for a second. Hosts know any of the others, start anew at any time, and are cut off for any
- * time; a write may land late. The target starts again under its id at any time.
+ * How hosts share the request rate that a cold target can serve: internal/warmup, discovery/permit.go and gateway/cold.go. A
+ * host that observes a cold target without a permit writes one to the store, for the hosts in its membership view, unless the
+ * store has one; every host that reads it there or receives it from a peer uses the same. Each host listed in the permit counts
+ * its requests and sends no more than its share in any second; a host that has just started sends nothing for a second. A
+ * host's membership view may have any subset of the others; hosts restart at any time and may be partitioned for any time; a
+ * write may be applied late. The target restarts under its id at any time.
  *
- * With RESTORES the store comes back from an older copy, without the permit that was written last. A host goes by permits of the
- * era in which it has read the registry, for some time after that. It writes one, or takes the one that it finds, once it has
- * known an era for so long that no host goes by those of earlier ones, and only if the store is still in that era.
+ * With RESTORES the store is restored from an older copy, without the permit that was written last. A host uses permits of the
+ * era in which it has read the registry, for a limited time after reading it. It writes a permit, or adopts the one in the
+ * store, once it has been in an era for so long that no host uses permits of earlier eras, and only if the store is still in
+ * that era.
  *
- * A second is two ticks. Checked whenever a request is sent: in no second the target gets more than it bears, whoever sends.
+ * A second is two ticks. Checked whenever a request is sent: in no second does the target receive more than its limit from all
+ * hosts together.
  *
- * Broken twins, which spin must refute:
- *   BROKEN_COUNT  each host goes by its part among the hosts that it knows, and needs no permit
- *   BROKEN_WRITE  a permit replaces the one that stands
- *   BROKEN_AGAIN  the target gets a new permit each time it starts
- *   BROKEN_START  a host that has just started sends at once
- *   BROKEN_ERA    permits count in every era (with RESTORES)
+ * Broken variants, in which spin must find a violated assertion:
+ *   BROKEN_COUNT  each host computes its share from its own membership view, without a permit
+ *   BROKEN_WRITE  writing a permit overwrites an existing one
+ *   BROKEN_AGAIN  the permit is deleted each time the target starts
+ *   BROKEN_START  a host that has just started sends without delay
+ *   BROKEN_ERA    permits are valid in every era (with RESTORES)
  *   BROKEN_WAIT   a host writes a permit as soon as it has read the registry (with RESTORES)
- *   BROKEN_ANSWER a host goes by a permit of a later era than the one that it knew as it wrote (with RESTORES)
+ *   BROKEN_ANSWER a host uses a permit of a later era than the one in which it wrote (with RESTORES)
  */
 
 #ifndef HOSTS
 #define HOSTS 3
 #endif
 #ifndef STARTS
-#define STARTS 2 /* of hosts and of the target, each */
+#define STARTS 2 /* most restarts: of all hosts together, and of the target */
 #endif
 
 #ifndef BOUND
-#define BOUND 6
+#define BOUND 6 /* requests that the target can serve in a second */
 #endif
 #define ME(h) (1 << (h))
 
 #ifdef RESTORES
-#define COUNTS 1          /* ticks for which permits count after a reading */
+#define COUNTS 1          /* ticks for which permits are valid after reading the registry */
 #ifndef BROKEN_WAIT
-#define WAIT (COUNTS + 2) /* ticks until permits of earlier eras count nowhere, nor what was sent by them */
+#define WAIT (COUNTS + 2) /* ticks until no host uses permits of earlier eras, and requests sent under them no longer count */
 #else
 #define WAIT 0
 #endif
@@ -52,25 +55,25 @@
 #endif
 #define WANTS(h) (host[h].holds == 0 || host[h].holdsEra < host[h].era)
 
-byte permit;  /* hosts named by the one in the store; 0: there is none */
-byte got[2];  /* requests in this tick and the one before */
+byte permit;  /* set of the hosts listed in the permit in the store; 0: no permit */
+byte got[2];  /* requests that the target received in this tick and in the previous one */
 byte hostStarts, targetStarts;
 byte era = 1;
 
 typedef Host {
-	byte known;     /* hosts that it knows, itself included */
-	byte holds;     /* hosts named by the permit that it holds; 0: none */
-	byte late;      /* hosts named by a permit of its that lands later; 0: none */
-	byte sent[2];   /* in this tick and the one before */
-	byte age;       /* ticks since its start, two at most */
-	byte era;       /* in which it has read the registry; 0: in none */
+	byte known;     /* set of the hosts in its membership view, itself included */
+	byte holds;     /* set of the hosts listed in its local copy of the permit; 0: no copy */
+	byte late;      /* set of the hosts listed in its write that is still pending; 0: no write */
+	byte sent[2];   /* requests sent in this tick and in the previous one */
+	byte age;       /* ticks since its start, at most 2 */
+	byte era;       /* era in which it last read the registry; 0: not read */
 	byte wait;      /* ticks until it may write permits */
-	byte counts;    /* ticks for which permits count */
-	byte holdsEra;  /* of the permit that it holds */
+	byte counts;    /* ticks for which permits are still valid */
+	byte holdsEra;  /* era of its copy of the permit */
 }
 Host host[HOSTS];
 
-/* parts sets n to how many hosts a set names. */
+/* parts sets n to the number of hosts in a set. */
 inline parts(set, n) {
 	n = 0;
 	k = 0;
@@ -86,7 +89,7 @@
 	k = 0
 }
 
-/* put writes a permit for some hosts, as far as the store lets it. */
+/* put writes a permit for a set of hosts if the store has none. */
 inline put(set) {
 	if
 #ifndef BROKEN_WRITE
@@ -101,14 +104,14 @@
 proctype Work(byte h) {
 	byte k, n, set;
 end:	do
-	/* It learns of others, or takes them for lost. */
+	/* Its membership view changes to any set with itself. */
 	:: atomic {
 		select(set : 1 .. (1 << HOSTS) - 1);
 		set & ME(h) ->
 		host[h].known = set;
 		set = 0
 	}
-	/* It writes a permit, or finds the one that stands. */
+	/* It writes a permit, or reads the existing one. */
 	:: atomic { WANTS(h) && MAY_WRITE(h) ->
 		put(host[h].known);
 		if
@@ -119,13 +122,13 @@
 #endif
 			host[h].holds = permit;
 			host[h].holdsEra = era
-		:: else /* it has not waited in that era */
+		:: else /* the store is in a later era, in which it has not waited */
 		fi
 	}
-	/* Its write lands later, and it hears nothing of it. */
+	/* Its write is applied later, and it receives no result. */
 	:: atomic { WANTS(h) && MAY_WRITE(h) && host[h].late == 0 -> host[h].late = host[h].known }
 	:: atomic { host[h].late > 0 -> put(host[h].late); host[h].late = 0 }
-	/* Another host tells it of a permit. */
+	/* It receives another host's copy of the permit. */
 	:: atomic { WANTS(h) ->
 		select(set : 0 .. HOSTS - 1);
 		if
@@ -143,7 +146,7 @@
 		fi;
 		host[h].counts = COUNTS
 	}
-	/* Another host tells it for how long it has known the era. */
+	/* It receives from another host in the same era the wait that remains there. */
 	:: atomic { host[h].wait > 0 ->
 		select(set : 0 .. HOSTS - 1);
 		if
@@ -174,7 +177,7 @@
 		fi;
 		n = 0
 	}
-	/* It is killed, and starts anew. */
+	/* It is killed and restarts with empty state. */
 	:: atomic { hostStarts < STARTS ->
 		hostStarts++;
 		host[h].known = ME(h); host[h].holds = 0; host[h].holdsEra = 0; host[h].era = 0; host[h].wait = 0; host[h].counts = 0; host[h].sent[0] = 0; host[h].sent[1] = 0; host[h].age = 0
@@ -182,7 +185,7 @@
 	od
 }
 
-/* Time passes, and the target starts again. */
+/* Time passes, the store is restored and the target restarts. */
 proctype World() {
 	byte k;
 end:	do
@@ -203,7 +206,7 @@
 		k = 0
 	}
 #ifdef RESTORES
-	/* The store comes back from a copy, with the permit or without. */
+	/* The store is restored from a copy, with or without the permit. */
 	:: atomic { era <= RESTORES ->
 		era++;
 		if
--- a/model/config.pml
+++ b/model/config.pml
@@ -1,29 +1,29 @@
 /*
  * How the configuration reaches the hosts: internal/catalog, state.go and
- * serve.go. A platform changes and deletes objects. Hosts learn of it by
- * watches and lists of the platform and by pulls from one another. Answers are
- * made at one time and arrive at any later one, so they overtake each other.
- * Hosts restart with nothing, and forget deletions.
+ * serve.go. A platform changes and deletes objects. Hosts receive the changes
+ * by watching and listing the platform and by pulling from one another. Answers
+ * are generated at one time and arrive at any later one, so they may be
+ * reordered. Hosts restart with empty state, and discard records of deletions.
  *
- * Checked at every arrival: a host never goes back, neither as a whole nor in
- * one object; and it holds exactly what stood at the revision up to which it
- * says that it is complete.
+ * Checked at every arrival: neither a host's revision nor that of any object on
+ * it decreases; and the host has exactly the objects that existed at the revision
+ * up to which it reports itself complete.
  *
- * Broken twins, which spin must refute:
- *   BROKEN_OLDER   an answer is taken though it is not newer than what is held
- *   BROKEN_GAP     changes are taken though others before them are missing
- *   BROKEN_FORGET  a host that has forgotten deletions answers as if it knew them
- *   BROKEN_EMPTY   a host that asks with nothing is taken to have nothing still
+ * Broken variants, in which spin must find a violated assertion:
+ *   BROKEN_OLDER   an answer is applied though it is not newer than the host's state
+ *   BROKEN_GAP     changes are applied though earlier ones are missing
+ *   BROKEN_FORGET  a host that has discarded deletions answers as if it still had them
+ *   BROKEN_EMPTY   a host that pulls with empty state is assumed to be still empty
  *                  when the answer arrives
- *   BROKEN_FLOOR   a host takes over another's objects, but not which deletions
- *                  the other had forgotten
+ *   BROKEN_FLOOR   a host adopts another's objects, but not the revision up to which
+ *                  the other had discarded deletions
  */
 
 #ifndef HOSTS
 #define HOSTS 2
 #endif
 #ifndef WATCHERS
-#define WATCHERS HOSTS /* hosts that hear the platform themselves */
+#define WATCHERS HOSTS /* hosts that watch the platform themselves */
 #endif
 #ifndef REVISIONS
 #define REVISIONS 2
@@ -34,15 +34,16 @@
 #define AT(revision, o) ((revision) * OBJECTS + (o))
 
 /* The platform's history: at revision r object changed[r] was written, or
- * deleted if deletion[r]. stood[AT(r, o)] is the revision of the object that
- * stood at r; 0 if none did. */
+ * deleted if deletion[r]. stood[AT(r, o)] is the object's revision as of
+ * revision r; 0 if it did not exist. */
 byte revision;
 byte changed[REVISIONS + 1];
 bit deletion[REVISIONS + 1];
 byte stood[(REVISIONS + 1) * OBJECTS];
 
-/* An answer under way. newest[o] is the newest change of o that it holds; 0 if
- * it holds none. named[o]: it tells that o stands, without its value. */
+/* An answer in flight. newest[o] is the newest change of o in it; 0 if it has
+ * none. named[o]: it says that o exists, without its value. floor: deletions up
+ * to this revision may be missing. */
 typedef Answer {
 	bit present;
 	bit whole;
@@ -54,7 +55,8 @@
 	bit named[OBJECTS];
 }
 
-/* newest[o] is the change held of o; 0 if none. gone[o]: it is a deletion. */
+/* newest[o] is the newest change of o that the host has; 0 if none. gone[o]: it is
+ * a deletion. floor: deletions up to this revision may have been discarded. */
 typedef Host {
 	byte complete;
 	byte floor;
@@ -65,7 +67,7 @@
 }
 Host host[HOSTS];
 
-/* Scratch variables of the steps; each step begins with setting them. */
+/* Scratch variables of the steps; each step sets them before it reads them. */
 byte i;
 byte o;
 byte before;
@@ -109,7 +111,7 @@
 	od
 }
 
-/* Every change after the last one of the host, as of now. */
+/* Answers with every change after the host's revision, as of now. */
 inline watch(h) {
 	d_step {
 		clear(host[h].watched);
@@ -128,7 +130,7 @@
 	}
 }
 
-/* What stands now. */
+/* Answers with all objects that exist now. */
 inline list(h) {
 	d_step {
 		clear(host[h].watched);
@@ -153,7 +155,7 @@
 #define MUST_BE_FULL(h, from) (host[h].complete < host[from].floor)
 #endif
 
-/* The changes that another host holds after the last one of this host. */
+/* Answers with the changes that another host has after this host's revision. */
 inline pull(h, from) {
 	d_step {
 		clear(host[h].pulled);
@@ -245,7 +247,7 @@
 	od
 }
 
-/* A host forgets the deletions that it holds. */
+/* A host discards its records of deletions. */
 inline forget(h) {
 	d_step {
 		o = 0;
@@ -265,8 +267,8 @@
 	}
 }
 
-/* A new process with nothing. Answers to the old one may still arrive, which
- * is worse than what can happen. */
+/* A new process with empty state. Answers to the old process may still arrive,
+ * which the real system excludes: the model checks more than can happen. */
 inline restart(h) {
 	d_step {
 		host[h].complete = 0;
--- a/model/registry.pml
+++ b/model/registry.pml
@@ -1,17 +1,17 @@
 /*
- * How hosts tell each other of the registry: internal/discovery, state.go and update.go. Targets are registered and removed
- * in the store, each change with the next revision. A host reads the whole registry, watches it from the revision that it
- * holds, or asks a peer, which answers with the changes that it keeps since the asking host's revision, or with all it holds. The last
- * page of a reading may be newer than its revision; a watch tells the last change of each target. Answers of peers are made at
- * one time and arrive at any later one. Hosts start anew at any time, and know nothing then.
+ * How hosts exchange the registry: internal/discovery, state.go and update.go. Targets are registered and removed in the store,
+ * each change with the next revision. A host lists the whole registry, watches it from its own revision, or pulls from a peer,
+ * which answers with the changes in its history since the requesting host's revision, or with its full state. The last page of
+ * a list may be newer than the list's revision; a watch returns the last change of each target. Answers of peers are generated
+ * at one time and arrive at any later one. Hosts restart at any time, with empty state.
  *
- * Checked whenever a host's belief changes: of each target it believes what the registry held at the revision of the host or
- * later, so a target that was removed at or before it is not believed to be there.
+ * Checked whenever a host's state changes: each target's state on the host is the one in the registry at the host's revision or
+ * later, so a target that was removed at or before that revision is not present on the host.
  *
- * Broken twins, which spin must refute:
- *   BROKEN_READ   what a reading brought is kept as if it were all that changed before it
- *   BROKEN_QUIET  a change that changes nothing at a host is not kept for its peers
- *   BROKEN_LATE   an answer is taken though the host has moved on beyond it
+ * Broken variants, in which spin must find a violated assertion:
+ *   BROKEN_READ   the changes found by a list enter the history as if they were all changes up to its revision
+ *   BROKEN_QUIET  a change that has no effect on a host's state is not kept in its history for peers
+ *   BROKEN_LATE   an answer is applied though the host's revision is already newer
  */
 
 #ifndef HOSTS
@@ -32,22 +32,22 @@
 bit there[(REVISIONS + 1) * TARGETS];      /* registered at a revision */
 byte changed[(REVISIONS + 1) * TARGETS];   /* revision of the last change at or before one; 0: none */
 
-/* revision 0: the host knows nothing. */
+/* revision 0: the host has no state. */
 typedef Host {
 	byte revision;
-	byte from;              /* changes after it are kept */
+	byte from;              /* the history has all changes after this revision */
 	bit holds[TARGETS];
-	byte kept[TARGETS];     /* revision as of which the last change of a target was taken; 0: none is kept */
+	byte kept[TARGETS];     /* revision at which the last change of a target was applied; 0: not in the history */
 
-	bit answered;           /* a peer's answer is under way */
+	bit answered;           /* a peer's answer is in flight */
 	byte toldRevision;
 	bit whole;
-	bit named[TARGETS];     /* the answer tells of the target */
-	bit told[TARGETS];      /* that it is there */
+	bit named[TARGETS];     /* the answer has the target */
+	bit told[TARGETS];      /* the target is present in the answer */
 }
 Host host[HOSTS];
 
-/* believed(h, t) reports whether the registry held what a host believes, at its revision or later. */
+/* check asserts that the registry had each target's state on the host at the host's revision or later. */
 inline check(h) {
 	t = 0;
 	do
@@ -65,7 +65,7 @@
 	r = 0
 }
 
-/* take notes one change of a target as of a revision. */
+/* take applies one change of a target as of a revision and adds it to the history. */
 inline take(h, target, is, as) {
 	if
 #ifdef BROKEN_QUIET
@@ -103,7 +103,7 @@
 	byte t, r, peer, began;
 	bit is;
 end:	do
-	/* It starts anew; answers to the process before are lost. */
+	/* It restarts; answers to the previous process are lost. */
 	:: atomic { host[h].revision > 0 ->
 		host[h].revision = 0; host[h].from = 0; host[h].answered = 0; host[h].toldRevision = 0; host[h].whole = 0;
 		t = 0;
@@ -115,7 +115,7 @@
 		od;
 		t = 0
 	}
-	/* It reads everything: page by page, each as of the first revision or a later one. */
+	/* It lists the registry page by page, each as of the first page's revision or a later one. */
 	:: atomic {
 		select(began : 1 .. revision);
 		began >= host[h].revision ->
@@ -142,7 +142,7 @@
 		is = 0; began = 0;
 		check(h)
 	}
-	/* A watch tells the last change of each target after the revision that the host holds. */
+	/* A watch returns the last change of each target after the host's revision. */
 	:: atomic { host[h].revision > 0 && revision > host[h].revision ->
 		t = 0;
 		do
@@ -157,7 +157,7 @@
 		host[h].revision = revision;
 		check(h)
 	}
-	/* A peer answers. */
+	/* A peer generates an answer. */
 	:: atomic { !host[h].answered ->
 		select(peer : 0 .. HOSTS - 1);
 		peer != h && host[peer].revision > host[h].revision ->
--- a/model/restore.pml
+++ b/model/restore.pml
@@ -1,16 +1,16 @@
 /*
- * What hosts believe of a store that comes back from an older copy: internal/revision, discovery/state.go and update.go. The
- * store gives revisions out again after a restore; its era tells the two apart. Hosts read all, watch from what they believe,
- * and tell each other; an answer may be under way for any time. A host sees the era in any answer, also one that it does not
- * take.
+ * The state that hosts cache of a store that is restored from an older copy: internal/revision, discovery/state.go and
+ * update.go. The store reuses revision numbers after a restore; its era distinguishes them. Hosts list the store, watch it from
+ * their cached revision, and exchange their state; an answer may be in flight for any time. A host reads the era from every
+ * answer, also from one that it doesn't apply.
  *
- * Checked whenever a host is told something: it believes what the store held at that revision of that era, and nothing of an
- * earlier era than it was told of.
+ * Checked whenever a host receives a state: its cached value is the store's at the cached revision of that era, and its era is
+ * not earlier than the one received.
  *
- * Broken twins, which spin must refute:
+ * Broken variants, in which spin must find a violated assertion:
  *   BROKEN_NUMBER  revisions are ordered by their numbers alone
- *   BROKEN_WATCH   a watch goes on from a number of an earlier era
- *   BROKEN_HOST    the era of the host is told in place of that of the belief
+ *   BROKEN_WATCH   a watch resumes from a revision number of an earlier era
+ *   BROKEN_HOST    a host sends the newest era that it has seen in place of the era of its cached state
  */
 
 #ifndef HOSTS
@@ -25,15 +25,15 @@
 
 #define AT(e, n) held[(e) * (NUMBERS + 1) + (n)]
 
-byte held[ERAS * (NUMBERS + 1)]; /* what the store held, by era and number */
-byte era, number, values;        /* of the store now; values counts what was written */
+byte held[ERAS * (NUMBERS + 1)]; /* the store's value by era and number */
+byte era, number, values;        /* current era and number of the store; values is the number of writes */
 
 typedef Belief {
 	byte era, number, value;
 	bool known;
 }
 typedef Host {
-	Belief now, late; /* late: an answer under way */
+	Belief now, late; /* now: cached state; late: an answer in flight */
 	byte seen;        /* newest era seen in any answer */
 }
 Host host[HOSTS];
@@ -44,7 +44,7 @@
 #define BEFORE(e1, n1, e2, n2) ((e1) < (e2) || (e1) == (e2) && (n1) < (n2))
 #endif
 
-/* take believes something unless it is older than what is believed. */
+/* take caches a received state unless it is older than the cached one. */
 inline take(h, te, tn, tv) {
 	if
 	:: !host[h].now.known || BEFORE(host[h].now.era, host[h].now.number, te, tn) ->
@@ -58,7 +58,7 @@
 	assert(host[h].now.era >= te)
 }
 
-/* answer puts an answer of the store under way. */
+/* answer generates an answer of the store, which arrives later. */
 inline answer(h, av) {
 	host[h].late.era = era;
 	host[h].late.number = number;
@@ -91,11 +91,11 @@
 }
 
 proctype Work(byte h) {
-	byte p, e, n, v; /* p: another host; e, n, v: what is taken */
+	byte p, e, n, v; /* p: another host; e, n, v: era, number and value received */
 end:	do
-	/* It reads all. */
+	/* It lists the store. */
 	:: atomic { !host[h].late.known -> v = AT(era, number); answer(h, v); v = 0 }
-	/* It watches from what it believes: what has not changed since stays as it is believed. */
+	/* It watches from its cached revision: a value that has not changed since stays as cached. */
 	:: atomic { !host[h].late.known && host[h].now.known ->
 		if
 #ifdef BROKEN_WATCH
@@ -112,7 +112,7 @@
 		:: else -> host[h].seen = era /* refused */
 		fi
 	}
-	/* An answer comes. */
+	/* An answer arrives. */
 	:: atomic { host[h].late.known ->
 		e = host[h].late.era;
 		n = host[h].late.number;
@@ -126,7 +126,7 @@
 		host[h].late.number = 0;
 		host[h].late.value = 0
 	}
-	/* Another one tells. */
+	/* Another host sends its cached state. */
 	:: atomic {
 		select(p : 0 .. HOSTS - 1);
 		if
@@ -146,7 +146,7 @@
 		n = 0;
 		v = 0
 	}
-	/* It starts anew. */
+	/* It restarts with empty state. */
 	:: atomic { host[h].now.known ->
 		host[h].now.known = false;
 		host[h].now.era = 0;
--- a/model/spread.pml
+++ b/model/spread.pml
@@ -1,31 +1,32 @@
 /*
- * How beliefs and their ages spread: internal/discovery, follower.go, peers.go
- * and update.go. The store changes the configuration. Host 0 watches the store;
- * the other hosts ask host 0, and every host asks the store itself once its
- * belief is old. A watch may be deaf to what changes while it waits: it ends as if
- * nothing had changed. What changed before, the next one tells. Answers
- * of peers are made at one time and arrive at any later one, or never. Clocks of
- * hosts can't be compared, so peers tell ages.
+ * How cached state and its age propagate: internal/discovery, follower.go,
+ * peers.go and update.go. The store changes the configuration. Host 0 watches the
+ * store; the other hosts query host 0, and every host queries the store itself
+ * once its state is stale. A watch may miss changes made while it waits: it ends
+ * as if nothing had changed, and the next watch returns them. Answers of peers
+ * are generated at one time and arrive at any later one, or never. Clocks of
+ * hosts can't be compared, so peers send ages rather than times.
  *
- * Time is counted in ticks. at[t] is the version that stood at the start of
+ * Time is counted in ticks. at[t] is the store's version at the start of
  * tick t.
  *
  * Checked whenever something happens:
- *   - a host never goes back;
- *   - an age is never understated: a host that believes to be current as of t
- *     holds at least what stood one watch before t;
- *   - a host that tells a caller that a route is unknown holds at least what
- *     stood FRESH and one watch ago; one that can't prove that refuses;
- *   - while the store answers and hosts run, every host that knows a version
- *     holds at least what stood BOUND ago.
+ *   - a host's version never decreases;
+ *   - an age is never understated: a host whose state counts as current as of t
+ *     has at least the store's version of one watch before t;
+ *   - a host that answers a caller that a route is unknown has at least the
+ *     store's version of FRESH plus one watch ago; a host that can't ensure that
+ *     refuses the request;
+ *   - while the store answers and hosts run, every host that has a version has
+ *     at least the store's version of BOUND ago.
  *
- * Broken twins, which spin must refute:
- *   BROKEN_ARRIVAL  the age that a peer tells is counted from the arrival
- *   BROKEN_WATCH    the end of a watch is believed as of its arrival
- *   BROKEN_DEAF     one watch is believed for as long as it lasts
- *   BROKEN_BACK     what a peer tells is taken though it is older
- *   BROKEN_FRESH    a route is told as unknown by a belief of any age
- *   BROKEN_PEERS    a host whose belief is old goes on waiting for its peer
+ * Broken variants, in which spin must find a violated assertion:
+ *   BROKEN_ARRIVAL  the age sent by a peer is counted from the arrival of the answer
+ *   BROKEN_WATCH    the result of a watch counts as current as of its arrival
+ *   BROKEN_DEAF     a single watch is trusted for as long as it lasts, without a limit
+ *   BROKEN_BACK     a peer's version is applied though it is older
+ *   BROKEN_FRESH    a route is answered as unknown from state of any age
+ *   BROKEN_PEERS    a host with stale state keeps waiting for its peer
  */
 
 #ifndef HOSTS
@@ -39,54 +40,54 @@
 #endif
 
 /* With PAUSES hosts may stop for any time, and calls take any time: ages must
- * still be true, but no bound holds. */
+ * still be correct, but the state's age has no bound. */
 #ifdef PAUSES
 #define PROMPT 0
 #else
 #define PROMPT 1
 #endif
 
-#define WATCH 1                       /* ticks that one watch lasts at most */
-#define STALE 2                       /* age from which a host asks the store itself */
-#define CALL 1                        /* ticks that a call takes while the store answers */
-#define FRESH 2                       /* age up to which an unknown route is told as such */
-#define BOUND (STALE + CALL + WATCH)  /* a change is in force */
+#define WATCH 1                       /* longest duration of a watch, in ticks */
+#define STALE 2                       /* age from which a host queries the store itself */
+#define CALL 1                        /* longest duration of a call while the store answers */
+#define FRESH 2                       /* age up to which state may be used to answer that a route is unknown */
+#define BOUND (STALE + CALL + WATCH)  /* longest time until a change is in force on every host */
 
 byte now;
 byte version;
 byte at[TIME + 1];
 
-/* asOf is meaningful if known. A host makes one call to the store and one to its
+/* asOf is valid if known. A host makes one call to the store and one to its
  * peer at a time. */
 typedef Host {
 	bit known;
 	byte held;
 	byte asOf;
 
-	bit calling;      /* a list or a watch is under way */
-	bit watching;     /* it is a watch */
+	bit calling;      /* a list or a watch is in flight */
+	bit watching;     /* the call is a watch */
 	bit deaf;
-	byte called;      /* when it began */
-	bit answered;     /* the answer is under way */
+	byte called;      /* tick at which the call began */
+	bit answered;     /* the answer is in flight */
 	byte answer;      /* version; 0: a watch that ended without a change */
 
-	bit asking;       /* a question to the peer is under way */
+	bit asking;       /* a query to the peer is in flight */
 	byte asked;
-	bit told;         /* the reply is under way */
+	bit told;         /* the peer's reply is in flight */
 	byte toldVersion;
 	byte toldAge;
-	byte toldHeld;    /* ticks that the peer held the question */
+	byte toldHeld;    /* ticks for which the peer held the query before replying */
 }
 Host host[HOSTS];
 
 #define AGE(h) (now - host[h].asOf)
 
-/* The version that stood some ticks before t. */
+/* The store's version some ticks before t. */
 #define STOOD(t, ticks) (((t) >= (ticks)) -> at[(t) - (ticks)] : 0)
 
 #define TRUTHFUL(h) (!host[h].known || host[h].held >= STOOD(host[h].asOf, WATCH))
 
-/* believe takes a version as of a time. */
+/* believe applies a version as of a time. */
 inline believe(h, newVersion, newAsOf) {
 	d_step {
 #ifdef BROKEN_BACK
@@ -109,15 +110,15 @@
 	}
 }
 
-/* due reports whether a host has to ask the store now. */
+/* DUE reports whether a host has to query the store now. */
 #ifdef BROKEN_PEERS
 #define DUE(h) (h == 0 || !host[h].known)
 #else
 #define DUE(h) (h == 0 || !host[h].known || AGE(h) >= STALE)
 #endif
 
-/* A tick can't pass while a call that should have ended is under way, or while a
- * host that has to ask has not begun to: the store answers and hosts run. */
+/* A tick can't pass while a call is overdue, or while a host that has to query the
+ * store has not begun to: this models that the store answers and hosts run. */
 #define LATE(h) (PROMPT && ((host[h].calling && now >= host[h].called + (host[h].watching -> WATCH : CALL)) || (!host[h].calling && DUE(h))))
 
 proctype Clock() {
@@ -163,7 +164,7 @@
 	od
 }
 
-/* What a host does with the store. */
+/* A host's calls to the store. */
 proctype Follower(byte h) {
 end:	do
 	:: atomic { !host[h].calling && DUE(h) ->
@@ -187,9 +188,8 @@
 	:: atomic { host[h].calling && !host[h].answered && host[h].watching && now >= host[h].called + WATCH && (host[h].deaf || version <= host[h].held) ->
 		host[h].answered = 1; host[h].answer = 0
 	}
-	/* The answer arrives. A list tells what stood when it was asked for at the
-	 * earliest; so does a watch with a change. One without tells what stood at its
-	 * end. */
+	/* The answer arrives. A list is at least as new as the start of the call; so
+	 * is a watch with a change. A watch without a change is as new as its end. */
 	:: atomic { host[h].calling && host[h].answered ->
 		if
 #ifdef BROKEN_WATCH
@@ -204,7 +204,7 @@
 		host[h].calling = 0; host[h].watching = 0; host[h].deaf = 0;
 		host[h].answered = 0; host[h].called = 0; host[h].answer = 0
 	}
-	/* The host answers a caller whose route it does not know. */
+	/* The host answers a caller that a route is unknown. */
 	:: atomic { host[h].known &&
 #ifndef BROKEN_FRESH
 		AGE(h) <= FRESH &&
@@ -221,12 +221,12 @@
 	}
 }
 
-/* What another host asks host 0. */
+/* The queries of another host to host 0. */
 proctype Peer(byte h) {
 	byte arrived;
 end:	do
 	:: atomic { !host[h].asking -> host[h].asking = 1; host[h].asked = now; host[h].told = 0 }
-	/* The question arrives at any time from then on, and is held for a while. */
+	/* The query arrives at any later time, and is held for some ticks. */
 	:: atomic { host[h].asking && !host[h].told && host[0].known ->
 		select(arrived : 0 .. TIME);
 		if
@@ -250,7 +250,7 @@
 		fi;
 		forget(h)
 	}
-	/* The question or the reply is lost. */
+	/* The query or the reply is lost. */
 	:: atomic { host[h].asking -> forget(h) }
 	od
 }
--- a/tools/ablation.sh
+++ b/tools/ablation.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Measures what each mechanism of the gateway is worth: scores deployments in a
-# scratch copy of the repository with one mechanism switched off at a time.
+# Measures the effect of each mechanism of the gateway: scores deployments in a
+# scratch copy of the repository with one mechanism disabled at a time.
 #
 #   tools/ablation.sh BENCH OUT "SITE..." [MECHANISM...]
 #
-# BENCH is the users' bench, OUT a folder for its output and the copy, SITE
-# the site files. Without mechanisms all are taken. Prints the worth of each day.
+# BENCH is the path of the benchmark program, OUT a folder for its output and the
+# copy, SITE the site files. By default all mechanisms are measured. Prints the
+# score of each day.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=$(realpath "$1") out=$(realpath "$2")
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fuzzes each target of the module for a fixed number of inputs, beyond those that are kept under
+# Runs each fuzz test of the module for a fixed number of inputs, in addition to the corpus in
 # testdata/fuzz. Usage: tools/fuzz.sh [COUNT]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/spin.sh
+++ b/tools/spin.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Makes sure that the model checker spin is there, by the package manager
-# where that is possible; else says what to install and fails.
+# Ensures that the model checker spin is installed. Installs it with apt-get if
+# possible; otherwise prints what to install and fails.
 set -euo pipefail
 if command -v spin >/dev/null; then
   exit 0
