--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,6 +1,6 @@
-// Package examples holds settings files for the two sites that the system
-// serves today. The files under kolkata and nordeste are made from the same
-// tables of sizes as the stand-ins; "go test ./examples -update" writes them.
+// Package examples holds settings files for the two sites that the system serves. The files under
+// kolkata and nordeste are generated from the same layouts as the stand-ins; "go test ./examples
+// -update" writes them. There is no code here beyond the test that generates and checks them.
 package examples
 
 import (
@@ -22,8 +22,8 @@
 
 var update = flag.Bool("update", false, "write the files instead of comparing them")
 
-// site is one installation. Its addresses are loopback ones, so that the files can be
-// tried on one machine: 127.<net>.0.x for hosts, 127.<net>.1.x for targets.
+// site is one installation. Its addresses are on loopback, so that the files can be tried on one
+// machine: 127.<net>.0.x for hosts, 127.<net>.1.x for targets.
 type site struct {
 	net    int
 	hosts  int
@@ -88,7 +88,7 @@
 }
 `
 
-// files returns the site's files by path.
+// files returns the content of the site's files by path.
 func (s site) files(t *testing.T) map[string]string {
 	t.Helper()
 	dir := s.layout.Name
@@ -115,7 +115,7 @@
 	return files
 }
 
-// sparse leaves out what has its default.
+// sparse returns the fields of a configuration that differ from their defaults.
 func sparse(t *testing.T, c target.Config) map[string]json.RawMessage {
 	t.Helper()
 	all, defaults := jsonFields(t, c), jsonFields(t, target.DefaultConfig())
--- a/internal/e2e/callers_test.go
+++ b/internal/e2e/callers_test.go
@@ -19,12 +19,12 @@
 
 const (
 	callerTimeout  = 2 * time.Second
-	callerWaits    = 200 * time.Millisecond // at most, when it is told to come back later
+	maxRetryWait   = 200 * time.Millisecond // upper limit on the retry delay that a response asks for
 	callerBudgetMS = "800"
 )
 
-// startSiteWith is startSite with a bound on the relays of each service, so
-// that requests go from one host to another.
+// startSiteWith is like startSite with a limit on the relays of each service, so that hosts
+// forward requests to one another.
 func startSiteWith(t *testing.T, hosts, relays int) *site {
 	t.Helper()
 	s := &site{dir: t.TempDir(), stopLag: "800ms"}
@@ -50,8 +50,8 @@
 	return s.startHost(t, i, s.domains[i%len(s.domains)], s.platformAddress)
 }
 
-// control posts to a stand-in's own path.
-func control(t *testing.T, address, path string, body any) {
+// postControl posts to a control path of a stand-in.
+func postControl(t *testing.T, address, path string, body any) {
 	t.Helper()
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// balancer is the platform's balancer: it sends callers to the hosts that
-// were ready some time ago, as it takes a while to notice a change.
+// balancer simulates the platform's load balancer: it sends callers to the hosts that were ready
+// one lag ago.
 type balancer struct {
 	lag  time.Duration
 	stop chan struct{}
@@ -76,7 +76,7 @@
 
 	mu    sync.Mutex
 	hosts []*host
-	ready []string // callers' addresses, as of lag ago
+	ready []string // callers' addresses of the hosts that were ready one lag ago
 	next  int
 }
 
@@ -89,7 +89,7 @@
 	return b
 }
 
-// run delays what it saw by a queue as long as the lag.
+// run polls the readiness of the hosts and delays the results by the lag.
 func (b *balancer) run() {
 	queue := make([][]string, b.lag/balancerPoll)
 	for i := range queue {
@@ -124,15 +124,15 @@
 	return ready
 }
 
-// add makes the balancer know of one more host.
+// add adds a host to the balancer.
 func (b *balancer) add(h *host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = append(b.hosts, h)
 }
 
-// sends reports whether callers are sent to the host.
-func (b *balancer) sends(h *host) bool {
+// routesTo reports whether the balancer sends callers to the host.
+func (b *balancer) routesTo(h *host) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Contains(b.ready, h.callers)
@@ -153,12 +153,12 @@
 	b.wg.Wait()
 }
 
-// told is what a caller was told about one request.
-type told struct {
+// callerResult is the response to one request of a caller.
+type callerResult struct {
 	requestID     string
 	reservationID string
-	host          string // address it was sent to
-	status        int    // 0: no answer
+	host          string // address of the host that received the request
+	status        int    // 0: no response
 	err           error
 	NotRun        bool   `json:"not_run"`
 	Granted       bool   `json:"granted"`
@@ -176,26 +176,25 @@
 	} `json:"rows"`
 }
 
-// callers sends requests from several workers until it is stopped, and keeps
-// what they were told.
+// callers sends requests from several workers until finish is called, and keeps the responses.
 type callers struct {
-	name   string // in every request id, so that no two are alike
-	pick   func() string
-	client *http.Client
-	done   atomic.Bool
-	wg     sync.WaitGroup
-	id     atomic.Int64
-	good   atomic.Int64 // requests answered
+	name     string // part of each request ID, to make the IDs unique
+	pick     func() string
+	client   *http.Client
+	done     atomic.Bool
+	wg       sync.WaitGroup
+	id       atomic.Int64
+	answered atomic.Int64 // number of answered requests
 
-	mu  sync.Mutex
-	all []told
+	mu      sync.Mutex
+	results []callerResult
 }
 
 func newCallers(pick func() string) *callers {
 	return &callers{name: ulid.Make().String(), pick: pick, client: &http.Client{Timeout: callerTimeout}}
 }
 
-// run starts workers that each do one thing after another.
+// run starts workers that call do repeatedly.
 func (c *callers) run(workers int, do func()) {
 	for range workers {
 		c.wg.Go(func() {
@@ -206,26 +205,26 @@
 	}
 }
 
-// finish stops the workers after what they are doing.
-func (c *callers) finish() []told {
+// finish stops the workers after their current request and returns the responses.
+func (c *callers) finish() []callerResult {
 	c.done.Store(true)
 	c.wg.Wait()
-	return c.all
+	return c.results
 }
 
-// reach waits until that many more requests were answered.
-func (c *callers) reach(t *testing.T, more int64) {
+// waitForAnswers waits until that many more requests have been answered.
+func (c *callers) waitForAnswers(t *testing.T, more int64) {
 	t.Helper()
-	want := c.good.Load() + more
-	until(t, fmt.Sprint(more, " more requests answered"), func() bool { return c.good.Load() >= want })
+	want := c.answered.Load() + more
+	waitUntil(t, fmt.Sprint(more, " more requests answered"), func() bool { return c.answered.Load() >= want })
 }
 
 func (c *callers) search() {
 	c.post("/v1/search", "", `{"workload": "guest-portal", "limit": 0}`)
 }
 
-// reserve makes one reservation: it repeats the request, at whatever host,
-// until it is told an answer, a few times at most.
+// reserve makes one reservation: it repeats the request, at the host that pick returns, until it is
+// answered, six times at most.
 func (c *callers) reserve() {
 	id := ulid.Make().String()
 	for range 6 {
@@ -233,27 +232,27 @@
 		if r.status == http.StatusOK || c.done.Load() {
 			return
 		}
-		time.Sleep(min(time.Duration(r.RetryAfterMS)*time.Millisecond, callerWaits))
+		time.Sleep(min(time.Duration(r.RetryAfterMS)*time.Millisecond, maxRetryWait))
 	}
 }
 
-func (c *callers) reserveOnce(id string) told {
+func (c *callers) reserveOnce(id string) callerResult {
 	return c.post("/v1/reservations", id, `{"reservation_id": "`+id+`", "service": "reservation-desk", "item": "pressure-cooker"}`)
 }
 
-func (c *callers) post(path, reservationID, body string) told {
-	result := told{requestID: fmt.Sprint(c.name, "-", c.id.Add(1)), reservationID: reservationID, host: c.pick()}
+func (c *callers) post(path, reservationID, body string) callerResult {
+	result := callerResult{requestID: fmt.Sprint(c.name, "-", c.id.Add(1)), reservationID: reservationID, host: c.pick()}
 	result.send(c.client, path, body)
 	if result.status == http.StatusOK {
-		c.good.Add(1)
+		c.answered.Add(1)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all = append(c.all, result)
+	c.results = append(c.results, result)
 	return result
 }
 
-func (r *told) send(client *http.Client, path, body string) {
+func (r *callerResult) send(client *http.Client, path, body string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.host+path, strings.NewReader(body))
 	if err != nil {
 		r.err = err
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -17,7 +17,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/objectstore"
 )
 
-// table is what a statement shows, or why it was refused.
+// table is the response to a statement: rows, or the reason of a refusal.
 type table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
@@ -27,7 +27,7 @@
 	status  int
 }
 
-// get returns the field of the first row.
+// get returns a field of the first row.
 func (a table) get(column string) string {
 	i := slices.Index(a.Columns, column)
 	if i < 0 || len(a.Rows) == 0 {
@@ -36,7 +36,7 @@
 	return a.Rows[0][i]
 }
 
-// statement runs a statement; status 0 means that nobody answered.
+// statement runs a statement. Status 0 means that there was no response.
 func (h *host) statement(client *http.Client, statement string) table {
 	body, _ := json.Marshal(map[string]string{"statement": statement})
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.operators+"/v1/statements", bytes.NewReader(body))
@@ -56,15 +56,15 @@
 	return a
 }
 
-// accepted is a change that an operator was told as accepted.
+// accepted is a configuration change that was reported to an operator as accepted.
 type accepted struct{ relays, version int }
 
-// operators race each other with changes of one service, through all hosts.
+// operators make concurrent changes to one service through all hosts.
 type operators struct {
 	done    atomic.Bool
 	wg      sync.WaitGroup
 	changes atomic.Int64
-	counts  sync.Map // of statuses
+	counts  sync.Map // number of responses by status
 
 	mu       sync.Mutex
 	accepted []accepted
@@ -83,7 +83,7 @@
 	}
 }
 
-// change reads the service's version and changes it at that version.
+// change reads the service's version and makes a change conditional on that version.
 func (o *operators) change(client *http.Client, h *host, relays int) {
 	read := h.statement(client, "show services where service = "+contested)
 	version, err := strconv.Atoi(read.get("version"))
@@ -106,13 +106,13 @@
 func (o *operators) reach(t *testing.T, more int64) {
 	t.Helper()
 	want := o.changes.Load() + more
-	until(t, fmt.Sprint(more, " more changes accepted"), func() bool { return o.changes.Load() >= want })
+	waitUntil(t, fmt.Sprint(more, " more changes accepted"), func() bool { return o.changes.Load() >= want })
 }
 
 var revisionLine = regexp.MustCompile(`(?m)^rhubarbwood_catalog_revision (\S+)$`)
 
-// watchRevision samples the revision in force on a process until stop, and
-// returns what it saw go back.
+// watchRevision polls the revision in force on a host until stop returns true, and returns any
+// decrease it observed.
 func (h *host) watchRevision(client *http.Client, stop func() bool) (back []string) {
 	last := 0.0
 	for !stop() {
@@ -136,14 +136,14 @@
 	return back
 }
 
-// TestConfigurationUnderFaults has operators race at every host while the
-// platform loses answers of accepted writes, a host is frozen and woken, a host
-// is killed, and a host starts while the platform is away. No host goes back a
-// revision, no two operators are told accepted for one version, and in the end
-// the last accepted change is in force on every host.
+// TestConfigurationUnderFaults makes concurrent changes through every host while the platform
+// loses responses to accepted writes, a host is suspended and resumed, a host is killed, and a
+// host starts during an outage of the platform. No host may go back a revision, no two operators
+// may get the same version accepted, and finally the last accepted change must be in force on
+// every host.
 func TestConfigurationUnderFaults(t *testing.T) {
 	s := startSiteWith(t, 4, 2)
-	live := s.hosts[:3] // operators work here; the fourth is killed
+	live := s.hosts[:3] // operators use these hosts; the fourth is killed
 	var n atomic.Int64
 	ops := &operators{}
 	ops.run(4, func() *host { return live[int(n.Add(1))%len(live)] })
@@ -163,19 +163,19 @@
 		watch(h)
 	}
 	ops.reach(t, 10)
-	control(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{LoseProbability: 0.3})
+	postControl(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{LoseProbability: 0.3})
 	ops.reach(t, 10)
 	s.hosts[3].signal(t, syscall.SIGKILL)
 	<-s.hosts[3].ended
 	live[2].signal(t, syscall.SIGSTOP)
 	ops.reach(t, 10)
-	control(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{Outage: objectstore.OutageUnavailable})
+	postControl(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{Outage: objectstore.OutageUnavailable})
 	s.seed = strconv.Quote(live[0].peers)
 	s.hosts[3] = s.replaceHost(t, 3)
 	watch(s.hosts[3])
-	until(t, "the host that started in the outage is ready", func() bool { return s.hosts[3].status("/readyz") == http.StatusOK })
+	waitUntil(t, "the host that started in the outage is ready", func() bool { return s.hosts[3].status("/readyz") == http.StatusOK })
 	live[2].signal(t, syscall.SIGCONT)
-	control(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{})
+	postControl(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{})
 	ops.reach(t, 10)
 	ops.done.Store(true)
 	ops.wg.Wait()
@@ -184,21 +184,21 @@
 	for _, b := range back {
 		t.Errorf("a revision went back: %s", b)
 	}
-	ops.judge(t)
+	ops.checkVersionsUnique(t)
 	for _, h := range s.hosts {
-		until(t, h.name+" tells that all hosts are up to date", func() bool {
+		waitUntil(t, h.name+" reports that all hosts are up to date", func() bool {
 			return strings.Contains(h.statement(client, "show config").Message, "in force on 4 of 4 hosts")
 		})
 	}
 }
 
-// judge checks that no version was accepted twice.
-func (o *operators) judge(t *testing.T) {
+// checkVersionsUnique checks that no version was accepted twice.
+func (o *operators) checkVersionsUnique(t *testing.T) {
 	t.Helper()
 	by := map[int]int{}
 	for _, a := range o.accepted {
 		if other, twice := by[a.version]; twice {
-			t.Errorf("version %d was told as accepted with relays %d and %d", a.version, other, a.relays)
+			t.Errorf("version %d was reported as accepted with relays %d and %d", a.version, other, a.relays)
 		}
 		by[a.version] = a.relays
 	}
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -1,5 +1,3 @@
-// Package e2e tests the built binary as separate processes on loopback. It
-// waits for conditions only, never for a fixed time.
 package e2e
 
 import (
@@ -18,8 +16,8 @@
 	"time"
 )
 
-// patience bounds every wait, so that a broken build fails instead of hanging.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait, so that a broken build fails instead of hanging.
+const waitTimeout = 30 * time.Second
 
 var binary string
 
@@ -50,31 +48,31 @@
 	lines chan string // standard output, by line
 	log   syncBuffer  // standard error
 	ended chan struct{}
-	err   error // of Wait, once ended is closed
+	err   error // result of Wait, set before ended is closed
 }
 
-// syncBuffer is written by a process and read by a test.
+// syncBuffer is a buffer that a process writes while a test reads it.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-// Write appends.
+// Write appends to the buffer.
 func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Write(p)
 }
 
-// String returns all that was written.
+// String returns the content of the buffer.
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.String()
 }
 
-// start starts the binary. At the end of the test the process is killed if
-// it still runs, and its log is shown if the test failed.
+// start starts the binary. At the end of the test the process is killed if it is still running,
+// and its log is printed if the test failed.
 func start(t *testing.T, name string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, cmd: exec.Command(binary, args...), lines: make(chan string, 16), ended: make(chan struct{})}
@@ -91,7 +89,7 @@
 	return p
 }
 
-// read takes the output to its end before Wait, which closes the pipe.
+// read reads the output to its end before calling Wait, which closes the pipe.
 func (p *process) read(out io.Reader) {
 	for s := bufio.NewScanner(out); s.Scan(); {
 		p.lines <- s.Text()
@@ -102,28 +100,29 @@
 }
 
 func (p *process) cleanup(t *testing.T) {
-	_ = p.cmd.Process.Kill() // fails if it has ended, as it should have
+	_ = p.cmd.Process.Kill() // fails if the process has ended, as expected
 	<-p.ended
 	if t.Failed() {
 		t.Logf("log of %s:\n%s", p.name, p.log.String())
 	}
 }
 
-// line returns the next line of standard output with this first word.
-func (p *process) line(t *testing.T, word string) string {
+// lineWithPrefix waits for the next line of standard output that begins with the word and returns
+// the rest of the line.
+func (p *process) lineWithPrefix(t *testing.T, word string) string {
 	t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	for {
 		select {
 		case line, open := <-p.lines:
 			if !open {
-				t.Fatalf("%s ended before it said %q:\n%s", p.name, word, p.log.String())
+				t.Fatalf("%s ended before printing %q:\n%s", p.name, word, p.log.String())
 			}
 			if rest, ok := strings.CutPrefix(line, word+" "); ok {
 				return rest
 			}
 		case <-timeout:
-			t.Fatalf("%s did not say %q:\n%s", p.name, word, p.log.String())
+			t.Fatalf("%s did not print %q:\n%s", p.name, word, p.log.String())
 		}
 	}
 }
@@ -140,13 +139,13 @@
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s did not end:\n%s", p.name, p.log.String())
 	}
 	return code(t, p.err)
 }
 
-// stop asks the process to stop and returns its exit code.
+// stop sends the stop signal and returns the exit code.
 func (p *process) stop(t *testing.T) int {
 	t.Helper()
 	p.signal(t, syscall.SIGTERM)
@@ -166,13 +165,13 @@
 	return -1
 }
 
-// output is what a command that ends by itself gave.
+// output is the result of a command that ends by itself.
 type output struct {
 	code     int
 	out, err string
 }
 
-// run runs the binary to its end.
+// run runs the binary until it ends.
 func run(t *testing.T, args ...string) output {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -182,14 +181,14 @@
 	return output{code(t, err), out.String(), errs.String()}
 }
 
-// until asks again and again until the condition holds.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil polls the condition until it holds, and fails the test after waitTimeout.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
-	for !holds() {
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
-		time.Sleep(10 * time.Millisecond) // between two questions; nothing is judged by it
+		time.Sleep(10 * time.Millisecond) // polling interval; no assertion depends on it
 	}
 }
--- a/internal/e2e/replicas_test.go
+++ b/internal/e2e/replicas_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// inARow is how many whole answers one after another show that a lost target
-// no longer costs coverage.
-const inARow = 10
+// consecutiveAnswers is the number of consecutive complete answers that shows that lost targets no
+// longer reduce coverage.
+const consecutiveAnswers = 10
 
-// Every shard of guest-portal-01 has a replica on each of its targets, so the
-// last of them is enough for whole answers.
+// Each target of guest-portal-01 has a replica of every shard, so answers must be complete as long
+// as one target is left.
 func TestLastReplicaIsEnough(t *testing.T) {
 	s := startSite(t, 1)
 	for _, p := range s.targets {
@@ -22,13 +22,13 @@
 		}
 	}
 	whole := 0
-	until(t, "whole answers from the last replica", func() bool {
+	waitUntil(t, "whole answers from the last replica", func() bool {
 		if !s.hosts[0].wholeAnswer(t, "guest-portal-01") {
 			whole = 0
 			return false
 		}
 		whole++
-		return whole == inARow
+		return whole == consecutiveAnswers
 	})
 }
 
--- a/internal/e2e/report_test.go
+++ b/internal/e2e/report_test.go
@@ -11,40 +11,40 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/objectstore"
 )
 
-// TestReportEqualsDriver has callers ask three hosts while the platform is away
-// and then loses answers of writes: the report counts exactly the answers that
-// the callers got. Then a host is killed: the report counts every answer of the
-// hosts that live, and names the host whose last answers it lacks.
+// TestReportEqualsDriver sends requests through three hosts while the platform is unavailable and
+// then loses responses to writes: the report must count exactly the answers that the callers
+// received. Then a host is killed: the report must count every answer of the remaining hosts and
+// name the host whose last answers are missing.
 func TestReportEqualsDriver(t *testing.T) {
 	s := startSiteWith(t, 3, 2)
 	client := &http.Client{Timeout: callerTimeout}
 	ask := func() table { return s.hosts[0].statement(client, "show answers since 1h by outcome") }
 
-	c := newCallers(rotate(s.everyHost))
+	c := newCallers(roundRobin(s.everyHost))
 	c.run(3, c.search)
 	c.run(1, c.reserve)
-	c.reach(t, 50)
-	control(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{Outage: objectstore.OutageUnavailable})
-	c.reach(t, 50)
-	control(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{LoseProbability: 0.3})
-	c.reach(t, 50)
+	c.waitForAnswers(t, 50)
+	postControl(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{Outage: objectstore.OutageUnavailable})
+	c.waitForAnswers(t, 50)
+	postControl(t, s.platformAddress, objectstore.PathFaults, objectstore.Faults{LoseProbability: 0.3})
+	c.waitForAnswers(t, 50)
 	before, _ := answeredBy(c.finish(), "")
 	var report table
-	until(t, "the report counts what the callers got and lacks nothing", func() bool {
+	waitUntil(t, "the report counts what the callers got and lacks nothing", func() bool {
 		report = ask()
 		return report.sum("answers") == before && strings.Contains(report.Message, "nothing is missing")
 	})
 	t.Logf("callers: %d answers; report: %d; %s", before, report.sum("answers"), report.Message)
 
-	c = newCallers(rotate(s.everyHost))
+	c = newCallers(roundRobin(s.everyHost))
 	c.run(3, c.search)
-	c.reach(t, 50)
+	c.waitForAnswers(t, 50)
 	killed := s.hosts[2]
 	killed.signal(t, syscall.SIGKILL)
 	<-killed.ended
-	c.reach(t, 50)
+	c.waitForAnswers(t, 50)
 	survivors, others := answeredBy(c.finish(), killed.callers)
-	until(t, "the report counts what the living hosts answered and names the killed one", func() bool {
+	waitUntil(t, "the report counts what the living hosts answered and names the killed one", func() bool {
 		report = ask()
 		return report.sum("answers") >= before+survivors && strings.Contains(report.Message, killed.name)
 	})
@@ -55,10 +55,9 @@
 		before+survivors, others, report.sum("answers"), report.Message)
 }
 
-// answeredBy counts the answers and refusals of the host at the address, and
-// those of all others. What a killed host may have counted without its caller
-// hearing of it is in neither.
-func answeredBy(all []told, address string) (others, its int) {
+// answeredBy returns the number of answers and refusals from the host at the address, and from all
+// others. Responses that a killed host counted but its caller never received are in neither.
+func answeredBy(all []callerResult, address string) (others, its int) {
 	for _, r := range all {
 		switch {
 		case r.status == 0:
@@ -71,7 +70,7 @@
 	return others, its
 }
 
-// sum adds up a column.
+// sum returns the sum of a column, or -1 if there is no such column.
 func (a table) sum(column string) int {
 	i := slices.Index(a.Columns, column)
 	if i < 0 {
--- a/internal/e2e/site_test.go
+++ b/internal/e2e/site_test.go
@@ -18,7 +18,7 @@
 
 const token = "a-token-for-the-tests"
 
-// site is a whole installation: a platform stand-in, targets and hosts.
+// site is a complete installation: a platform stand-in, targets and hosts.
 type site struct {
 	dir      string
 	platform *process
@@ -28,18 +28,18 @@
 	domains         []string          // failure domains
 	addresses       map[string]string // of targets
 	platformAddress string
-	seed            string // quoted peer address that new hosts are told; empty: none
-	stopLag         string // balancer_lag of the hosts; empty: a short one
+	seed            string // quoted peer address in the settings of new hosts; empty: none
+	stopLag         string // balancer_lag of the hosts; empty: a short default
 }
 
-// host is one process of the system and where it listens.
+// host is one gateway process and its addresses.
 type host struct {
 	*process
 	callers, operators, peers string
 }
 
-// startSite starts the demo's layout with this many hosts, each in a failure
-// domain of its own.
+// startSite starts the demo layout with the given number of hosts, each in a failure domain of its
+// own.
 func startSite(t *testing.T, hosts int) *site {
 	t.Helper()
 	s := &site{dir: t.TempDir()}
@@ -75,8 +75,7 @@
 
 func (s *site) executionLog(id string) string { return filepath.Join(s.dir, id+".log") }
 
-// startTargets starts every target of the layout on a free port and returns
-// their addresses.
+// startTargets starts all targets of the layout on free ports and returns their addresses by ID.
 func (s *site) startTargets(t *testing.T) map[string]string {
 	t.Helper()
 	free := func(string) string { return "127.0.0.1:0" }
@@ -84,7 +83,7 @@
 	for _, c := range fixture.Demo(fixture.Options{Address: free}).Targets {
 		c.ExecutionLog = s.executionLog(c.ID)
 		p := start(t, c.ID, "standin", "target", "--settings", s.write(t, c.ID+".jsonc", c))
-		addresses[c.ID] = p.line(t, "listening")
+		addresses[c.ID] = p.lineWithPrefix(t, "listening")
 		s.targets = append(s.targets, p)
 	}
 	s.addresses = addresses
@@ -102,7 +101,7 @@
 	c := objectstore.DefaultConfig()
 	c.SeedFile = seedFile
 	s.platform = start(t, "platform", "standin", "platform", "--settings", s.write(t, "platform.jsonc", c))
-	return s.platform.line(t, "listening")
+	return s.platform.lineWithPrefix(t, "listening")
 }
 
 const hostSettings = `{
@@ -122,7 +121,7 @@
 	name := fmt.Sprintf("%s-%d", domain, i+1)
 	file := s.writeText(t, name+".jsonc", fmt.Sprintf(hostSettings, name, domain, token, platform, cmp.Or(s.stopLag, "100ms"), s.seed))
 	h := &host{process: start(t, name, "serve", "--settings", file)}
-	for _, field := range strings.Fields(h.line(t, "started")) {
+	for _, field := range strings.Fields(h.lineWithPrefix(t, "started")) {
 		key, value, _ := strings.Cut(field, "=")
 		switch key {
 		case "callers":
@@ -136,15 +135,15 @@
 	return h
 }
 
-// untilReady waits until the host takes callers and knows of all hosts.
+// untilReady waits until the host is ready and counts all hosts as alive.
 func (h *host) untilReady(t *testing.T, hosts int) {
 	t.Helper()
-	until(t, h.name+" is ready", func() bool { return h.status("/readyz") == http.StatusOK })
+	waitUntil(t, h.name+" is ready", func() bool { return h.status("/readyz") == http.StatusOK })
 	alive := fmt.Sprintf(`rhubarbwood_member_hosts{state="alive"} %d`, hosts)
-	until(t, h.name+" knows every host", func() bool { return strings.Contains(h.metrics(t), alive+"\n") })
+	waitUntil(t, h.name+" counts every host as alive", func() bool { return strings.Contains(h.metrics(t), alive+"\n") })
 }
 
-// status asks the callers' listener; 0 means that nobody answered.
+// status sends a GET request to the callers' listener and returns the status; 0: no response.
 func (h *host) status(path string) int {
 	resp, err := http.Get("http://" + h.callers + path)
 	if err != nil {
@@ -168,7 +167,7 @@
 	return string(text)
 }
 
-// executions reads the log of every target: what ran, by reservation id.
+// executions reads the execution logs of all targets and returns the executions by reservation ID.
 func (s *site) executions(t *testing.T) map[string][]target.Execution {
 	t.Helper()
 	ran := map[string][]target.Execution{}
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -9,45 +9,46 @@
 	"rhubarbwood.example/rhubarbwood/internal/soak"
 )
 
-// soakSeeds are those that CI runs: two at will, and each that ever found a broken
-// promise, with a line on its cause.
+// soakSeeds are the seeds of CI without further faults: two arbitrary ones, and each that has
+// found a violation, with its cause.
 var soakSeeds = []uint64{
 	1, 2,
-	19, // a stop closed a connection whose request had just been read: the request ran, its answer was lost
+	19, // a stop closed a connection whose request had just been read: the request ran, but its answer was lost
 }
 
-// helperSeeds run with hosts that hand queries over to one of them, which is cut off,
-// paused, killed and stopped like the others.
+// helperSeeds run with hosts that delegate queries to one host, which is disconnected, paused,
+// killed and stopped like the others.
 var helperSeeds = []uint64{3, 4}
 
-// furtherSeeds run with all faults: targets that crash, also by a request, and return under their
-// id; foreign entries; suspended hosts; signals in series; callers that keep their connections.
+// furtherSeeds run with all faults: targets that crash, also because of a request, and restart
+// under the same ID; foreign values in the store; suspended hosts; series of signals; callers that
+// keep their connections.
 var furtherSeeds = []uint64{
 	1,
-	6,  // a host was told to reload 3 ms after it was started: the signal ended it, and nobody started it again
+	6,  // a host got SIGHUP 3 ms after its start, which ended it, and nothing restarted it
 	12, // the same, twice
-	9,  // requests ran at a target 3.4 to 5.8 s after it had left unseen: news of a host that had just started
+	9,  // requests ran at a target 3.4 to 5.8 s after its unobserved removal, because of outdated state from a host that had just started
 }
 
-// placementSeeds run with all faults and with what binds where requests go: failure domains are evacuated,
-// targets are cold after a crash, a route has a home.
+// placementSeeds run with all faults and restrictions on where requests go: evacuated failure
+// domains, targets that are cold after a crash, and a route with a home region.
 var placementSeeds = []uint64{
-	9000, // a target was back at once under its id, cold, and no news came: one host took it as warm and sent all
-	9009, // the same; and what a cold target got was forgotten as its registration came
+	9000, // a crashed target restarted at once, cold and under the same ID, but no change was reported: one host treated it as warm and sent it all requests
+	9009, // the same; in addition, the request count of a cold target was reset when its registration arrived
 }
 
-// restoreSeeds run with all faults, placement, and a store that comes back from older copies of itself.
+// restoreSeeds run with all faults, placement, and a store that is restored from older backups.
 var restoreSeeds = []uint64{
-	10005, // two permits of a cold target at once: the store had lost one; a host that woke believed what it had read before
-	10211, // hosts that had started around a restore sent to a target that had left
-	10235, // the same, with an earlier incarnation of the target in the copy
-	10306, // two hosts that had started together read the copy 0.5 s before they met the one that knew better
+	10005, // two concurrent permits for a cold target: the store had lost one; a resumed host used outdated records
+	10211, // hosts that started around the time of a restore sent requests to a target that had left
+	10235, // the same, with an earlier incarnation of the target in the backup
+	10306, // two hosts that started together read the backup 0.5 s before they reached the host with the newer state
 	11043, // the same, with one host
-	14013, // news of a peer that had been suspended were dated ahead: targets counted as cold, old beliefs as current
-	14017, // a target left while the host that stayed had no news; a restore brought it back
+	14013, // updates from a suspended peer carried future timestamps: targets counted as cold, and outdated state as current
+	14017, // a target left while the surviving host received no updates, and a restore brought it back
 }
 
-// A short soak of real processes. "rhubarbwood soak" runs longer ones.
+// TestSoak runs a short soak of real processes. "rhubarbwood soak" runs longer ones.
 func TestSoak(t *testing.T) {
 	const storm, callers = 2 * time.Second, 8
 	var all []soak.Config
--- a/internal/e2e/whole_path_test.go
+++ b/internal/e2e/whole_path_test.go
@@ -40,8 +40,8 @@
 	Needed   int `json:"needed"`
 }
 
-// post sends a caller's request, with further headers as names and values, and
-// returns status and body.
+// post sends a caller's request with additional headers, given as names and values, and returns
+// the response and its body.
 func (h *host) post(t *testing.T, path, requestID, body string, headers ...string) (*http.Response, []byte) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.callers+path, strings.NewReader(body))
@@ -65,8 +65,8 @@
 	return resp, b.Bytes()
 }
 
-// A platform stand-in, eight targets and three hosts, each a process: a search
-// of a whole workload and a reservation go all the way, from every host.
+// TestWholePath starts a platform stand-in, eight targets and three hosts as separate processes
+// and makes a workload search and a reservation through every host.
 func TestWholePath(t *testing.T) {
 	s := startSite(t, hostsOfSite)
 	t.Run("search", func(t *testing.T) {
@@ -80,7 +80,7 @@
 	t.Run("clean exits", s.checkExits)
 }
 
-// checkSearch asks two services of three targets, as one workload.
+// checkSearch searches two services of three targets each as one workload.
 func (h *host) checkSearch(t *testing.T) {
 	is := is.New(t)
 	resp, body := h.post(t, "/v1/search", "search-1", `{"workload": "guest-portal", "text": "", "limit": 0}`)
@@ -91,7 +91,7 @@
 	is.Equal(a.RequestID, "search-1")
 	is.Equal(a.Workload, "guest-portal")
 	is.Equal(a.Snapshot, uint64(1))
-	is.Equal(a.Coverage.Shards, 12) // two services of six shards
+	is.Equal(a.Coverage.Shards, 12) // two services with six shards each
 	is.Equal(a.Coverage.Answered, 12)
 	is.True(a.Coverage.Complete)
 	is.Equal(len(a.Coverage.Missing), 0)
@@ -101,10 +101,10 @@
 	for _, r := range a.Rows {
 		shards[r.Service+"/"+string(rune('0'+r.Shard))] = true
 	}
-	is.Equal(len(shards), 12) // every shard gave rows
+	is.Equal(len(shards), 12) // every shard returned rows
 }
 
-// checkReservation asks for one reservation at all hosts, one after another.
+// checkReservation repeats one reservation at all hosts.
 func (s *site) checkReservation(t *testing.T) {
 	is := is.New(t)
 	id := ulid.Make().String()
@@ -128,9 +128,9 @@
 		if i == 0 {
 			first = r.Answer
 		}
-		is.Equal(r.Answer, first) // a repeat gets the same answer
+		is.Equal(r.Answer, first) // a repeat returns the same answer
 	}
-	is.Equal(len(s.executions(t)[id]), 1) // by the targets' own logs
+	is.Equal(len(s.executions(t)[id]), 1) // in the targets' execution logs
 }
 
 func (s *site) checkExec(t *testing.T) {
@@ -164,7 +164,8 @@
 	is.Equal(run(t, "exec", "--operators", h.operators, "--token", "wrong", "show hosts").code, cli.ExitFailed)
 }
 
-// checkBadInput: each gets a typed status and reason, and did not run.
+// checkBadInput checks that each invalid request gets a specific status and reason and does not
+// run.
 func (s *site) checkBadInput(t *testing.T) {
 	tests := map[string]struct {
 		path, body, reason string
@@ -200,7 +201,7 @@
 	}
 }
 
-// checkExits stops every process. A second signal doesn't disturb the first.
+// checkExits stops every process. A second signal must not disturb the stop.
 func (s *site) checkExits(t *testing.T) {
 	is := is.New(t)
 	for _, h := range s.hosts {
@@ -214,8 +215,8 @@
 	}
 }
 
-// A settings file with several problems is refused with the place of each,
-// and nothing is started.
+// A settings file with several errors must be refused with the position of each error, and nothing
+// is started.
 func TestWrongSettings(t *testing.T) {
 	is := is.New(t)
 	s := &site{dir: t.TempDir()}
@@ -238,11 +239,11 @@
 		} {
 			is.True(strings.Contains(r.err, want))
 		}
-		is.Equal(strings.Count(r.err, file), 4) // one line for each problem
+		is.Equal(strings.Count(r.err, file), 4) // one line per error
 	}
 }
 
-// Two hosts can't have the same address: the second ends and says why.
+// Two hosts can't have the same address: the second must exit with an error.
 func TestAddressInUse(t *testing.T) {
 	is := is.New(t)
 	s := &site{dir: t.TempDir()}
@@ -268,37 +269,37 @@
   "platform": {"addresses": ["%s"]},
 }`
 
-// A stop works while the platform is away, and says which windows it lost.
+// A stop must work during an outage of the platform and report the windows that it lost.
 func TestStopWithoutPlatform(t *testing.T) {
 	is := is.New(t)
 	s := &site{dir: t.TempDir()}
 	file := s.writeText(t, "host.jsonc", fmt.Sprintf(shortStop, s.startPlatform(t, objectstore.Seeds{})))
 	h := start(t, "a-1", "serve", "--settings", file)
-	h.line(t, "started")
+	h.lineWithPrefix(t, "started")
 	is.Equal(s.platform.stop(t), cli.ExitOK)
 	is.Equal(h.stop(t), cli.ExitOK)
 	is.True(strings.Contains(h.log.String(), `"name":"delivery_final_window_lost"`))
 	is.True(strings.Contains(h.log.String(), `"name":"host_stopped"`))
 }
 
-// SIGHUP reads the settings again; a file with a problem changes nothing.
+// SIGHUP must reload the settings; an invalid file must change nothing.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	s := &site{dir: t.TempDir()}
 	text := fmt.Sprintf(shortStop, s.startPlatform(t, objectstore.Seeds{}))
 	file := s.writeText(t, "host.jsonc", text)
 	h := start(t, "a-1", "serve", "--settings", file)
-	h.line(t, "started")
+	h.lineWithPrefix(t, "started")
 	logged := func(what string) func() bool {
 		return func() bool { return strings.Contains(h.log.String(), what) }
 	}
 
 	s.writeText(t, "host.jsonc", strings.Replace(text, `"host"`, `"log": {"level": "debug"}, "host"`, 1))
 	h.signal(t, syscall.SIGHUP)
-	until(t, "the level is in force", logged(`"name":"settings_reloaded","level":"debug"`))
+	waitUntil(t, "the level is in force", logged(`"name":"settings_reloaded","level":"debug"`))
 	s.writeText(t, "host.jsonc", `{"host": 1}`)
 	h.signal(t, syscall.SIGHUP)
-	until(t, "the file is refused", logged(`"name":"settings_reload_refused"`))
+	waitUntil(t, "the file is refused", logged(`"name":"settings_reload_refused"`))
 	is.Equal(h.stop(t), cli.ExitOK)
-	is.True(logged(`"name":"module_stopped"`)()) // a debug line
+	is.True(logged(`"name":"module_stopped"`)()) // a debug-level line
 }
--- a/internal/integration/check_test.go
+++ b/internal/integration/check_test.go
@@ -8,15 +8,14 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/target"
 )
 
-// rowID is what makes a row of one shard in one snapshot.
+// rowID identifies a row of one shard in one snapshot.
 type rowID struct {
 	shard      query.ShardKey
 	key, value string
 }
 
-// check holds one answer against the rows that each shard has in the answer's
-// snapshot.
-func check(rt *rapid.T, h *history, o outcomeOf) {
+// check compares an answer with the rows that each shard has in the answer's snapshot.
+func check(rt *rapid.T, h *history, o searchOutcome) {
 	if o.took > searchBudget {
 		rt.Fatalf("took %v of a budget of %v", o.took, searchBudget)
 	}
@@ -31,7 +30,7 @@
 	for _, r := range o.answer.Rows {
 		id := rowID{query.ShardKey{Service: r.Service, Shard: r.Shard}, r.Key, r.Value}
 		if got[id] {
-			rt.Fatalf("row %v comes twice", id)
+			rt.Fatalf("row %v occurs twice", id)
 		}
 		got[id] = true
 	}
@@ -39,7 +38,7 @@
 	for _, k := range o.answer.Coverage.Missing {
 		missing[k] = true
 	}
-	shards, rows := expect(rt, snap, missing, got)
+	shards, rows := checkShardRows(rt, snap, missing, got)
 	if len(got) != rows {
 		rt.Fatalf("%d rows of other snapshots or shards in an answer from %d", len(got)-rows, snap.ID)
 	}
@@ -52,10 +51,9 @@
 	}
 }
 
-// expect checks that every shard that is not told missing has exactly its rows
-// in the snapshot, and returns how many shards there are and how many rows
-// were expected.
-func expect(rt *rapid.T, snap catalog.Snapshot, missing map[query.ShardKey]bool, got map[rowID]bool) (shards, rows int) {
+// checkShardRows checks that every shard that isn't reported missing has exactly its rows in the
+// snapshot, and returns the number of shards and of expected rows.
+func checkShardRows(rt *rapid.T, snap catalog.Snapshot, missing map[query.ShardKey]bool, got map[rowID]bool) (shards, rows int) {
 	for service, m := range snap.Services {
 		for shard := range m.Shards {
 			shards++
@@ -66,7 +64,7 @@
 			for _, r := range target.Rows(service, k.Shard, snap.ID, rowsPerShard, "") {
 				rows++
 				if !got[rowID{k, r.Key, r.Value}] {
-					rt.Fatalf("shard %s is told answered in snapshot %d, but lacks row %s", k, snap.ID, r.Key)
+					rt.Fatalf("shard %s is reported as answered in snapshot %d, but lacks row %s", k, snap.ID, r.Key)
 				}
 			}
 		}
--- a/internal/integration/history_test.go
+++ b/internal/integration/history_test.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	histories     = 10000 // in all
-	lanes         = 8     // run side by side
-	workload      = "guest-portal"
-	targetsPer    = 3
-	rowsPerShard  = 3
-	historySpan   = 200 * time.Millisecond
-	searchBudget  = 60 * time.Millisecond
-	searchesPer   = 5
-	lastSnapshot  = 4
-	firstSnapshot = 1
+	totalHistories     = 10000 // of all parallel runs together
+	parallelRuns       = 8
+	workload           = "guest-portal"
+	targetsPerService  = 3
+	rowsPerShard       = 3
+	historySpan        = 200 * time.Millisecond
+	searchBudget       = 60 * time.Millisecond
+	searchesPerHistory = 5
+	lastSnapshot       = 4
+	firstSnapshot      = 1
 )
 
-// history is drawn before it runs, so that rapid can shrink it.
+// history is drawn completely before it runs, so that rapid can shrink it.
 type history struct {
-	hosts, relays int
-	services      int
-	snapshots     []catalog.Snapshot
-	faults        map[string]target.Faults // by target, from faultsAt on
-	faultsAt      time.Duration
-	stray         map[string]bool // targets that answer from another snapshot
-	loseAt        []int           // by host
-	steps         []step
-	searches      []timedSearch
-	seed          uint64
+	hosts, relays   int
+	services        int
+	snapshots       []catalog.Snapshot
+	faults          map[string]target.Faults // by target, from faultsAt on
+	faultsAt        time.Duration
+	wrongSnapshot   map[string]bool // targets that answer from a different snapshot
+	breakRelayAfter []int           // by host
+	steps           []step
+	searches        []timedSearch
+	seed            uint64
 }
 
-// step is one change at one place.
+// step is one change of a host or a target.
 type step struct {
-	at   time.Duration
-	what func(*site)
+	at    time.Duration
+	apply func(*site)
 }
 
 type timedSearch struct {
@@ -56,29 +56,29 @@
 	q    query.Search
 }
 
-// outcomeOf is what one search came to.
-type outcomeOf struct {
+// searchOutcome is the outcome of one search.
+type searchOutcome struct {
 	search  timedSearch
 	answer  *query.Answer
 	refusal *query.Refusal
 	took    time.Duration
 }
 
-// TestSnapshotHistories runs searches while index versions and shard maps
-// change: targets take a snapshot before or after it is published and drop it
-// early or late, shards are split and moved, hosts see the changes at different
-// times, targets cut, cross, shorten and lose answers, and relays are lost in
-// mid-answer. No answer mixes snapshots, and each states its coverage truly.
+// TestSnapshotHistories runs searches while index versions and shard maps change: targets load a
+// snapshot before or after it is published and drop it early or late, shards are split and moved,
+// hosts observe the changes at different times, targets cut, cross, truncate and lose answers, and
+// relays are lost in the middle of an answer. No answer may mix snapshots, and each must report
+// its coverage correctly.
 func TestSnapshotHistories(t *testing.T) {
-	for lane := range lanes {
-		t.Run(fmt.Sprint("lane", lane), func(t *testing.T) {
+	for run := range parallelRuns {
+		t.Run(fmt.Sprint("lane", run), func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(rt *rapid.T) {
-				for range lane { // so that each lane draws other histories from the one seed
+				for range run { // gives each parallel run different histories, as all use the same seed
 					rapid.Uint64().Draw(rt, "skipped")
 				}
 				h := drawHistory(rt)
-				var got []outcomeOf
+				var got []searchOutcome
 				synctest.Test(t, func(*testing.T) { got = h.run() })
 				for _, o := range got {
 					check(rt, h, o)
@@ -88,19 +88,19 @@
 	}
 }
 
-func (h *history) run() []outcomeOf {
+func (h *history) run() []searchOutcome {
 	s := newSite(h.hosts, h.relays, h.catalog(), h.targets())
 	defer synctest.Wait()
 	defer s.stop()
-	s.stray = h.stray
+	s.wrongSnapshot = h.wrongSnapshot
 	for i, host := range s.hosts {
-		host.loseAt = h.loseAt[i]
+		host.breakRelayAfter = h.breakRelayAfter[i]
 	}
 	var wg sync.WaitGroup
 	for _, step := range h.steps {
 		wg.Go(func() {
 			time.Sleep(step.at)
-			step.what(s)
+			step.apply(s)
 		})
 	}
 	wg.Go(func() {
@@ -109,26 +109,26 @@
 			s.targets[id].SetFaults(f)
 		}
 	})
-	got := make([]outcomeOf, len(h.searches))
+	got := make([]searchOutcome, len(h.searches))
 	for i, search := range h.searches {
 		wg.Go(func() {
 			time.Sleep(search.at)
 			start := time.Now()
 			answer, refusal := s.hosts[search.host].entry.Search(context.Background(), search.q)
-			got[i] = outcomeOf{search, answer, refusal, time.Since(start)}
+			got[i] = searchOutcome{search, answer, refusal, time.Since(start)}
 		})
 	}
 	wg.Wait()
 	return got
 }
 
-// catalog returns the services, without addresses that need a socket.
+// catalog returns the services. Their addresses exist only in memory.
 func (h *history) catalog() []catalog.Service {
 	services := make([]catalog.Service, h.services)
 	for i := range services {
 		name := serviceName(i)
 		services[i] = catalog.Service{Name: name, Workload: workload, Urgency: query.Interactive, Rules: catalog.DefaultRules()}
-		for t := range targetsPer {
+		for t := range targetsPerService {
 			id := targetName(i, t)
 			services[i].Targets = append(services[i].Targets, catalog.Target{
 				ID: id, Address: id + ":80", FailureDomain: fmt.Sprint("domain-", t), Slots: 2, Connections: 25,
@@ -141,7 +141,7 @@
 func (h *history) targets() []target.Config {
 	var all []target.Config
 	for i := range h.services {
-		for t := range targetsPer {
+		for t := range targetsPerService {
 			c := target.DefaultConfig()
 			c.ID, c.Listen = targetName(i, t), targetName(i, t)+":80"
 			c.RowsPerShard = rowsPerShard
@@ -159,27 +159,27 @@
 
 func drawHistory(rt *rapid.T) *history {
 	h := &history{
-		hosts:    rapid.IntRange(1, 3).Draw(rt, "hosts"),
-		relays:   rapid.IntRange(1, 2).Draw(rt, "relays"),
-		services: rapid.IntRange(1, 2).Draw(rt, "services"),
-		faults:   make(map[string]target.Faults),
-		stray:    make(map[string]bool),
-		seed:     rapid.Uint64Range(1, 1<<30).Draw(rt, "seed"),
+		hosts:         rapid.IntRange(1, 3).Draw(rt, "hosts"),
+		relays:        rapid.IntRange(1, 2).Draw(rt, "relays"),
+		services:      rapid.IntRange(1, 2).Draw(rt, "services"),
+		faults:        make(map[string]target.Faults),
+		wrongSnapshot: make(map[string]bool),
+		seed:          rapid.Uint64Range(1, 1<<30).Draw(rt, "seed"),
 	}
 	for id := uint64(firstSnapshot); id <= lastSnapshot; id++ {
 		h.drawSnapshot(rt, id)
 	}
 	h.faultsAt = drawTime(rt, "faults_at", 0, historySpan)
 	for i := range h.services {
-		for t := range targetsPer {
+		for t := range targetsPerService {
 			h.faults[targetName(i, t)] = drawFaults(rt)
-			h.stray[targetName(i, t)] = rapid.IntRange(0, 3).Draw(rt, "strays") == 0
+			h.wrongSnapshot[targetName(i, t)] = rapid.IntRange(0, 3).Draw(rt, "strays") == 0
 		}
 	}
 	for range h.hosts {
-		h.loseAt = append(h.loseAt, rapid.SampledFrom([]int{-1, -1, -1, 0, 1, 3}).Draw(rt, "lose_at"))
+		h.breakRelayAfter = append(h.breakRelayAfter, rapid.SampledFrom([]int{-1, -1, -1, 0, 1, 3}).Draw(rt, "lose_at"))
 	}
-	for range searchesPer {
+	for range searchesPerHistory {
 		h.searches = append(h.searches, timedSearch{
 			at:   drawTime(rt, "search_at", 0, historySpan),
 			host: rapid.IntRange(0, h.hosts-1).Draw(rt, "entry"),
@@ -192,53 +192,53 @@
 	return h
 }
 
-// drawSnapshot adds a snapshot whose shard map may split or move shards of the
-// one before, and the times at which targets take and drop it and hosts see
-// it come and go. The first one is there from the start.
+// drawSnapshot adds a snapshot whose shard map may split or move shards of the previous one, and
+// draws the times at which targets load and drop it and hosts start and stop seeing it. The first
+// snapshot is present from the start.
 func (h *history) drawSnapshot(rt *rapid.T, id uint64) {
 	snap := catalog.Snapshot{Workload: workload, ID: id, Services: make(map[string]catalog.ShardMap)}
 	published := time.Duration(id-firstSnapshot) * historySpan / lastSnapshot
-	dropped := published + drawTime(rt, "lives", historySpan/4, historySpan)
+	retireAt := published + drawTime(rt, "lives", historySpan/4, historySpan)
 	for i := range h.services {
 		shards := make([][]string, rapid.IntRange(1, 4).Draw(rt, "shards"))
-		held := make([][]uint32, targetsPer)
+		held := make([][]uint32, targetsPerService)
 		for shard := range shards {
-			first := rapid.IntRange(0, targetsPer-1).Draw(rt, "holder")
-			for _, t := range []int{first, (first + 1) % targetsPer} {
+			first := rapid.IntRange(0, targetsPerService-1).Draw(rt, "holder")
+			for _, t := range []int{first, (first + 1) % targetsPerService} {
 				shards[shard] = append(shards[shard], targetName(i, t))
 				held[t] = append(held[t], uint32(shard))
 			}
 		}
 		snap.Services[serviceName(i)] = catalog.ShardMap{IndexVersion: fmt.Sprint("v", id), Shards: shards}
-		for t := range targetsPer {
-			h.hold(rt, id, i, t, held[t], published, dropped)
+		for t := range targetsPerService {
+			h.drawHolding(rt, id, i, t, held[t], published, retireAt)
 		}
 	}
 	h.snapshots = append(h.snapshots, snap)
 	for i := range h.hosts {
-		seen := published + drawTime(rt, "seen_late", 0, historySpan/10)
+		visibleAt := published + drawTime(rt, "seen_late", 0, historySpan/10)
 		if id == firstSnapshot {
-			seen = 0
+			visibleAt = 0
 		}
 		h.steps = append(h.steps,
-			step{seen, func(s *site) { s.hosts[i].publish(snap) }},
-			step{dropped + drawTime(rt, "retired_late", 0, historySpan/10), func(s *site) { s.hosts[i].retire(id) }})
+			step{visibleAt, func(s *site) { s.hosts[i].publish(snap) }},
+			step{retireAt + drawTime(rt, "retired_late", 0, historySpan/10), func(s *site) { s.hosts[i].retire(id) }})
 	}
 }
 
-func (h *history) hold(rt *rapid.T, id uint64, i, t int, shards []uint32, published, dropped time.Duration) {
+func (h *history) drawHolding(rt *rapid.T, id uint64, i, t int, shards []uint32, published, dropped time.Duration) {
 	if len(shards) == 0 {
 		return
 	}
-	taken := max(0, published+drawTime(rt, "taken", -historySpan/10, historySpan/20))
+	loadedAt := max(0, published+drawTime(rt, "taken", -historySpan/10, historySpan/20))
 	if id == firstSnapshot {
-		taken = 0
+		loadedAt = 0
 	}
-	gone := max(taken, dropped+drawTime(rt, "gone", -historySpan/5, historySpan/10))
+	droppedAt := max(loadedAt, dropped+drawTime(rt, "gone", -historySpan/5, historySpan/10))
 	service, name := serviceName(i), targetName(i, t)
 	h.steps = append(h.steps,
-		step{taken, func(s *site) { s.targets[name].AddSnapshot(service, id, shards...) }},
-		step{gone, func(s *site) { s.targets[name].DropSnapshot(service, id) }})
+		step{loadedAt, func(s *site) { s.targets[name].AddSnapshot(service, id, shards...) }},
+		step{droppedAt, func(s *site) { s.targets[name].DropSnapshot(service, id) }})
 }
 
 func drawTime(rt *rapid.T, label string, low, high time.Duration) time.Duration {
@@ -260,8 +260,8 @@
 	return f
 }
 
-// A dial that begins as its target stops is refused: it is no goroutine that waits for
-// good when the site has ended, as it was once in some 100,000 histories.
+// A dial that begins while its target stops must be refused. Otherwise its goroutine would wait
+// forever after the site has ended, which occurred once in about 100,000 histories.
 func TestDialOfAStoppedTargetIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(1, 1, nil, []target.Config{{ID: "a", Listen: "a:80"}})
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -1,5 +1,3 @@
-// Package integration tests entries, relays and target stand-ins together in
-// virtual time, over connections in memory.
 package integration
 
 import (
@@ -32,31 +30,31 @@
 
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
-	_ = flag.Set("rapid.checks", strconv.Itoa(histories/lanes))
+	_ = flag.Set("rapid.checks", strconv.Itoa(totalHistories/parallelRuns))
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// errStreamBroke is the end of a relay call that was lost in mid-answer.
+// errStreamBroke ends a relay call that is lost after some results.
 var errStreamBroke = errors.New("stream broke")
 
-// site is a few hosts and the targets that they share.
+// site is a set of hosts and the targets that they share.
 type site struct {
-	hosts   []*host
-	targets map[string]*target.Target
-	servers []*http.Server
-	network *standin.Network
-	stray   map[string]bool // targets that answer from another snapshot
+	hosts         []*host
+	targets       map[string]*target.Target
+	servers       []*http.Server
+	network       *standin.Network
+	wrongSnapshot map[string]bool // targets that answer from a different snapshot
 }
 
-// host is one host's own view of the configuration, its relay and its entry.
+// host is one host with its own view of the configuration, its relay and its entry.
 type host struct {
-	site     *site
-	self     member.Host
-	services []catalog.Service
-	relay    *relay.Relay
-	entry    *entry.Entry
-	loseAt   int // calls to this host's relay break after that many results; -1: never
+	site            *site
+	self            member.Host
+	services        []catalog.Service
+	relay           *relay.Relay
+	entry           *entry.Entry
+	breakRelayAfter int // number of results after which calls to this host's relay break; -1: never
 
 	mu        sync.Mutex
 	revision  uint64
@@ -99,7 +97,7 @@
 	return all
 }
 
-// publish makes the host see a snapshot.
+// publish makes a snapshot visible to the host.
 func (h *host) publish(s catalog.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -108,7 +106,7 @@
 	slices.SortFunc(h.snapshots, func(a, b catalog.Snapshot) int { return int(b.ID) - int(a.ID) })
 }
 
-// retire makes the host forget a snapshot.
+// retire removes a snapshot from the host's view.
 func (h *host) retire(id uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,30 +119,30 @@
 func (h *host) Searcher(to member.Host) relay.Searcher {
 	for _, o := range h.site.hosts {
 		if o.self.ID == to.ID {
-			return lossy{o.relay, o.loseAt}
+			return breakingSearcher{o.relay, o.breakRelayAfter}
 		}
 	}
 	return nil
 }
 
-// lossy breaks a relay call after some results.
-type lossy struct {
+// breakingSearcher breaks a relay call after a number of results.
+type breakingSearcher struct {
 	relay.Searcher
-	after int
+	resultLimit int
 }
 
-func (l lossy) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
-	if l.after < 0 {
+func (l breakingSearcher) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
+	if l.resultLimit < 0 {
 		return l.Searcher.Search(ctx, b, emit)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	sent := 0
 	err := l.Searcher.Search(ctx, b, func(r query.ShardResult) {
-		if sent < l.after {
+		if sent < l.resultLimit {
 			emit(r)
 		}
-		if sent++; sent == l.after {
+		if sent++; sent == l.resultLimit {
 			cancel()
 		}
 	})
@@ -162,7 +160,7 @@
 	}
 	for i := range hosts {
 		s.hosts = append(s.hosts, &host{
-			site: s, services: services, loseAt: -1,
+			site: s, services: services, breakRelayAfter: -1,
 			self: member.Host{ID: fmt.Sprintf("host-%d", i), FailureDomain: "salt-lake", State: member.Alive},
 		})
 	}
@@ -178,26 +176,26 @@
 func (s *site) startTarget(c target.Config) {
 	t := target.New(c)
 	l, _ := s.network.Listen(c.Listen) // never fails in memory
-	server := &http.Server{Handler: s.strayed(c.ID, t.Handler())}
+	server := &http.Server{Handler: s.withWrongSnapshot(c.ID, t.Handler())}
 	s.targets[c.ID] = t
 	s.servers = append(s.servers, server)
 	go func() { _ = server.Serve(l) }()
 }
 
-// strayed makes a target run every third request in the snapshot before the
-// one asked for, and say so truly, while it is told to stray.
-func (s *site) strayed(id string, next http.Handler) http.Handler {
+// withWrongSnapshot makes a target in wrongSnapshot run every third request in the snapshot before the
+// requested one, and name that snapshot in its answer.
+func (s *site) withWrongSnapshot(id string, next http.Handler) http.Handler {
 	var count atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		snapshot, err := strconv.Atoi(r.Header.Get(targetapi.HeaderSnapshot))
-		if s.stray[id] && err == nil && count.Add(1)%3 == 0 {
+		if s.wrongSnapshot[id] && err == nil && count.Add(1)%3 == 0 {
 			r.Header.Set(targetapi.HeaderSnapshot, strconv.Itoa(snapshot-1))
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// stop ends everything that newSite started.
+// stop shuts down everything that newSite started.
 func (s *site) stop() {
 	for _, t := range s.targets {
 		t.SetFaults(target.Faults{})
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -15,133 +15,133 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Times of a caller.
+// Times and rates of a caller.
 const (
-	callerBudget   = 1500 * time.Millisecond // told to the host; above the route's timeout
-	callerPatience = 3 * time.Second         // after which it gives up on an answer that never comes
-	callerPause    = 20 * time.Millisecond   // mean time between two requests
-	poisonPause    = 300 * time.Millisecond  // mean time between two copies of the poison
-	movesAfter     = 3                       // requests, in the mean, after which it goes to any host; else none would come to one that is stopping
-	dialPatience   = 500 * time.Millisecond
+	callerDeadline      = 1500 * time.Millisecond // sent to the host; longer than the route's timeout
+	callerTimeout       = 3 * time.Second         // for requests that get no answer
+	meanCallerPause     = 20 * time.Millisecond   // between two requests
+	meanPoisonPause     = 300 * time.Millisecond  // between two copies of the poison request
+	meanRequestsPerHost = 3                       // after which the caller picks another host; otherwise no new connection would reach a stopping host
+	dialTimeout         = 500 * time.Millisecond
 )
 
-// kind is a kind of request.
-type kind uint8
+// requestKind is a kind of request.
+type requestKind uint8
 
 // Kinds of requests.
 const (
-	kindQuery   kind = iota // to all shards
-	kindReserve             // may run once
-	kindVersion             // tells by its service which version of the configuration sent it
-	kindPoison              // ends the targets that run it
-	kinds
+	kindQuery   requestKind = iota // to all shards
+	kindReserve                    // non-idempotent, runs at most once
+	kindVersion                    // its service identifies the configuration version that the host applied
+	kindPoison                     // poison request: crashes the targets that run it
+	kindCount
 )
 
-// usual are the kinds that callers draw from.
-var usual = []kind{kindQuery, kindReserve, kindVersion}
+// callerKinds are the kinds that ordinary callers draw from.
+var callerKinds = []requestKind{kindQuery, kindReserve, kindVersion}
 
-var paths = [kinds]string{pathQuery, pathReserve, pathVersion, pathPoison}
+var paths = [kindCount]string{pathQuery, pathReserve, pathVersion, pathPoison}
 
-// exchange is one request and what became of it.
+// exchange is one request and its outcome.
 type exchange struct {
-	id      string
-	kind    kind
-	host    int
-	from    string // incarnation of the host that was asked
-	sent    time.Time
-	ended   time.Time
-	written bool // the whole request was
-	status  int  // 0: no whole answer came
-	parts   []string
-	missing int
-	signed  string
-	body    []byte
-	err     error
+	requestID      string
+	kind           requestKind
+	host           int
+	incarnation    string // of the host that received the request
+	sent           time.Time
+	ended          time.Time
+	requestWritten bool // the whole request was written
+	status         int  // 0: no complete response
+	partSignatures []string
+	missingParts   int
+	signature      string
+	body           []byte
+	err            error
 }
 
-// caller sends requests to hosts, one after the other, over a connection that it
-// keeps until it is closed.
+// caller sends requests one after another over a connection that it keeps open until either side
+// closes it.
 type caller struct {
-	site  *site
-	name  string
-	rng   *rand.Rand
-	keeps bool          // it never closes a connection itself
-	sends []kind        // it draws from them
-	pause time.Duration // mean time between two requests
-	host  int
-	conn  net.Conn
-	read  *bufio.Reader
-	done  []exchange
+	site            *site
+	name            string
+	rng             *rand.Rand
+	keepsConnection bool          // the caller never closes the connection itself
+	kinds           []requestKind // drawn at random for each request
+	meanPause       time.Duration // between two requests
+	host            int
+	conn            net.Conn
+	reader          *bufio.Reader
+	exchanges       []exchange
 }
 
-// run sends requests until stop closes.
+// run sends requests until stop is closed.
 func (c *caller) run(stop <-chan struct{}) {
 	for n := 0; ; n++ {
-		pause := time.Duration(c.rng.ExpFloat64() * float64(c.pause))
+		pause := time.Duration(c.rng.ExpFloat64() * float64(c.meanPause))
 		select {
 		case <-stop:
-			c.hangUp()
+			c.disconnect()
 			return
 		case <-time.After(pause):
 		}
-		c.done = append(c.done, c.exchange(fmt.Sprintf("%s-%d", c.name, n)))
-		if !c.keeps && c.rng.IntN(movesAfter) == 0 {
-			c.hangUp()
+		c.exchanges = append(c.exchanges, c.exchange(fmt.Sprintf("%s-%d", c.name, n)))
+		if !c.keepsConnection && c.rng.IntN(meanRequestsPerHost) == 0 {
+			c.disconnect()
 		}
 	}
 }
 
-// hangUp closes the connection; the next request goes to any host.
-func (c *caller) hangUp() {
+// disconnect closes the connection and picks a random host for the next request.
+func (c *caller) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // nothing more is expected of it
+		_ = c.conn.Close() // the result of the close doesn't matter
 		c.conn = nil
 	}
 	c.host = c.rng.IntN(len(c.site.hosts))
 }
 
 func (c *caller) exchange(id string) exchange {
-	e := exchange{id: id, kind: c.sends[c.rng.IntN(len(c.sends))], host: c.host}
+	e := exchange{requestID: id, kind: c.kinds[c.rng.IntN(len(c.kinds))], host: c.host}
 	if c.conn == nil {
-		conn, err := net.DialTimeout("tcp", c.site.fronts[c.host].address(), dialPatience)
+		conn, err := net.DialTimeout("tcp", c.site.callerProxies[c.host].address(), dialTimeout)
 		if err != nil {
 			e.err = err
-			c.hangUp()
+			c.disconnect()
 			return e
 		}
-		c.conn, c.read = conn, bufio.NewReader(conn)
+		c.conn, c.reader = conn, bufio.NewReader(conn)
 	}
-	e.from, e.sent = c.site.hosts[c.host].incarnation(), time.Now()
-	e.err = c.ask(&e)
+	e.incarnation, e.sent = c.site.hosts[c.host].incarnation(), time.Now()
+	e.err = c.send(&e)
 	e.ended = time.Now()
 	if e.err != nil {
 		e.status = 0
-		c.hangUp()
+		c.disconnect()
 	}
 	return e
 }
 
-// ask sends the request and reads the answer.
-func (c *caller) ask(e *exchange) error {
+// send writes the request and reads the response.
+func (c *caller) send(e *exchange) error {
 	method, body := http.MethodGet, ""
 	if e.kind == kindReserve {
-		method, body = http.MethodPost, "item "+e.id
+		method, body = http.MethodPost, "item "+e.requestID
 	}
 	path := paths[e.kind]
 	if e.kind != kindPoison {
-		path += e.id // no two are alike
+		path += e.requestID // makes each path unique
 	}
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
-		method, path, siteHost, platform.HeaderRequestID, e.id,
-		platform.HeaderDeadline, callerBudget.Milliseconds(), len(body), body)
-	if err := c.conn.SetDeadline(time.Now().Add(callerPatience)); err != nil {
+		method, path, siteHost, platform.HeaderRequestID, e.requestID,
+		platform.HeaderDeadline, callerDeadline.Milliseconds(), len(body), body)
+	if err := c.conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return Error.Wrap(err)
 	}
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		return Error.Wrap(err)
 	}
-	e.written = true
-	resp, err := http.ReadResponse(c.read, &http.Request{Method: method})
+	e.requestWritten = true
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -151,11 +151,11 @@
 		return Error.Wrap(err)
 	}
 	e.status, e.body = resp.StatusCode, all.Bytes()
-	e.signed = resp.Header.Get(platform.HeaderSignature)
-	e.parts = signatures(resp.Header)
-	e.missing, _ = strconv.Atoi(resp.Header.Get(platform.HeaderMissing)) // 0 if it is not there
+	e.signature = resp.Header.Get(platform.HeaderSignature)
+	e.partSignatures = partSignatures(resp.Header)
+	e.missingParts, _ = strconv.Atoi(resp.Header.Get(platform.HeaderMissing)) // 0 if the header is missing
 	if resp.Close {
-		c.hangUp()
+		c.disconnect()
 	}
 	return nil
 }
@@ -167,27 +167,28 @@
 	work sync.WaitGroup
 }
 
-// usualCallers is how many callers send as fast as they may; more of them send as much together, as
-// the targets do not grow with them: 100 asked two targets of 4 slots for twice what they can run.
-const usualCallers = 12
+// fullRateCallers is the number of callers that send at the full rate. More callers share that
+// total rate, as the number of targets is fixed: 100 callers requested twice what two targets with
+// 4 slots can run.
+const fullRateCallers = 12
 
-// pause returns the mean time between two requests of a caller.
-func (c Config) pause() time.Duration {
-	return max(callerPause, callerPause*time.Duration(c.Callers)/usualCallers)
+// meanPause returns the mean time between two requests of one caller.
+func (c Config) meanPause() time.Duration {
+	return max(meanCallerPause, meanCallerPause*time.Duration(c.Callers)/fullRateCallers)
 }
 
-// startCallers starts callers. With all faults every second one keeps its connections until the
-// host is gone, and one more sends copies of the poison.
+// startCallers starts the callers. With all faults, every second caller keeps its connection until
+// the host closes it, and one more caller sends copies of the poison request.
 func startCallers(s *site, cfg Config, rng *rand.Rand) *callers {
 	cs := &callers{stop: make(chan struct{})}
 	for i := range cfg.Callers {
 		c := cs.add(s, rng, fmt.Sprintf("c%d", i))
-		c.pause = cfg.pause()
-		c.host, c.keeps = i%len(s.hosts), cfg.AllFaults && i%2 == 1
+		c.meanPause = cfg.meanPause()
+		c.host, c.keepsConnection = i%len(s.hosts), cfg.AllFaults && i%2 == 1
 	}
 	if cfg.AllFaults {
 		c := cs.add(s, rng, "poison")
-		c.sends, c.pause = []kind{kindPoison}, poisonPause
+		c.kinds, c.meanPause = []requestKind{kindPoison}, meanPoisonPause
 	}
 	for _, c := range cs.all {
 		cs.work.Go(func() { c.run(cs.stop) })
@@ -196,18 +197,18 @@
 }
 
 func (cs *callers) add(s *site, rng *rand.Rand, name string) *caller {
-	c := &caller{site: s, name: name, rng: rand.New(rand.NewPCG(rng.Uint64(), uint64(len(cs.all)))), sends: usual}
+	c := &caller{site: s, name: name, rng: rand.New(rand.NewPCG(rng.Uint64(), uint64(len(cs.all)))), kinds: callerKinds}
 	cs.all = append(cs.all, c)
 	return c
 }
 
-// end stops the callers and returns what they saw.
-func (cs *callers) end() []exchange {
+// stopAndCollect stops the callers and returns their exchanges.
+func (cs *callers) stopAndCollect() []exchange {
 	close(cs.stop)
 	cs.work.Wait()
 	var all []exchange
 	for _, c := range cs.all {
-		all = append(all, c.done...)
+		all = append(all, c.exchanges...)
 	}
 	return all
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -13,49 +13,50 @@
 	"rhubarbwood.example/rhubarbwood/internal/standin/platformtarget"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func second(n float64) time.Time { return began.Add(time.Duration(n * float64(time.Second))) }
+func atSecond(n float64) time.Time { return testStart.Add(time.Duration(n * float64(time.Second))) }
 
-// good is an answered reservation, calm from the start.
-func good() (*evidence, *exchange) {
-	e := &evidence{
-		runs:      map[string][]ran{"r": {{"gifts-t0", serviceOnce, second(1)}}},
-		drained:   map[string]time.Time{},
-		changes:   []change{{1, second(-10)}, {2, second(0)}},
-		calmFrom:  second(0),
-		exchanges: []exchange{{id: "r", kind: kindReserve, from: "host-0/1", sent: second(1), ended: second(1.1), written: true, status: http.StatusOK}},
+// answeredReservation returns observations of one answered reservation, with the calm phase from
+// the start.
+func answeredReservation() (*observations, *exchange) {
+	e := &observations{
+		executions:    map[string][]execution{"r": {{"gifts-t0", reserveService, atSecond(1)}}},
+		drainedAt:     map[string]time.Time{},
+		configChanges: []configChange{{1, atSecond(-10)}, {2, atSecond(0)}},
+		calmStart:     atSecond(0),
+		exchanges:     []exchange{{requestID: "r", kind: kindReserve, incarnation: "host-0/1", sent: atSecond(1), ended: atSecond(1.1), requestWritten: true, status: http.StatusOK}},
 	}
 	x := &e.exchanges[0]
-	x.signed = platformtarget.Signature(serviceOnce, "r")
-	x.body = platformtarget.Body(serviceOnce, "r", records)
+	x.signature = platformtarget.Signature(reserveService, "r")
+	x.body = platformtarget.Body(reserveService, "r", recordsPerAnswer)
 	return e, x
 }
 
-// copiesAt is copies of the poison that came to two targets each.
-func copiesAt(at time.Time, n int) []arrival {
-	var all []arrival
+// poisonCopies returns arrivals of n copies of a poison request at two targets each.
+func poisonCopies(at time.Time, n int) []poisonArrival {
+	var all []poisonArrival
 	for i := range n {
-		all = append(all, arrival{fmt.Sprint(i), "lists-0-t0", at}, arrival{fmt.Sprint(i), "lists-1-t0", at})
+		all = append(all, poisonArrival{fmt.Sprint(i), "lists-0-t0", at}, poisonArrival{fmt.Sprint(i), "lists-1-t0", at})
 	}
 	return all
 }
 
-// A host must answer at least half of what is sent to it at the end of the calm; what comes
-// before, copies of the poison and a few requests say nothing.
-func TestHostThatDoesNotServeIsFound(t *testing.T) {
-	late := servedWithin + time.Millisecond
+// A host must answer at least half of the requests sent to it at the end of the calm phase.
+// Earlier requests, poison requests and small numbers of requests don't count.
+func TestUnrecoveredHostIsFound(t *testing.T) {
+	late := maxRecoveryTime + time.Millisecond
 	cases := map[string]struct {
 		at        time.Duration
-		kind      kind
+		kind      requestKind
 		n, served int
 		evacuated string
 		want      string
 	}{
 		"half":       {late, kindQuery, 20, 10, "", ""},
 		"less":       {late, kindQuery, 20, 9, "", "served again in the calm"},
-		"few":        {late, kindQuery, fewRequests - 1, 0, "", ""},
-		"earlier":    {servedWithin - time.Millisecond, kindQuery, 20, 0, "", ""},
+		"few":        {late, kindQuery, minRequestsForShare - 1, 0, "", ""},
+		"earlier":    {maxRecoveryTime - time.Millisecond, kindQuery, 20, 0, "", ""},
 		"the poison": {late, kindPoison, 20, 0, "", ""},
 
 		"a target of reservations has left, one stands":             {late, kindReserve, 20, 9, "domain-0", "served again in the calm"},
@@ -63,32 +64,32 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := &evidence{calmFrom: second(0), calmTo: second(0).Add(calmTime)}
-			e.reserving, e.drained = []string{"left", "stands"}, map[string]time.Time{"left": second(0)}
-			e.domains = map[string]string{"left": "domain-0", "stands": "domain-1"}
-			e.evacuated = map[string]time.Time{c.evacuated: second(0)}
+			e := &observations{calmStart: atSecond(0), calmEnd: atSecond(0).Add(calmDuration)}
+			e.reserveTargets, e.drainedAt = []string{"left", "stands"}, map[string]time.Time{"left": atSecond(0)}
+			e.domainOf = map[string]string{"left": "domain-0", "stands": "domain-1"}
+			e.evacuatedSince = map[string]time.Time{c.evacuated: atSecond(0)}
 			for i := range c.n {
-				x := exchange{id: fmt.Sprint(i), kind: c.kind, sent: second(0).Add(c.at), status: http.StatusBadGateway}
+				x := exchange{requestID: fmt.Sprint(i), kind: c.kind, sent: atSecond(0).Add(c.at), status: http.StatusBadGateway}
 				if i < c.served {
 					x.status = http.StatusOK
 				}
 				e.exchanges = append(e.exchanges, x)
 			}
-			found := e.checkServed()
+			found := e.checkRecovery()
 			is := is.New(t)
 			is.Equal(len(found) > 0, c.want != "")
 		})
 	}
 }
 
-// merged is an answered query.
-func merged(services ...string) (*evidence, *exchange) {
-	e, x := good()
-	x.kind, x.signed, x.missing = kindQuery, "", shards-len(services)
+// answeredQuery returns observations of one answered query.
+func answeredQuery(services ...string) (*observations, *exchange) {
+	e, x := answeredReservation()
+	x.kind, x.signature, x.missingParts = kindQuery, "", shardCount-len(services)
 	var all [][]byte
 	for _, s := range services {
-		x.parts = append(x.parts, platformtarget.Signature(s, "r"))
-		for c := range slices.Chunk(platformtarget.Body(s, "r", records), 16) {
+		x.partSignatures = append(x.partSignatures, platformtarget.Signature(s, "r"))
+		for c := range slices.Chunk(platformtarget.Body(s, "r", recordsPerAnswer), 16) {
 			all = append(all, c)
 		}
 	}
@@ -97,41 +98,43 @@
 	return e, x
 }
 
-// Each promise is broken in turn, and must be found; what keeps it must not be
-// found fault with.
+// Each guarantee is broken in turn and the violation must be found; runs that keep the guarantees
+// must yield no violation.
 func TestEachBrokenPromiseIsFound(t *testing.T) {
 	cases := map[string]struct {
-		damage func(e *evidence, x *exchange)
+		damage func(e *observations, x *exchange)
 		want   string
 	}{
-		"nothing": {func(*evidence, *exchange) {}, ""},
-		"ran twice": {func(e *evidence, _ *exchange) {
-			e.runs["r"] = append(e.runs["r"], ran{"gifts-t1", serviceOnce, second(2)})
+		"nothing": {func(*observations, *exchange) {}, ""},
+		"ran twice": {func(e *observations, _ *exchange) {
+			e.executions["r"] = append(e.executions["r"], execution{"gifts-t1", reserveService, atSecond(2)})
 		}, "at most once"},
-		"refused and ran":            {func(_ *evidence, x *exchange) { x.status = http.StatusServiceUnavailable }, "refused as not run"},
-		"cut answer":                 {func(_ *evidence, x *exchange) { x.body = x.body[:len(x.body)-1] }, "whole and true answer"},
-		"another's answer":           {func(_ *evidence, x *exchange) { x.body = platformtarget.Body(serviceOnce, "q", records) }, "whole and true answer"},
-		"no signature":               {func(_ *evidence, x *exchange) { x.signed = "" }, "whole and true answer"},
-		"no answer in the calm":      {func(_ *evidence, x *exchange) { x.status = 0 }, "a planned stop cuts off nothing"},
-		"no answer in the storm":     {func(e *evidence, x *exchange) { x.status = 0; e.calmFrom = second(5) }, ""},
-		"never sent":                 {func(_ *evidence, x *exchange) { x.status, x.written = 0, false }, ""},
-		"new work for a leaving one": {func(e *evidence, _ *exchange) { e.drained["gifts-t0"] = second(-3) }, "a leaving target gets no new work"},
-		"work as it leaves":          {func(e *evidence, _ *exchange) { e.drained["gifts-t0"] = second(-1) }, ""},
-		"a host that ends":           {func(e *evidence, _ *exchange) { e.ends = []string{"host-0/1"} }, "a host ends only if it is told to"},
-		"three copies in the calm":   {func(e *evidence, _ *exchange) { e.poison = copiesAt(second(1), 3) }, ""},
-		"four copies in the storm":   {func(e *evidence, _ *exchange) { e.poison = copiesAt(second(-1), 4) }, ""},
-		"four copies in the calm": {func(e *evidence, _ *exchange) { e.poison = copiesAt(second(1), 4) },
+		"refused and ran": {func(_ *observations, x *exchange) { x.status = http.StatusServiceUnavailable }, "refused as not run"},
+		"cut answer":      {func(_ *observations, x *exchange) { x.body = x.body[:len(x.body)-1] }, "whole and true answer"},
+		"another's answer": {func(_ *observations, x *exchange) {
+			x.body = platformtarget.Body(reserveService, "q", recordsPerAnswer)
+		}, "whole and true answer"},
+		"no signature":               {func(_ *observations, x *exchange) { x.signature = "" }, "whole and true answer"},
+		"no answer in the calm":      {func(_ *observations, x *exchange) { x.status = 0 }, "a planned stop cuts off nothing"},
+		"no answer in the storm":     {func(e *observations, x *exchange) { x.status = 0; e.calmStart = atSecond(5) }, ""},
+		"never sent":                 {func(_ *observations, x *exchange) { x.status, x.requestWritten = 0, false }, ""},
+		"new work for a leaving one": {func(e *observations, _ *exchange) { e.drainedAt["gifts-t0"] = atSecond(-3) }, "a leaving target gets no new work"},
+		"work as it leaves":          {func(e *observations, _ *exchange) { e.drainedAt["gifts-t0"] = atSecond(-1) }, ""},
+		"a host that ends":           {func(e *observations, _ *exchange) { e.unexpectedExits = []string{"host-0/1"} }, "a host ends only if it is told to"},
+		"three copies in the calm":   {func(e *observations, _ *exchange) { e.poisonArrivals = poisonCopies(atSecond(1), 3) }, ""},
+		"four copies in the storm":   {func(e *observations, _ *exchange) { e.poisonArrivals = poisonCopies(atSecond(-1), 4) }, ""},
+		"four copies in the calm": {func(e *observations, _ *exchange) { e.poisonArrivals = poisonCopies(atSecond(1), 4) },
 			"a request that ends its targets is kept from them"},
-		"a copy refused that came to a target": {func(e *evidence, x *exchange) {
+		"a copy refused that came to a target": {func(e *observations, x *exchange) {
 			x.kind, x.status = kindPoison, http.StatusServiceUnavailable
-			e.runs["r"] = []ran{{"lists-0-t0", "", second(1)}}
+			e.executions["r"] = []execution{{"lists-0-t0", "", atSecond(1)}}
 		}, "refused as not run"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e, x := good()
+			e, x := answeredReservation()
 			c.damage(e, x)
-			holds(t, e, c.want)
+			expectViolation(t, e, c.want)
 		})
 	}
 }
@@ -142,41 +145,42 @@
 		want   string
 	}{
 		"three parts of four":         {func(*exchange) {}, ""},
-		"coverage overstated":         {func(x *exchange) { x.missing = 0 }, "whole and true answer"},
-		"a part twice":                {func(x *exchange) { x.parts[1], x.missing = x.parts[0], 1 }, "whole and true answer"},
-		"a part of another request":   {func(x *exchange) { x.parts[0] = platformtarget.Signature("lists-0", "q") }, "whole and true answer"},
+		"coverage overstated":         {func(x *exchange) { x.missingParts = 0 }, "whole and true answer"},
+		"a part twice":                {func(x *exchange) { x.partSignatures[1], x.missingParts = x.partSignatures[0], 1 }, "whole and true answer"},
+		"a part of another request":   {func(x *exchange) { x.partSignatures[0] = platformtarget.Signature("lists-0", "q") }, "whole and true answer"},
 		"records in the wrong order":  {func(x *exchange) { x.body = append(x.body[16:], x.body[:16]...) }, "whole and true answer"},
-		"too few parts for a success": {func(x *exchange) { x.parts, x.missing = x.parts[:1], 3 }, "whole and true answer"},
+		"too few parts for a success": {func(x *exchange) { x.partSignatures, x.missingParts = x.partSignatures[:1], 3 }, "whole and true answer"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e, x := merged("lists-0", "lists-1", "lists-3")
+			e, x := answeredQuery("lists-0", "lists-1", "lists-3")
 			c.damage(x)
-			holds(t, e, c.want)
+			expectViolation(t, e, c.want)
 		})
 	}
 }
 
 func TestVersionsAreHeldToTheBoundAndNeverGoBack(t *testing.T) {
-	two := func(first, then int, sent time.Time) *evidence {
-		e, _ := good()
-		e.exchanges, e.runs = nil, map[string][]ran{}
+	two := func(first, then int, sent time.Time) *observations {
+		e, _ := answeredReservation()
+		e.exchanges, e.executions = nil, map[string][]execution{}
 		for i, v := range []int{first, then} {
 			id := string(rune('a' + i))
 			at := sent.Add(time.Duration(i) * time.Second)
-			e.exchanges = append(e.exchanges, exchange{id: id, kind: kindVersion, from: "host-0/1", sent: at})
-			e.runs[id] = []ran{{"t", versionName(v), at}}
+			e.exchanges = append(e.exchanges, exchange{requestID: id, kind: kindVersion, incarnation: "host-0/1", sent: at})
+			e.executions[id] = []execution{{"t", versionService(v), at}}
 		}
 		return e
 	}
-	holds(t, two(1, 2, second(1)), "")
-	holds(t, two(2, 1, second(1)), "never back")
-	holds(t, two(2, 2, second(5)), "")
-	holds(t, two(1, 2, second(5)), "in force within the bound")
+	expectViolation(t, two(1, 2, atSecond(1)), "")
+	expectViolation(t, two(2, 1, atSecond(1)), "never back")
+	expectViolation(t, two(2, 2, atSecond(5)), "")
+	expectViolation(t, two(1, 2, atSecond(5)), "in force within the bound")
 }
 
-// holds checks the evidence: the promise is found broken, or none if it is empty.
-func holds(t *testing.T, e *evidence, promise string) {
+// expectViolation checks that the first violation is of the given guarantee, or that there is none
+// if it is empty.
+func expectViolation(t *testing.T, e *observations, promise string) {
 	t.Helper()
 	is := is.New(t)
 	found := e.check()
--- a/internal/soak/placement.go
+++ b/internal/soak/placement.go
@@ -9,81 +9,83 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// What binds where a request may go, and what hosts are told of it.
+// Limits on where requests may go, and the corresponding host settings.
 const (
-	evacuateWithin = 2 * time.Second // from an entry in the store until nothing more is sent there
-	coldFor        = 1500 * time.Millisecond
-	coldPerSecond  = 12.0 // requests that a cold target bears
-	coldRatio      = 1.5
-	coldSlack      = 5.0
+	maxEvacuationDelay    = 2 * time.Second // from the write of an evacuation until no request is sent there
+	coldDuration          = 1500 * time.Millisecond
+	coldRequestsPerSecond = 12.0 // capacity of a cold target
+	warmupRatio           = 1.5
+	warmupSlackRequests   = 5.0
 )
 
-// Pauses of targets, as for garbage collection.
+// Periodic pauses of targets, like garbage collections.
 const (
-	pauseFor   = 250 * time.Millisecond
-	pauseEvery = 3 * time.Second
+	targetPause       = 250 * time.Millisecond
+	targetPausePeriod = 3 * time.Second
 )
 
-// mostWhileCold is how many requests a target may get in any second while it is cold.
-const mostWhileCold = coldPerSecond*coldRatio + coldSlack
+// maxRequestsWhileCold is the maximum number of requests that a cold target may receive in any
+// second.
+const maxRequestsWhileCold = coldRequestsPerSecond*warmupRatio + warmupSlackRequests
 
-// Regions of the site. The route of versions has a home.
+// Regions of the site. The version route is restricted to its home region.
 const (
 	regionHome = "home"
 	regionAway = "away"
 )
 
-// placementStream is the stream of a seed's random numbers that placement draws from, so that its other
-// faults stay as they were.
+// placementStream selects the random number stream of placement faults. A stream of their own
+// leaves the other faults of a seed unchanged.
 const placementStream = 2
 
-// awayDomain is the failure domain outside the home of the route of versions. It is evacuated in the calm.
+// awayDomain returns the failure domain outside the home region of the version route. It is
+// evacuated in the calm phase.
 func (c Config) awayDomain() int {
-	return rand.New(rand.NewPCG(c.Seed, placementStream)).IntN(domains)
+	return rand.New(rand.NewPCG(c.Seed, placementStream)).IntN(domainCount)
 }
 
 // region returns the region of a failure domain.
 func (c Config) region(domain int) string {
-	if domain%domains == c.awayDomain() {
+	if domain%domainCount == c.awayDomain() {
 		return regionAway
 	}
 	return regionHome
 }
 
-// placed returns what a host's settings tell of placement; nil: nothing.
-func (c Config) placed() *placedSettings {
+// placementSettings returns a host's placement settings, or nil without placement.
+func (c Config) placementSettings() *placementSettings {
 	if !c.Placement {
 		return nil
 	}
-	p := &placedSettings{Regions: map[string]string{}}
-	for d := range domains {
+	p := &placementSettings{Regions: map[string]string{}}
+	for d := range domainCount {
 		p.Regions[domainName(d)] = c.region(d)
 	}
 	return p
 }
 
-// placedSettings are the settings of a host that concern placement.
-type placedSettings struct {
+// placementSettings are the settings of a host that concern placement.
+type placementSettings struct {
 	Regions map[string]string
 }
 
-// into puts them into the settings of a host. A nil one puts nothing.
-func (p *placedSettings) into(settings map[string]any) {
+// addTo adds the placement settings to a host's settings. It does nothing on nil.
+func (p *placementSettings) addTo(settings map[string]any) {
 	if p == nil {
 		return
 	}
-	settings["discovery"] = map[string]any{"evacuate_within": evacuateWithin.String()}
-	settings["gateway"] = map[string]any{"warmup_ratio": coldRatio, "warmup_slack": coldSlack, "regions": p.Regions}
+	settings["discovery"] = map[string]any{"evacuate_within": maxEvacuationDelay.String()}
+	settings["gateway"] = map[string]any{"warmup_ratio": warmupRatio, "warmup_slack": warmupSlackRequests, "regions": p.Regions}
 }
 
-// place adds to a configuration what binds where its requests go.
-func (c Config) place(config *platform.Config) {
+// addPlacement adds cold-start limits and allowed regions to a configuration.
+func (c Config) addPlacement(config *platform.Config) {
 	if !c.Placement {
 		return
 	}
 	for i := range config.Services {
-		config.Services[i].ColdStartS = coldFor.Seconds()
-		config.Services[i].ColdPerS = coldPerSecond
+		config.Services[i].ColdStartS = coldDuration.Seconds()
+		config.Services[i].ColdPerS = coldRequestsPerSecond
 	}
 	for i := range config.Routes {
 		if config.Routes[i].PathPrefix == pathVersion {
@@ -92,23 +94,24 @@
 	}
 }
 
-// placed makes a target tell its load, pause, and be cold after a crash.
-func (t *targetServer) placed(cfg *platformtarget.Config, returns bool) {
+// configurePlacement makes a target report its load, pause periodically, and be cold after a
+// crash.
+func (t *targetServer) configurePlacement(cfg *platformtarget.Config, afterCrash bool) {
 	if !t.site.cfg.Placement {
 		return
 	}
-	cfg.TellLoad, cfg.Pause, cfg.PauseEvery = true, pauseFor, pauseEvery
-	if returns {
-		cfg.Cold = coldFor
+	cfg.TellLoad, cfg.Pause, cfg.PauseEvery = true, targetPause, targetPausePeriod
+	if afterCrash {
+		cfg.Cold = coldDuration
 	}
 }
 
-// placementFault draws an evacuation, or targets that are back cold after a crash.
+// placementFault draws an evacuation or a crash of targets that restart cold.
 func (c Config) placementFault(rng *rand.Rand) step {
 	if rng.IntN(2) == 0 {
-		return crashes(rng)
+		return targetCrashes(rng)
 	}
-	domain := rng.IntN(domains)
+	domain := rng.IntN(domainCount)
 	return step{
 		name: fmt.Sprintf("%s is evacuated", domainName(domain)),
 		do:   func(s *site) { s.evacuate(domain) },
@@ -116,28 +119,29 @@
 	}
 }
 
-// placementStorm returns the faults of placement in the storm.
+// placementStorm returns the placement faults of the storm phase.
 func (c Config) placementStorm() []step {
 	rng := rand.New(rand.NewPCG(c.Seed, placementStream))
-	_ = rng.IntN(domains) // the away domain
-	const fewer = 3       // times fewer faults than of the other series
+	_ = rng.IntN(domainCount) // skip the number drawn by awayDomain
+	const faultDivisor = 3    // keeps one of this many faults of the series
 	var all []step
 	for i, st := range series(rng, c.Storm, c.placementFault) {
-		if i%fewer == 0 {
+		if i%faultDivisor == 0 {
 			all = append(all, st)
 		}
 	}
 	return all
 }
 
-// placementCalm returns the planned work of placement: an evacuation that is taken back and set again.
+// placementCalm returns the planned placement steps of the calm phase: an evacuation that is
+// cancelled and set again.
 func (c Config) placementCalm() []step {
 	away := c.awayDomain()
 	name := domainName(away) + " is evacuated"
-	again := 300 * time.Millisecond
+	pauseBetween := 300 * time.Millisecond
 	return []step{
 		{at: 0, name: name, do: func(s *site) { s.evacuate(away) }},
-		{at: time.Second, last: again, name: name + " no more, and again",
+		{at: time.Second, duration: pauseBetween, name: name + " no more, and again",
 			do: func(s *site) { s.endEvacuation(away) }, undo: func(s *site) { s.evacuate(away) }},
 	}
 }
@@ -146,38 +150,39 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.apply(platform.KindEvacuations, domainName(domain), struct{}{}); err != nil {
-		panic(err) // an empty object always has a JSON form
+		panic(err) // an empty object always encodes
 	}
-	s.evacuated[domainName(domain)] = time.Now()
+	s.evacuatedSince[domainName(domain)] = time.Now()
 }
 
 func (s *site) endEvacuation(domain int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.evacuated, domainName(domain))
+	delete(s.evacuatedSince, domainName(domain))
 	s.store.Remove(platform.KindEvacuations, domainName(domain))
 }
 
-// gatherPlacement takes what the promises of placement need.
-func (e *evidence) gatherPlacement(s *site) {
+// collectPlacement collects the observations that the placement checks need.
+func (e *observations) collectPlacement(s *site) {
 	if !s.cfg.Placement {
 		return
 	}
-	e.away = domainName(s.cfg.awayDomain())
-	e.domains, e.evacuated, e.cold = map[string]string{}, map[string]time.Time{}, map[string]int{}
+	e.awayDomain = domainName(s.cfg.awayDomain())
+	e.domainOf, e.evacuatedSince, e.maxColdRequests = map[string]string{}, map[string]time.Time{}, map[string]int{}
 	s.mu.Lock()
-	for domain, at := range s.evacuated {
-		e.evacuated[domain] = at
+	for domain, at := range s.evacuatedSince {
+		e.evacuatedSince[domain] = at
 	}
 	s.mu.Unlock()
 	for _, t := range s.targets {
-		e.domains[t.id] = t.domain
-		e.cold[t.id] = t.mostWhileCold()
+		e.domainOf[t.id] = t.domain
+		e.maxColdRequests[t.id] = t.maxRequestsWhileCold()
 	}
 }
 
-// mostWhileCold returns how many requests came in any second in which an incarnation was cold.
-func (t *targetServer) mostWhileCold() int {
+// maxRequestsWhileCold returns the maximum number of requests that an incarnation received in any
+// second while it was cold.
+func (t *targetServer) maxRequestsWhileCold() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	most := 0
@@ -187,22 +192,22 @@
 	return most
 }
 
-// checkPlacement holds that requests go only where they may.
-func (e *evidence) checkPlacement() []Violation {
+// checkPlacement checks the request limit of cold targets, evacuations and allowed regions.
+func (e *observations) checkPlacement() []Violation {
 	var all []Violation
-	for id, n := range e.cold {
-		if float64(n) > mostWhileCold {
-			all = append(all, Violation{"a cold target gets no more than it bears", fmt.Sprintf("%s got %d requests within a second, bears %g", id, n, mostWhileCold)})
+	for id, n := range e.maxColdRequests {
+		if float64(n) > maxRequestsWhileCold {
+			all = append(all, Violation{"a cold target gets no more than it bears", fmt.Sprintf("%s received %d requests within a second, limit %g", id, n, maxRequestsWhileCold)})
 		}
 	}
 	for _, x := range e.exchanges {
-		for _, r := range e.runs[x.id] {
-			domain := e.domains[r.target]
-			if at, is := e.evacuated[domain]; is && r.began.After(at.Add(evacuateWithin)) {
-				all = append(all, Violation{"nothing is sent to an evacuated failure domain", fmt.Sprintf("request %s ran at %s %s after it was", x.id, r.target, r.began.Sub(at))})
+		for _, r := range e.executions[x.requestID] {
+			domain := e.domainOf[r.target]
+			if at, is := e.evacuatedSince[domain]; is && r.began.After(at.Add(maxEvacuationDelay)) {
+				all = append(all, Violation{"nothing is sent to an evacuated failure domain", fmt.Sprintf("request %s ran at %s %s after its evacuation", x.requestID, r.target, r.began.Sub(at))})
 			}
-			if x.kind == kindVersion && domain == e.away && e.away != "" {
-				all = append(all, Violation{"a request stays in its homes", fmt.Sprintf("request %s ran at %s in %s", x.id, r.target, domain)})
+			if x.kind == kindVersion && domain == e.awayDomain && e.awayDomain != "" {
+				all = append(all, Violation{"a request stays in its homes", fmt.Sprintf("request %s ran at %s in %s", x.requestID, r.target, domain)})
 			}
 		}
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,27 +13,27 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Times of the phases of a run.
+// Durations of the phases of a run.
 const (
-	warmTime   = 1500 * time.Millisecond // until hosts serve
-	settleTime = 4 * time.Second         // from the last trouble until all must be well again
-	calmTime   = 5 * time.Second         // of planned work without trouble
+	warmUpDuration = 1500 * time.Millisecond // until hosts serve
+	settleDuration = 4 * time.Second         // from the last fault until all guarantees must hold
+	calmDuration   = 5 * time.Second         // planned work without faults
 )
 
-// step is one fault or one planned act, from a moment of the run on.
+// step is one fault or one planned action.
 type step struct {
-	at   time.Duration
-	last time.Duration // after which it is undone; 0: it undoes itself
-	name string
-	do   func(*site)
-	undo func(*site)
+	at       time.Duration
+	duration time.Duration // until undo; 0: nothing to undo
+	name     string
+	do       func(*site)
+	undo     func(*site)
 }
 
-// storm returns the faults of a seed, in series that overlap.
+// storm returns the faults of a seed, in overlapping series.
 func (c Config) storm(rng *rand.Rand) []step {
-	all := series(rng, c.Storm, c.fault)
+	all := series(rng, c.Storm, c.basicFault)
 	if c.AllFaults {
-		all = append(all, series(rng, c.Storm, c.furtherFault)...)
+		all = append(all, series(rng, c.Storm, c.extraFault)...)
 	}
 	if c.Placement {
 		all = append(all, c.placementStorm()...)
@@ -44,31 +44,31 @@
 	return all
 }
 
-// series draws one fault after another over a time; they overlap.
-func series(rng *rand.Rand, lasts time.Duration, draw func(*rand.Rand) step) []step {
+// series draws a series of overlapping faults over the total duration.
+func series(rng *rand.Rand, total time.Duration, draw func(*rand.Rand) step) []step {
 	var all []step
-	for at := time.Duration(0); at < lasts; {
+	for at := time.Duration(0); at < total; {
 		s := draw(rng)
 		s.at = at
-		s.last = min(time.Duration(200+rng.IntN(1500))*time.Millisecond, lasts-at)
+		s.duration = min(time.Duration(200+rng.IntN(1500))*time.Millisecond, total-at)
 		all = append(all, s)
 		at += time.Duration(50+rng.IntN(300)) * time.Millisecond
 	}
 	return all
 }
 
-// fault draws one of the faults that each seed has.
-func (c Config) fault(rng *rand.Rand) step {
+// basicFault draws one of the faults that occur with every configuration.
+func (c Config) basicFault(rng *rand.Rand) step {
 	host := rng.IntN(c.hosts())
-	trouble := Trouble(1 + rng.IntN(int(troubleKind)-1))
+	fault := ConnFault(1 + rng.IntN(int(connFaultCount)-1))
 	switch rng.IntN(10) {
 	case 0:
-		return proxyFault(fmt.Sprintf("store of host %d", host), trouble, func(s *site) *proxy { return s.stores[host] })
+		return proxyFault(fmt.Sprintf("store of host %d", host), fault, func(s *site) *proxy { return s.storeProxies[host] })
 	case 1:
-		return proxyFault(fmt.Sprintf("callers of host %d", host), trouble, func(s *site) *proxy { return s.fronts[host] })
+		return proxyFault(fmt.Sprintf("callers of host %d", host), fault, func(s *site) *proxy { return s.callerProxies[host] })
 	case 2, 3:
 		draw := rng.Uint32()
-		return proxyFault(fmt.Sprintf("target %d", draw), trouble, func(s *site) *proxy { return s.asked(draw).proxy })
+		return proxyFault(fmt.Sprintf("target %d", draw), fault, func(s *site) *proxy { return s.targetByDraw(draw).proxy })
 	case 4, 5, 6:
 		return targetFault(rng)
 	case 7:
@@ -76,29 +76,29 @@
 	case 8:
 		return hostFault(rng, host)
 	}
-	return step{name: "configuration", do: (*site).configure}
+	return step{name: "configuration", do: (*site).publishNextConfig}
 }
 
-func proxyFault(name string, t Trouble, of func(*site) *proxy) step {
+func proxyFault(name string, t ConnFault, of func(*site) *proxy) step {
 	return step{
 		name: fmt.Sprintf("%s: trouble %d", name, t),
-		do:   func(s *site) { of(s).set(t) },
-		undo: func(s *site) { of(s).set(NoTrouble) },
+		do:   func(s *site) { of(s).setFault(t) },
+		undo: func(s *site) { of(s).setFault(NoConnFault) },
 	}
 }
 
-// asked returns a target by a random number, one of those that requests go to: a
-// third of the time one of the targets of reservations, which run once only, else one
-// of a shard. Those of old and coming versions are asked for nothing.
-func (s *site) asked(draw uint32) *targetServer {
+// targetByDraw maps a random number to a target that receives requests: in a third of the cases a
+// reservation target, otherwise a target of a shard. The targets of the version services are
+// excluded, as those of past and future versions receive no requests.
+func (s *site) targetByDraw(draw uint32) *targetServer {
 	i := int(draw) / 3
 	if draw%3 == 0 {
-		return s.targets[i%replicas]
+		return s.targets[i%targetsPerService]
 	}
-	return s.targets[replicas+i%(shards*replicas)]
+	return s.targets[targetsPerService+i%(shardCount*targetsPerService)]
 }
 
-// targetFaults are what targets do wrong.
+// targetFaults are the faults of targets.
 var targetFaults = []platformtarget.Faults{
 	{Slow: 12}, {Silent: true}, {Fail: 0.5}, {Shed: 0.5}, {Lose: 0.5}, {Lose: 0.1}, {Cut: 0.5}, {Extra: 0.5}, {Unframed: 0.5}, {Impostor: true},
 }
@@ -106,7 +106,7 @@
 func targetFault(rng *rand.Rand) step {
 	f := targetFaults[rng.IntN(len(targetFaults))]
 	draw := rng.Uint32()
-	of := func(s *site) *platformtarget.Target { return s.asked(draw).current() }
+	of := func(s *site) *platformtarget.Target { return s.targetByDraw(draw).current() }
 	return step{
 		name: fmt.Sprintf("target %d: %+v", draw, f),
 		do:   func(s *site) { of(s).SetFaults(f) },
@@ -114,7 +114,7 @@
 	}
 }
 
-// storeFaults are what the store does wrong.
+// storeFaults are the faults of the store.
 var storeFaults = []objectstore.Faults{
 	{Outage: objectstore.OutageUnavailable}, {Outage: objectstore.OutageCut}, {Outage: objectstore.OutageHang},
 	{DeafWatches: true}, {LoseProbability: 0.5}, {LateProbability: 0.5, LateDelay: unit.Duration(time.Second)},
@@ -137,45 +137,44 @@
 	case 0:
 		return step{name: fmt.Sprintf("host %d pauses", host), do: signal(syscall.SIGSTOP), undo: signal(syscall.SIGCONT)}
 	case 1:
-		return step{name: fmt.Sprintf("host %d stops", host), do: signal(syscall.SIGTERM), undo: restart(host)}
+		return step{name: fmt.Sprintf("host %d stops", host), do: signal(syscall.SIGTERM), undo: restartHost(host)}
 	case 2:
 		return step{name: fmt.Sprintf("host %d reloads", host), do: func(s *site) { s.hosts[host].reload() }}
 	}
-	return step{name: fmt.Sprintf("host %d is killed", host), do: signal(syscall.SIGKILL), undo: restart(host)}
+	return step{name: fmt.Sprintf("host %d is killed", host), do: signal(syscall.SIGKILL), undo: restartHost(host)}
 }
 
-// restart starts a host again once it has ended. A paused one is woken, so that
-// it can end.
-func restart(host int) func(*site) {
+// restartHost starts a host again once it has ended. It resumes a stopped process first, so that
+// the process can end.
+func restartHost(host int) func(*site) {
 	return func(s *site) {
 		p := s.hosts[host]
 		p.signal(syscall.SIGCONT)
-		p.await(stopGrace)
+		p.waitOrKill(stopGrace)
 		if err := p.start(); err != nil {
 			panic(err) // the binary was started before
 		}
 	}
 }
 
-// calm returns the planned work of the time without trouble: a change of the
-// configuration, a target that leaves, a host that is stopped and started again, a
-// reload.
+// calm returns the planned work of the calm phase: a configuration change, a target that leaves, a
+// host that is stopped and restarted, and a reload.
 func (c Config) calm(rng *rand.Rand) []step {
 	first := rng.IntN(c.hosts())
 	second := (first + 1) % c.hosts()
-	leaves := rng.IntN(shards)
+	leaves := rng.IntN(shardCount)
 	all := []step{
-		{at: 0, name: "configuration", do: (*site).configure},
-		{at: 100 * time.Millisecond, name: "target leaves", do: func(s *site) { s.leave(shardName(leaves)) }},
+		{at: 0, name: "configuration", do: (*site).publishNextConfig},
+		{at: 100 * time.Millisecond, name: "target leaves", do: func(s *site) { s.drainFirstTarget(shardService(leaves)) }},
 		{at: 300 * time.Millisecond, name: "reload", do: func(s *site) { s.hosts[second].reload() }},
-		{at: 500 * time.Millisecond, last: 200 * time.Millisecond, name: "host stops",
-			do: func(s *site) { s.hosts[first].signal(syscall.SIGTERM) }, undo: restart(first)},
+		{at: 500 * time.Millisecond, duration: 200 * time.Millisecond, name: "host stops",
+			do: func(s *site) { s.hosts[first].signal(syscall.SIGTERM) }, undo: restartHost(first)},
 	}
 	if c.AllFaults {
-		all = append(all, suspend(700*time.Millisecond, (first+2)%c.hosts(), longestSuspension))
-		stays := foreignRecord(platform.KindTargets, "stray", foreignTexts[rng.IntN(len(foreignTexts))])
-		stays.undo = nil
-		all = append(all, stays)
+		all = append(all, suspendHost(700*time.Millisecond, (first+2)%c.hosts(), maxSuspension))
+		strayObject := foreignObject(platform.KindTargets, "stray", foreignValues[rng.IntN(len(foreignValues))])
+		strayObject.undo = nil
+		all = append(all, strayObject)
 	}
 	if c.Placement {
 		all = append(all, c.placementCalm()...)
@@ -183,12 +182,12 @@
 	return all
 }
 
-// leave lets the first target of a service leave.
-func (s *site) leave(service string) {
+// drainFirstTarget drains the first target of a service.
+func (s *site) drainFirstTarget(service string) {
 	for _, t := range s.targets {
 		if t.service == service {
 			if err := t.drain(); err != nil {
-				panic(err) // a registration always has a JSON form
+				panic(err) // a registration always encodes
 			}
 			return
 		}
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// The port of a host that is down must not be taken by another site: its address is
-// the site's alone.
+// Each site must have an IP address of its own, so that no other site can take the port of a host
+// that is down.
 func TestSitesShareNoAddress(t *testing.T) {
 	is := is.New(t)
-	seen := map[string]bool{"127.0.0.1": true} // where everything else listens
+	seen := map[string]bool{"127.0.0.1": true} // used by everything else
 	for range 20 {
 		ports, err := freePorts(ownLoopback(), 4)
 		is.NoErr(err)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,103 +7,103 @@
 	"time"
 )
 
-// Trouble is what a proxy does to the connections that it carries.
-type Trouble uint8
+// ConnFault is a fault that a proxy injects into its connections.
+type ConnFault uint8
 
-// Troubles of connections.
+// Connection faults.
 const (
-	NoTrouble   Trouble = iota
-	Delayed             // every chunk of bytes is held back for delayTime
-	Reset               // connections are reset, new ones at once
-	CutForth            // bytes to the server are dropped
-	CutBack             // bytes to the client are dropped
-	Silent              // bytes are dropped both ways, and nothing is closed
-	troubleKind         // number of troubles
+	NoConnFault    ConnFault = iota
+	DelayChunks              // every chunk of bytes is delayed by chunkDelay
+	ResetConns               // open connections are reset, new ones right after accepting
+	DropToServer             // bytes to the server are dropped
+	DropToClient             // bytes to the client are dropped
+	DropBoth                 // bytes are dropped in both directions, and nothing is closed
+	connFaultCount           // number of faults
 )
 
-// delayTime is how long a delayed chunk is held back: several times what a request
-// takes, and a good part of an objective.
-const delayTime = 60 * time.Millisecond
+// chunkDelay is the delay of a chunk: several times the duration of a request, and a considerable
+// part of the latency objective.
+const chunkDelay = 60 * time.Millisecond
 
-// chunk is the most bytes that a proxy carries at once.
-const chunk = 16 << 10
+// chunkBytes is the size of the copy buffer.
+const chunkBytes = 16 << 10
 
-// proxy carries connections to one address and takes troubles.
+// proxy forwards connections to one address and injects faults.
 type proxy struct {
-	to string
-	on string // address
+	upstream      string
+	listenAddress string
 
-	mu      sync.Mutex
-	ln      net.Listener // nil: new connections are refused
-	trouble Trouble
-	conns   map[net.Conn]bool
-	closed  bool
+	mu     sync.Mutex
+	ln     net.Listener // nil: new connections are refused
+	fault  ConnFault
+	conns  map[net.Conn]bool
+	closed bool
 }
 
-// newProxy returns a proxy to an address, on a free port of the loopback. One that is to refuse
-// connections must be on an address that is the site's alone.
+// newProxy returns a proxy to an address, on a free port of the IP address on. If the proxy is to
+// refuse connections, no other site may use that IP address.
 func newProxy(on, to string) (*proxy, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(on, "0"))
 	if err != nil {
 		return nil, Error.New("listen for a proxy: %w", err)
 	}
-	p := &proxy{to: to, on: ln.Addr().String(), ln: ln, conns: map[net.Conn]bool{}}
+	p := &proxy{upstream: to, listenAddress: ln.Addr().String(), ln: ln, conns: map[net.Conn]bool{}}
 	go p.serve(ln)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.on }
+func (p *proxy) address() string { return p.listenAddress }
 
-// set puts a trouble in force in place of the one before.
-func (p *proxy) set(t Trouble) {
+// setFault replaces the current fault.
+func (p *proxy) setFault(t ConnFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trouble = t
-	if t == Reset {
-		p.resetAll()
+	p.fault = t
+	if t == ResetConns {
+		p.resetAllLocked()
 	}
 }
 
-// refuse resets every connection and refuses new ones, as if the server had ended.
-func (p *proxy) refuse() {
+// refuseConnections resets all connections and refuses new ones, as if the server had ended.
+func (p *proxy) refuseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stopListening() // first, so that no connection opens any more
-	p.resetAll()
+	p.stopListeningLocked() // first, so that no further connection opens
+	p.resetAllLocked()
 }
 
-// takeAgain ends refuse, at the address of before.
-func (p *proxy) takeAgain() error {
+// resumeListening reverts refuseConnections on the same address.
+func (p *proxy) resumeListening() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.ln != nil { // a target that crashed twice is taken again once
+	if p.closed || p.ln != nil { // a target that crashed twice resumes once
 		return nil
 	}
-	ln, err := net.Listen("tcp", p.on)
+	ln, err := net.Listen("tcp", p.listenAddress)
 	if err != nil {
-		return Error.New("listen again for a proxy: %w", err)
+		return Error.New("resume listening for a proxy: %w", err)
 	}
 	p.ln = ln
 	go p.serve(ln)
 	return nil
 }
 
-// stopListening refuses new connections. The lock is held.
-func (p *proxy) stopListening() {
+// stopListeningLocked refuses new connections. p.mu must be held.
+func (p *proxy) stopListeningLocked() {
 	if p.ln != nil {
-		_ = p.ln.Close() // its error would only say that it is closed
+		_ = p.ln.Close() // only fails if already closed
 		p.ln = nil
 	}
 }
 
-func (p *proxy) now() Trouble {
+func (p *proxy) currentFault() ConnFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.trouble
+	return p.fault
 }
 
-// resetAll resets every connection. The lock is held.
-func (p *proxy) resetAll() {
+// resetAllLocked resets all connections. p.mu must be held.
+func (p *proxy) resetAllLocked() {
 	for c := range p.conns {
 		reset(c)
 	}
@@ -111,18 +111,18 @@
 
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // so that the close is a reset
+		_ = tcp.SetLinger(0) // makes the close a reset
 	}
-	_ = c.Close() // it may be closed already
+	_ = c.Close() // may be closed already
 }
 
-// close ends the proxy and what it carries.
+// close stops the proxy and resets its connections.
 func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stopListening()
+	p.stopListeningLocked()
 	p.closed = true
-	p.resetAll()
+	p.resetAllLocked()
 }
 
 func (p *proxy) serve(ln net.Listener) {
@@ -131,32 +131,33 @@
 		if err != nil {
 			return // closed
 		}
-		go p.carry(client)
+		go p.forward(client)
 	}
 }
 
-// carry carries one connection until either side ends it. A side that can't be
-// reached ends the client's connection as well.
-func (p *proxy) carry(client net.Conn) {
-	if p.now() == Reset || !p.keep(client) {
+// forward forwards one connection until either side ends it. If the upstream is unreachable, it
+// resets the client's connection.
+func (p *proxy) forward(client net.Conn) {
+	if p.currentFault() == ResetConns || !p.track(client) {
 		reset(client)
 		return
 	}
-	defer p.forget(client)
-	server, err := net.Dial("tcp", p.to)
-	if err != nil || !p.keep(server) {
+	defer p.untrack(client)
+	server, err := net.Dial("tcp", p.upstream)
+	if err != nil || !p.track(server) {
 		reset(client)
 		return
 	}
-	defer p.forget(server)
+	defer p.untrack(server)
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, client, CutForth) })
-	both.Go(func() { p.copy(client, server, CutBack) })
+	both.Go(func() { p.copy(server, client, DropToServer) })
+	both.Go(func() { p.copy(client, server, DropToClient) })
 	both.Wait()
 }
 
-// keep remembers an open connection; false: the proxy is closed.
-func (p *proxy) keep(c net.Conn) bool {
+// track registers an open connection. It returns false if the proxy is closed or refuses
+// connections.
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.ln == nil {
@@ -166,40 +167,40 @@
 	return true
 }
 
-func (p *proxy) forget(c net.Conn) {
+func (p *proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
-	_ = c.Close() // both ways have ended
+	_ = c.Close() // both directions have ended
 }
 
-// copy carries bytes one way. cut is the trouble that drops them.
-func (p *proxy) copy(to, from net.Conn, cut Trouble) {
-	buffer := make([]byte, chunk)
+// copy forwards bytes in one direction. cut is the fault that drops them.
+func (p *proxy) copy(to, from net.Conn, cut ConnFault) {
+	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		switch t := p.now(); {
-		case t == cut || t == Silent:
+		switch t := p.currentFault(); {
+		case t == cut || t == DropBoth:
 			n = 0
-		case t == Delayed:
-			time.Sleep(delayTime)
+		case t == DelayChunks:
+			time.Sleep(chunkDelay)
 		}
 		if _, werr := to.Write(buffer[:n]); werr != nil {
 			reset(from)
 			return
 		}
 		if err != nil {
-			end(to, err)
+			propagateEnd(to, err)
 			return
 		}
 	}
 }
 
-// end passes the end of one side on to the other: a close as a close, anything
-// else as a reset.
-func end(to net.Conn, err error) {
+// propagateEnd propagates the end of one side to the other: a close as a close, anything else as a
+// reset.
+func propagateEnd(to net.Conn, err error) {
 	if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF {
-		_ = tcp.CloseWrite() // the other way may go on
+		_ = tcp.CloseWrite() // the other direction may still be open
 		return
 	}
 	reset(to)
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// echo answers with what it gets.
+// echo starts a server that echoes what it receives.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", freePort)
@@ -31,7 +31,8 @@
 	return ln.Addr().String()
 }
 
-// A proxy whose server has ended refuses connections, and takes them again at its address.
+// A proxy must refuse connections while its server is down, and accept them again on the same
+// address afterwards.
 func TestProxyRefusesAndTakesAgain(t *testing.T) {
 	is := is.New(t)
 	p, err := newProxy(ownLoopback(), echo(t))
@@ -40,27 +41,27 @@
 	open, err := net.Dial("tcp", p.address())
 	is.NoErr(err)
 	defer func() { _ = open.Close() }()
-	got, err := said(open, "word")
+	got, err := exchangeWord(open, "word")
 	is.NoErr(err)
 	is.Equal(got, "word")
 
-	p.refuse()
-	_, err = said(open, "word")
-	is.True(err != nil) // it was reset
+	p.refuseConnections()
+	_, err = exchangeWord(open, "word")
+	is.True(err != nil) // the connection was reset
 	_, err = net.Dial("tcp", p.address())
 	is.True(errors.Is(err, syscall.ECONNREFUSED))
 
-	is.NoErr(p.takeAgain())
+	is.NoErr(p.resumeListening())
 	again, err := net.Dial("tcp", p.address())
 	is.NoErr(err)
 	defer func() { _ = again.Close() }()
-	got, err = said(again, "word")
+	got, err = exchangeWord(again, "word")
 	is.NoErr(err)
 	is.Equal(got, "word")
 }
 
-// said sends a word and returns what comes back within a moment.
-func said(c net.Conn, word string) (string, error) {
+// exchangeWord sends a word and returns what is received within 300 ms.
+func exchangeWord(c net.Conn, word string) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
 	if _, err := io.WriteString(c, word); err != nil {
 		return "", err
@@ -71,24 +72,24 @@
 }
 
 func TestTroublesOfAConnection(t *testing.T) {
-	for trouble, answered := range map[Trouble]bool{
-		NoTrouble: true, Delayed: true, Reset: false, CutForth: false, CutBack: false, Silent: false,
+	for trouble, answered := range map[ConnFault]bool{
+		NoConnFault: true, DelayChunks: true, ResetConns: false, DropToServer: false, DropToClient: false, DropBoth: false,
 	} {
 		is := is.New(t)
 		p, err := newProxy("127.0.0.1", echo(t))
 		is.NoErr(err)
 		c, err := net.Dial("tcp", p.address())
 		is.NoErr(err)
-		got, err := said(c, "one")
+		got, err := exchangeWord(c, "one")
 		is.NoErr(err)
 		is.Equal(got, "one")
-		p.set(trouble)
-		_, err = said(c, "two")
+		p.setFault(trouble)
+		_, err = exchangeWord(c, "two")
 		is.Equal(err == nil, answered)
-		p.set(NoTrouble)
+		p.setFault(NoConnFault)
 		c, err = net.Dial("tcp", p.address())
 		is.NoErr(err)
-		got, err = said(c, "three")
+		got, err = exchangeWord(c, "three")
 		is.NoErr(err)
 		is.Equal(got, "three")
 		p.close()
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -10,116 +10,119 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Restores: the store goes away and comes back from a copy some seconds old. Operator and targets write again what
-// they wrote since.
+// Times of restores: the store becomes unavailable and is then restored from a backup that is some
+// seconds old. The operator and the targets repeat the writes that were lost.
 const (
-	copyEvery  = 250 * time.Millisecond // between two copies of the store
-	oldestCopy = 6 * time.Second
-	targetBeat = 1200 * time.Millisecond // within which a target writes its registration again
-	lapseTime  = 3 * targetBeat          // after which a registration that nobody writes is gone
+	backupInterval       = 250 * time.Millisecond // between two backups of the store
+	maxBackupAge         = 6 * time.Second
+	registrationInterval = 1200 * time.Millisecond  // maximum time until a target writes its registration again
+	registrationTTL      = 3 * registrationInterval // after which a registration that isn't renewed is removed
 )
 
-// restoreStream is the stream of a seed's random numbers that restores draw from.
+// restoreStream selects the random number stream of restores.
 const restoreStream = 3
 
-// fewerRestores is how many times fewer restores there are than faults of another series.
-const fewerRestores = 6
+// restoreDivisor keeps one of this many restores of a series.
+const restoreDivisor = 6
 
-// restoreStorm returns the restores of the storm.
+// restoreStorm returns the restores of the storm phase.
 func (c Config) restoreStorm() []step {
 	rng := rand.New(rand.NewPCG(c.Seed, restoreStream))
 	var all []step
 	for i, st := range series(rng, c.Storm, restoreFault) {
-		if i%fewerRestores == 0 {
+		if i%restoreDivisor == 0 {
 			all = append(all, st)
 		}
 	}
 	return all
 }
 
-// knownAfter is how long the host that stays runs before lastRestore, so that it knows the target that leaves.
-const knownAfter = 2 * time.Second
+// survivorRunTime is how long the surviving host runs before finalRestore, so that it has observed
+// the target that is going to leave.
+const survivorRunTime = 2 * time.Second
 
-// Times of lastRestore, from the end of the hosts but one.
+// Times of finalRestore, measured from the kill of all hosts but one.
 const (
-	heardAfter    = 2500 * time.Millisecond // until the one that stays has heard of the target that left
-	restoredAfter = 2750 * time.Millisecond // until the others start, while the store is away
+	finalRestoreDelay       = 2500 * time.Millisecond // the surviving host has observed the removal of the target by then
+	restartDelayWithRestore = 2750 * time.Millisecond // start of the other hosts, while the store is unavailable
 )
 
-// lastRestore is a restore after the storm. The hosts that start then find the target in the copy that has left before; the
-// one that stays knows.
-func (c Config) lastRestore() step {
+// finalRestore is a restore after the storm. The hosts that start after it read a backup that
+// still contains the target that has left; the surviving host has observed the removal.
+func (c Config) finalRestore() step {
 	st := restoreFault(rand.New(rand.NewPCG(c.Seed, restoreStream)))
-	st.at, st.last = heardAfter, 300*time.Millisecond
+	st.at, st.duration = finalRestoreDelay, 300*time.Millisecond
 	return st
 }
 
-// restoreFault draws how the store is away, and the age of the copy that it comes back from.
+// restoreFault draws the failure mode of the store and the age of the backup.
 func restoreFault(rng *rand.Rand) step {
 	outages := []objectstore.Outage{objectstore.OutageUnavailable, objectstore.OutageCut, objectstore.OutageHang}
 	outage := outages[rng.IntN(len(outages))]
-	age := copyEvery + time.Duration(rng.Int64N(int64(oldestCopy-copyEvery)))
-	beats := rng.Uint64()
+	age := backupInterval + time.Duration(rng.Int64N(int64(maxBackupAge-backupInterval)))
+	delaySeed := rng.Uint64()
 	return step{
 		name: fmt.Sprintf("store: %s, then back from a copy of %s before", outage, age),
 		do:   func(s *site) { s.store.SetFaults(objectstore.Faults{Outage: outage}) },
-		undo: func(s *site) { s.restore(age, rand.New(rand.NewPCG(beats, 0))) },
+		undo: func(s *site) { s.restore(age, rand.New(rand.NewPCG(delaySeed, 0))) },
 	}
 }
 
-// storeConfig is that of the site's store.
+// storeConfig returns the configuration of the site's store.
 func (c Config) storeConfig() objectstore.Config {
 	cfg := objectstore.DefaultConfig()
 	if c.Restores {
-		cfg.CopyEvery, cfg.OldestCopy = unit.Duration(copyEvery), unit.Duration(oldestCopy)
+		cfg.CopyEvery, cfg.OldestCopy = unit.Duration(backupInterval), unit.Duration(maxBackupAge)
 	}
 	return cfg
 }
 
-// restore brings the store back from a copy of some age. What the operator wrote is written again at once, what targets
-// wrote with their next beat.
+// restore restores the store from a backup of the given age. The operator's writes are repeated at
+// once, those of each target within registrationInterval.
 func (s *site) restore(age time.Duration, rng *rand.Rand) {
 	s.mu.Lock()
-	if err := s.store.RestoreOlder(age); err != nil {
-		panic(err) // it keeps copies from the start
+	if err := s.store.RestoreBackup(age); err != nil {
+		panic(err) // the store has backups from the start
 	}
-	s.rewriteOperator()
+	s.rewriteOperatorRecordsLocked()
 	s.mu.Unlock()
 	s.store.SetFaults(objectstore.Faults{})
 	for _, t := range s.targets {
-		wait := time.Duration(rng.Int64N(int64(targetBeat)))
-		s.returning.Go(func() {
+		wait := time.Duration(rng.Int64N(int64(registrationInterval)))
+		s.pendingTargetWork.Go(func() {
 			time.Sleep(wait)
-			t.writeAgain()
+			t.reregister()
 		})
 	}
 }
 
-// rewriteOperator writes the newest configuration and evacuations again; s.mu is held.
-func (s *site) rewriteOperator() {
+// rewriteOperatorRecordsLocked writes the newest configuration and the current evacuations again;
+// s.mu must be held.
+func (s *site) rewriteOperatorRecordsLocked() {
 	if err := s.apply(platform.KindConfig, platform.NameConfig, s.configuration(s.version)); err != nil {
-		panic(err) // the configuration always has a JSON form
+		panic(err) // the configuration always encodes
 	}
-	for d := range domains {
+	for d := range domainCount {
 		name := domainName(d)
-		if _, evacuated := s.evacuated[name]; !evacuated {
+		if _, evacuated := s.evacuatedSince[name]; !evacuated {
 			s.store.Remove(platform.KindEvacuations, name)
 			continue
 		}
 		if err := s.apply(platform.KindEvacuations, name, struct{}{}); err != nil {
-			panic(err) // an empty object always has a JSON form
+			panic(err) // an empty object always encodes
 		}
 	}
 }
 
-// writeAgain writes the target's registration; one that it has removed lapses.
-func (t *targetServer) writeAgain() {
+// reregister writes the target's registration again. If the target had removed it, the restored
+// registration expires after registrationTTL.
+func (t *targetServer) reregister() {
 	t.mustRegister()
 	t.mu.Lock()
-	vanished := t.vanished
+	vanished := t.unregistered
 	t.mu.Unlock()
 	if vanished {
-		time.Sleep(lapseTime)
+		time.Sleep(registrationTTL)
 		t.site.store.Remove(platform.KindTargets, t.id)
 	}
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -16,98 +16,98 @@
 
 // Sizes of the site.
 const (
-	domains  = 3
-	shards   = 4
-	replicas = 2 // targets of each service
-	slots    = 4 // of each target
-	records  = 8 // in each answer of a target
-	topK     = 5 // in a merged answer
-	seeds    = 5 // hosts that a starting host asks first
+	domainCount       = 3
+	shardCount        = 4
+	targetsPerService = 2
+	slotsPerTarget    = 4
+	recordsPerAnswer  = 8
+	topK              = 5 // records in a merged answer
+	peerSeedCount     = 5 // hosts that a starting host contacts first
 )
 
-// Times of the site's routes, and of its targets.
+// Times of the site's routes and targets.
 const (
-	routeTimeout  = time.Second
-	objective     = 200 * time.Millisecond
-	targetLatency = 15 * time.Millisecond
-	poisonDown    = 500 * time.Millisecond // how long a target is down that ran the poison
+	routeTimeout          = time.Second
+	routeLatencyObjective = 200 * time.Millisecond
+	targetLatency         = 15 * time.Millisecond
+	poisonDowntime        = 500 * time.Millisecond // downtime of a target that ran a poison request
 )
 
-// Names of the site.
+// Host name, path prefixes and service of the site's routes.
 const (
-	siteHost    = "soak.example"
-	pathQuery   = "/lists/" // to all shards
-	pathReserve = "/gifts/" // not idempotent
-	pathVersion = "/desk/"  // to a service of its own in each version
-	pathPoison  = "/lists/poison"
-	serviceOnce = "gifts"
+	siteHost       = "soak.example"
+	pathQuery      = "/lists/" // to all shards
+	pathReserve    = "/gifts/" // non-idempotent
+	pathVersion    = "/desk/"  // to a different service in each configuration version
+	pathPoison     = "/lists/poison"
+	reserveService = "gifts"
 )
 
-func shardName(i int) string   { return fmt.Sprintf("lists-%d", i) }
-func versionName(v int) string { return fmt.Sprintf("desk-%d", v) }
+func shardService(i int) string   { return fmt.Sprintf("lists-%d", i) }
+func versionService(v int) string { return fmt.Sprintf("desk-%d", v) }
 
-// site is the store, the targets and the hosts of one run, with proxies between.
+// site is the store, the targets and the hosts of one run, connected through proxies.
 type site struct {
-	cfg     Config
-	dir     string
-	ip      string // of the proxies, on the loopback and the site's alone
-	store   *objectstore.Store
-	stores  []*proxy // to the store, one for each host
-	hosts   []*process
-	fronts  []*proxy // to the callers' addresses of the hosts
-	targets []*targetServer
+	cfg           Config
+	dir           string
+	ip            string // loopback address of the proxies, used by this site only
+	store         *objectstore.Store
+	storeProxies  []*proxy // to the store, one per host
+	hosts         []*process
+	callerProxies []*proxy // to the hosts' addresses for callers
+	targets       []*targetServer
 
 	servers []*http.Server
 	serving sync.WaitGroup
-	// returning are the targets that have crashed and are to be back.
-	returning sync.WaitGroup
-
-	versions  int // of the configuration, at most
-	mu        sync.Mutex
-	version   int
-	changes   []change
-	evacuated map[string]time.Time // failure domains, since when
-	arrivals  []arrival
-	ended     chan struct{} // closes at stop
+	// pendingTargetWork counts targets that are about to restart after a crash or to register again.
+	pendingTargetWork sync.WaitGroup
+
+	maxVersions    int // maximum number of configuration versions
+	mu             sync.Mutex
+	version        int
+	configChanges  []configChange
+	evacuatedSince map[string]time.Time // start of the evacuation, by failure domain
+	poisonArrivals []poisonArrival
+	stopped        chan struct{} // closed by stop
 }
 
-// change is one version of the configuration and when it was in the store.
-type change struct {
-	version int
-	at      time.Time
+// configChange is a configuration version and the time at which it was written to the store.
+type configChange struct {
+	version     int
+	publishedAt time.Time
 }
 
-// newSite starts everything. What was started is stopped by stop, also after an
+// newSite starts the store, the targets and the hosts. The caller must call stop, also after an
 // error.
 func newSite(cfg Config) (*site, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
-		return nil, Error.New("make a folder: %w", err)
+		return nil, Error.New("create the run directory: %w", err)
 	}
-	s := &site{dir: dir, ip: ownLoopback(), store: objectstore.New(cfg.storeConfig()), versions: cfg.versions(),
-		cfg: cfg, evacuated: map[string]time.Time{}, ended: make(chan struct{})}
+	s := &site{dir: dir, ip: ownLoopback(), store: objectstore.New(cfg.storeConfig()), maxVersions: cfg.maxConfigVersions(),
+		cfg: cfg, evacuatedSince: map[string]time.Time{}, stopped: make(chan struct{})}
 	if err := s.startTargets(); err != nil {
 		return s, err
 	}
-	s.configure()
+	s.publishNextConfig()
 	if cfg.Restores {
-		s.serving.Go(func() { s.store.KeepCopies(s.ended) })
+		s.serving.Go(func() { s.store.TakeBackups(s.stopped) })
 	}
 	return s, s.startHosts(cfg)
 }
 
-func domainName(i int) string { return fmt.Sprintf("domain-%d", i%domains) }
+func domainName(i int) string { return fmt.Sprintf("domain-%d", i%domainCount) }
 
 func (s *site) startTargets() error {
-	names := []string{serviceOnce}
-	for i := range shards {
-		names = append(names, shardName(i))
+	names := []string{reserveService}
+	for i := range shardCount {
+		names = append(names, shardService(i))
 	}
-	for v := range s.versions {
-		names = append(names, versionName(v+1))
+	for v := range s.maxVersions {
+		names = append(names, versionService(v+1))
 	}
 	for _, name := range names {
-		for i := range replicas {
+		for i := range targetsPerService {
 			if err := s.startTarget(name, i); err != nil {
 				return err
 			}
@@ -129,7 +129,7 @@
 	return t.register()
 }
 
-// serve serves a handler on a free port until stop.
+// serve serves a handler on a free port until stop is called.
 func (s *site) serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", freePort)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	server := &http.Server{Handler: h}
 	s.servers = append(s.servers, server)
-	s.serving.Go(func() { _ = server.Serve(ln) }) // ends at stop
+	s.serving.Go(func() { _ = server.Serve(ln) }) // returns at stop
 	return ln.Addr().String(), nil
 }
 
@@ -150,42 +150,43 @@
 	return nil
 }
 
-// configure writes the next version of the configuration.
-func (s *site) configure() {
+// publishNextConfig writes the next version of the configuration, up to the maximum number of
+// versions.
+func (s *site) publishNextConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.version == s.versions {
+	if s.version == s.maxVersions {
 		return
 	}
 	s.version++
 	if err := s.apply(platform.KindConfig, platform.NameConfig, s.configuration(s.version)); err != nil {
-		panic(err) // the configuration always has a JSON form
+		panic(err) // the configuration always encodes
 	}
-	s.changes = append(s.changes, change{s.version, time.Now()})
+	s.configChanges = append(s.configChanges, configChange{s.version, time.Now()})
 }
 
-// configuration is one version of it.
+// configuration returns one version of the configuration.
 func (s *site) configuration(version int) platform.Config {
 	route := func(name, prefix, kind, service string) platform.Route {
 		return platform.Route{
 			Name: name, Hostname: siteHost, PathPrefix: prefix, Type: kind, Service: service, MaxAttempts: 2,
-			TimeoutMs: routeTimeout.Milliseconds(), TargetLatencyMs: objective.Milliseconds(),
+			TimeoutMs: routeTimeout.Milliseconds(), TargetLatencyMs: routeLatencyObjective.Milliseconds(),
 		}
 	}
 	query := route("lists", pathQuery, platform.TypeIdempotent, "")
 	query.TopK, query.MinSuccessShare = topK, 0.5
 	c := platform.Config{Version: uint64(version)}
-	for i := range shards {
-		query.Shards = append(query.Shards, shardName(i))
+	for i := range shardCount {
+		query.Shards = append(query.Shards, shardService(i))
 	}
-	for _, name := range append(query.Shards[:shards:shards], serviceOnce, versionName(version)) {
+	for _, name := range append(query.Shards[:shardCount:shardCount], reserveService, versionService(version)) {
 		c.Services = append(c.Services, platform.Service{Name: name, HealthCheckPath: "/healthz", MaxConnections: 60})
 	}
 	c.Routes = []platform.Route{
-		query, route("gifts", pathReserve, platform.TypeNonIdempotent, serviceOnce),
-		route("desk", pathVersion, platform.TypeIdempotent, versionName(version)),
+		query, route("gifts", pathReserve, platform.TypeNonIdempotent, reserveService),
+		route("desk", pathVersion, platform.TypeIdempotent, versionService(version)),
 	}
-	s.cfg.place(&c)
+	s.cfg.addPlacement(&c)
 	return c
 }
 
@@ -194,30 +195,30 @@
 	if err != nil {
 		return err
 	}
-	const addresses = 4
-	ports, err := freePorts(ownLoopback(), cfg.hosts()*addresses) // where no proxy takes them before the hosts do
+	const addressesPerHost = 4
+	ports, err := freePorts(ownLoopback(), cfg.hosts()*addressesPerHost) // on an address of their own, so that no proxy takes the ports before the hosts do
 	if err != nil {
 		return err
 	}
-	var first []string
-	for i := range min(cfg.hosts(), seeds) {
-		first = append(first, ports[i*addresses+addresses-1])
+	var seedAddresses []string
+	for i := range min(cfg.hosts(), peerSeedCount) {
+		seedAddresses = append(seedAddresses, ports[i*addressesPerHost+addressesPerHost-1])
 	}
 	for i := range cfg.hosts() {
-		toStore, err := newProxy(s.ip, store)
+		storeProxy, err := newProxy(s.ip, store)
 		if err != nil {
 			return err
 		}
-		s.stores = append(s.stores, toStore)
-		p, err := newProcess(s.dir, cfg.Binary, fmt.Sprintf("host-%d", i), domainName(i), toStore.address(), [4]string(ports[i*addresses:]), first, cfg.link(i), cfg.placed())
+		s.storeProxies = append(s.storeProxies, storeProxy)
+		p, err := newProcess(s.dir, cfg.Binary, fmt.Sprintf("host-%d", i), domainName(i), storeProxy.address(), [4]string(ports[i*addressesPerHost:]), seedAddresses, cfg.linkMbps(i), cfg.placementSettings())
 		if err != nil {
 			return err
 		}
-		front, err := newProxy(s.ip, p.callers)
+		callerProxy, err := newProxy(s.ip, p.callersAddress)
 		if err != nil {
 			return err
 		}
-		s.fronts = append(s.fronts, front)
+		s.callerProxies = append(s.callerProxies, callerProxy)
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -226,27 +227,27 @@
 	return nil
 }
 
-// stop ends what newSite started. The folder with the logs stays if keep is set.
+// stop ends everything that newSite started. The directory with the logs is kept if keep is set.
 func (s *site) stop(keep bool) {
-	close(s.ended)
+	close(s.stopped)
 	for _, p := range s.hosts {
 		p.signal(syscall.SIGKILL)
 	}
 	for _, p := range s.hosts {
-		p.await(stopGrace)
+		p.waitOrKill(stopGrace)
 	}
-	for _, p := range append(s.fronts, s.stores...) {
+	for _, p := range append(s.callerProxies, s.storeProxies...) {
 		p.close()
 	}
 	for _, t := range s.targets {
 		t.proxy.close()
 	}
 	for _, server := range s.servers {
-		_ = server.Close() // what runs for ever is cut
+		_ = server.Close() // cuts requests that never finish
 	}
 	s.serving.Wait()
-	s.returning.Wait()
+	s.pendingTargetWork.Wait()
 	if !keep {
-		_ = os.RemoveAll(s.dir) // a folder that stays does no harm
+		_ = os.RemoveAll(s.dir) // best effort: a leftover directory is harmless
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs gateway hosts as processes of their own on loopback, troubles
-// them from outside with signals, proxies, a faulty store and faulty targets, and
-// holds what callers and targets see against the promises of the system. A run
-// follows a seed.
+// Package soak runs gateway hosts as separate processes on loopback, injects faults through
+// signals, proxies, a store stand-in and target stand-ins, and checks what callers and targets
+// observed against the guarantees of the system. The seed determines the steps of a run, but not
+// the timing of the processes. It does not measure performance. Begin with Run.
 package soak
 
 import (
@@ -13,29 +13,30 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of errors of this package.
 var Error = errs.Class("soak")
 
-// Config tells how to soak.
+// Config configures a soak run.
 type Config struct {
-	Binary  string        // the program to run
-	Seed    uint64        // of everything that is drawn
-	Storm   time.Duration // of faults, before the calm
+	Binary  string        // gateway program to run
+	Seed    uint64        // of all random choices
+	Storm   time.Duration // duration of the fault phase, before the calm phase
 	Callers int
 	// Hosts is the number of hosts; 0: three.
 	Hosts int
-	// AllFaults adds those that the first seeds knew nothing of: targets that crash, also by a
-	// request, and are back under their id; entries of other writers in the store; hosts that are
-	// suspended; signals and changes in series; callers that keep their connections until the
-	// host is gone. A seed without them plays what it always did.
+	// AllFaults adds further faults: targets that crash, also because of a request, and restart
+	// under the same ID; values of other writers in the store; suspended hosts; series of signals
+	// and configuration changes; callers that keep their connections until the host closes them.
+	// Without it, the steps of a seed are the same as before these faults existed.
 	AllFaults bool
-	// Helpers gives all hosts but the last a narrow link, so that it gathers their
+	// Helpers gives all hosts but the last a narrow link, so that the last host gathers their
 	// queries.
 	Helpers bool
-	// Placement adds what binds where requests go: failure domains are evacuated, targets are cold after a
-	// crash, a route has a home. Targets tell their load and pause.
+	// Placement adds restrictions on where requests may go: evacuated failure domains, targets
+	// that are cold after a crash, and a route with a home region. Targets report their load and
+	// pause periodically.
 	Placement bool
-	// Restores makes the store come back from older copies of itself.
+	// Restores adds restores of the store from older backups.
 	Restores bool
 }
 
@@ -46,45 +47,44 @@
 	return c.Hosts
 }
 
-// versions returns how many versions of the configuration there may be.
-func (c Config) versions() int {
+// maxConfigVersions returns the maximum number of configuration versions of a run.
+func (c Config) maxConfigVersions() int {
 	if c.AllFaults {
 		return 36
 	}
 	return 12
 }
 
-// Link rates of hosts, in Mbit/s: the answers to a query occupy a narrow one for more
-// than the objective allows.
+// Link rates of hosts. On a narrow link, transferring the answers to a query takes longer than the
+// latency objective.
 const (
-	narrowLink = 1
-	wideLink   = 100
+	narrowLinkMbps = 1
+	wideLinkMbps   = 100
 )
 
-// link returns the link rate that a host is told, 0 if none.
-func (c Config) link(host int) float64 {
+// linkMbps returns the link rate in a host's settings, 0 if none is set.
+func (c Config) linkMbps(host int) float64 {
 	switch {
 	case !c.Helpers:
 		return 0
 	case host == c.hosts()-1:
-		return wideLink
+		return wideLinkMbps
 	}
-	return narrowLink
+	return narrowLinkMbps
 }
 
-// Report is what one run found.
+// Report is the result of one run.
 type Report struct {
 	Seed       uint64
 	Requests   int
-	Answered   int // whole and successful
+	Answered   int // complete and successful
 	Steps      []string
 	Violations []Violation
-	Logs       string // folder with the hosts' logs, kept after a violation
+	Logs       string // directory of the hosts' logs, kept after a violation
 }
 
-// Run runs one seed: a storm of faults, a time to settle, and planned work in the
-// calm, with callers all the while. Every process that it started has ended when
-// it returns.
+// Run runs one seed: a storm of faults, a settling time, and planned work in a calm phase, while
+// callers send requests throughout. All processes that it started have ended when it returns.
 func Run(cfg Config) (Report, error) {
 	r := Report{Seed: cfg.Seed}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0))
@@ -95,26 +95,26 @@
 		}
 		return r, err
 	}
-	time.Sleep(warmTime)
+	time.Sleep(warmUpDuration)
 	cs := startCallers(s, cfg, rng)
-	r.play(s, cfg.storm(rng))
+	r.runSteps(s, cfg.storm(rng))
 	if cfg.AllFaults {
-		last := cfg.leaveUnseen()
+		last := cfg.unobservedLeave()
 		if cfg.Restores {
-			last = append(last, cfg.lastRestore())
-			time.Sleep(knownAfter)
+			last = append(last, cfg.finalRestore())
+			time.Sleep(survivorRunTime)
 		}
-		r.play(s, last)
+		r.runSteps(s, last)
 	}
-	time.Sleep(settleTime)
-	calmFrom := time.Now()
-	r.play(s, cfg.calm(rng))
-	time.Sleep(time.Until(calmFrom.Add(calmTime)))
-	exchanges := cs.end()
-	calmTo := time.Now()
-	time.Sleep(routeTimeout) // what runs late after a refusal is seen, too
-	r.Violations = gather(s, exchanges, calmFrom, calmTo).check()
-	r.count(exchanges)
+	time.Sleep(settleDuration)
+	calmStart := time.Now()
+	r.runSteps(s, cfg.calm(rng))
+	time.Sleep(time.Until(calmStart.Add(calmDuration)))
+	exchanges := cs.stopAndCollect()
+	calmEnd := time.Now()
+	time.Sleep(routeTimeout) // also observes requests that run late after a refusal
+	r.Violations = collect(s, exchanges, calmStart, calmEnd).check()
+	r.countRequests(exchanges)
 	if len(r.Violations) > 0 {
 		r.Logs = s.dir
 	}
@@ -122,7 +122,7 @@
 	return r, nil
 }
 
-func (r *Report) count(exchanges []exchange) {
+func (r *Report) countRequests(exchanges []exchange) {
 	r.Requests = len(exchanges)
 	for _, x := range exchanges {
 		if x.status >= 200 && x.status < 300 {
@@ -131,9 +131,8 @@
 	}
 }
 
-// play carries out steps at their times, and undoes them. It returns when all is
-// undone.
-func (r *Report) play(s *site, steps []step) {
+// runSteps executes the steps at their times and undoes them. It returns when all are undone.
+func (r *Report) runSteps(s *site, steps []step) {
 	began := time.Now()
 	var work sync.WaitGroup
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
@@ -147,11 +146,11 @@
 		}
 		work.Go(func() {
 			time.Sleep(time.Until(began.Add(st.at)))
-			lock.Lock() // a host that is away is not troubled again before it is back
+			lock.Lock() // steps on the same host run one after another
 			defer lock.Unlock()
 			st.do(s)
 			if st.undo != nil {
-				time.Sleep(st.last)
+				time.Sleep(st.duration)
 				st.undo(s)
 			}
 		})
@@ -159,7 +158,7 @@
 	work.Wait()
 }
 
-// subject names what a step concerns.
+// subject returns the host that a step acts on, or the step's name.
 func (st step) subject() string {
 	if len(st.name) > len("host 0") && st.name[:len("host ")] == "host " {
 		return st.name[:len("host 0")]
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -11,50 +11,50 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// targetServer is a target with the proxy that hosts reach it by. Each time it has crashed it is
-// back under the id that it had.
+// targetServer is a target and the proxy through which hosts reach it. After each crash it
+// restarts under the same ID.
 type targetServer struct {
 	site    *site
 	id      string
 	service string
 	domain  string
-	number  int
+	index   int
 	proxy   *proxy
 
 	mu           sync.Mutex
-	incarnations []*platformtarget.Target // the last one runs
+	incarnations []*platformtarget.Target // the last one is running
 	down         bool
-	drained      time.Time // when its leaving was in the store; zero: it stays
-	vanished     bool      // its registration was removed, and is not written again
+	drainedAt    time.Time // when the drain or removal was written to the store; zero: not leaving
+	unregistered bool      // the registration was removed and must not be written again
 }
 
 func newTargetServer(s *site, id, service string, number int) *targetServer {
-	t := &targetServer{site: s, id: id, service: service, domain: domainName(number), number: number}
-	t.begin()
+	t := &targetServer{site: s, id: id, service: service, domain: domainName(number), index: number}
+	t.startIncarnation()
 	return t
 }
 
-// begin starts the next incarnation.
-func (t *targetServer) begin() {
+// startIncarnation starts the next incarnation.
+func (t *targetServer) startIncarnation() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cfg := platformtarget.Config{
-		ID: t.id, Service: t.service, Slots: slots, Queue: slots, Records: records, Seed: uint64(t.number),
+		ID: t.id, Service: t.service, Slots: slotsPerTarget, Queue: slotsPerTarget, Records: recordsPerAnswer, Seed: uint64(t.index),
 		Latency: standin.Latency{Mean: unit.Duration(targetLatency)}, Born: time.Now(),
 	}
-	t.placed(&cfg, len(t.incarnations) > 0)
+	t.configurePlacement(&cfg, len(t.incarnations) > 0)
 	t.incarnations = append(t.incarnations, platformtarget.New(cfg))
 	t.down = false
 }
 
-// current returns the incarnation that runs.
+// current returns the running incarnation.
 func (t *targetServer) current() *platformtarget.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.incarnations[len(t.incarnations)-1]
 }
 
-// runs returns what all incarnations have run.
+// runs returns the requests that all incarnations ran.
 func (t *targetServer) runs() []platformtarget.Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,12 +65,12 @@
 	return all
 }
 
-// register writes the target's registration, as it stands.
+// register writes the target's current registration, unless it was removed.
 func (t *targetServer) register() error {
 	r := t.current().Registration(t.proxy.address(), t.domain)
 	t.mu.Lock()
-	vanished := t.vanished
-	if !t.drained.IsZero() {
+	vanished := t.unregistered
+	if !t.drainedAt.IsZero() {
 		r.State = platform.StateDraining
 	}
 	t.mu.Unlock()
@@ -82,76 +82,76 @@
 
 func (t *targetServer) mustRegister() {
 	if err := t.register(); err != nil {
-		panic(err) // a registration always has a JSON form
+		panic(err) // a registration always encodes
 	}
 }
 
-// drain announces that the target leaves.
+// drain registers the target as draining.
 func (t *targetServer) drain() error {
 	t.mu.Lock()
-	t.drained = time.Now()
+	t.drainedAt = time.Now()
 	t.mu.Unlock()
 	return t.register()
 }
 
-// vanish removes the target's registration. It goes on serving.
-func (t *targetServer) vanish() {
+// unregister removes the target's registration. The target continues to serve.
+func (t *targetServer) unregister() {
 	t.mu.Lock()
-	t.drained, t.vanished = time.Now(), true
+	t.drainedAt, t.unregistered = time.Now(), true
 	t.mu.Unlock()
 	t.site.store.Remove(platform.KindTargets, t.id)
 }
 
-// leftAt returns when the target left; the zero time if it did not.
+// leftAt returns when the target left, or the zero time.
 func (t *targetServer) leftAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.drained
+	return t.drainedAt
 }
 
-// ServeHTTP hands a request to the incarnation that runs. A request of the poison ends it.
+// ServeHTTP passes a request to the running incarnation. A poison request crashes the target.
 func (t *targetServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == pathPoison {
-		t.site.noteArrival(arrival{r.Header.Get(platform.HeaderRequestID), t.id, time.Now()})
+		t.site.recordPoisonArrival(poisonArrival{r.Header.Get(platform.HeaderRequestID), t.id, time.Now()})
 		time.Sleep(targetLatency / 2)
-		t.crash(poisonDown)
+		t.crash(poisonDowntime)
 		panic(http.ErrAbortHandler)
 	}
 	t.current().ServeHTTP(w, r)
 }
 
-// crash ends the target, if it runs, for a time: its connections are reset, and new ones refused.
+// crash takes a running target down for a time: its connections are reset and new ones refused.
 func (t *targetServer) crash(down time.Duration) {
 	t.mu.Lock()
-	was := t.down
+	wasDown := t.down
 	t.down = true
 	t.mu.Unlock()
-	if was {
+	if wasDown {
 		return
 	}
-	t.proxy.refuse()
-	t.site.returning.Go(func() {
+	t.proxy.refuseConnections()
+	t.site.pendingTargetWork.Go(func() {
 		time.Sleep(down)
-		t.begin()
+		t.startIncarnation()
 		if t.site.cfg.Placement {
-			t.mustRegister() // a cold target says so before it takes requests
+			t.mustRegister() // a cold target registers as cold before it accepts requests
 		}
-		if err := t.proxy.takeAgain(); err != nil {
-			panic(err) // the address is the site's alone
+		if err := t.proxy.resumeListening(); err != nil {
+			panic(err) // no other site uses the address
 		}
 		t.mustRegister()
 	})
 }
 
-// arrival is a request of the poison that came to a target.
-type arrival struct {
+// poisonArrival is a poison request that reached a target.
+type poisonArrival struct {
 	request string
 	target  string
 	at      time.Time
 }
 
-func (s *site) noteArrival(a arrival) {
+func (s *site) recordPoisonArrival(a poisonArrival) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arrivals = append(s.arrivals, a)
+	s.poisonArrivals = append(s.poisonArrivals, a)
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// Network is a network in memory, so that programs which only listen and dial
-// run in virtual time.
+// Network is an in-memory network for programs that only listen and dial, so that tests can run
+// them in virtual time.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*networkListener
 }
 
-// NewNetwork returns a network on which nothing listens.
+// NewNetwork returns a network without listeners.
 func NewNetwork() *Network { return &Network{listeners: map[string]*networkListener{}} }
 
-// Listen takes an address, in place of whoever listened there before.
+// Listen binds an address and replaces an earlier listener on it.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	l := &networkListener{address: address, accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -26,16 +26,15 @@
 	return l, nil
 }
 
-// errRefused is the error of a dial where nothing listens.
+// errRefused is returned for a dial to an address without a listener.
 var errRefused = &net.OpError{Op: "dial", Net: "memory", Err: syscall.ECONNREFUSED}
 
-// Dial connects to an address. It fails as a refused connection does if nothing listens
-// there.
+// Dial connects to an address. It returns a connection-refused error if nothing listens there.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	return n.DialFrom(ctx, "memory", address)
 }
 
-// DialFrom is Dial from an address, which the side that listens sees.
+// DialFrom is like Dial with an explicit source address, which the accepting side sees.
 func (n *Network) DialFrom(ctx context.Context, from, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -56,13 +55,13 @@
 	return nil, errRefused
 }
 
-// addressedConn is a connection with the address of its other side.
+// addressedConn is a connection with an explicit remote address.
 type addressedConn struct {
 	net.Conn
 	remote networkAddress
 }
 
-// RemoteAddr returns the address of the other side.
+// RemoteAddr returns the address of the peer.
 func (c addressedConn) RemoteAddr() net.Addr { return c.remote }
 
 type networkListener struct {
@@ -72,7 +71,7 @@
 	once    sync.Once
 }
 
-// Accept waits for a connection.
+// Accept waits for the next connection.
 func (l *networkListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accept:
@@ -82,13 +81,13 @@
 	}
 }
 
-// Close ends listening.
+// Close stops listening.
 func (l *networkListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the listening address.
 func (l *networkListener) Addr() net.Addr { return networkAddress(l.address) }
 
 type networkAddress string
--- a/internal/standin/objectstore/calls.go
+++ b/internal/standin/objectstore/calls.go
@@ -12,31 +12,31 @@
 
 func objectKey(r *http.Request) key { return key{r.PathValue("kind"), r.PathValue("name")} }
 
-func (s *Store) serveGet(r *http.Request, _ []byte) answer {
-	o, ok := s.record(objectKey(r))
+func (s *Store) serveGet(r *http.Request, _ []byte) response {
+	o, ok := s.object(objectKey(r))
 	if !ok {
-		return refuse(http.StatusNotFound, "no such object")
+		return errorResponse(http.StatusNotFound, "no such object")
 	}
-	return answer{http.StatusOK, o}
+	return response{http.StatusOK, o}
 }
 
-func (s *Store) serveList(r *http.Request, _ []byte) answer {
-	return answer{http.StatusOK, s.page(r.PathValue("kind"), r.URL.Query().Get("after"))}
+func (s *Store) serveList(r *http.Request, _ []byte) response {
+	return response{http.StatusOK, s.listPage(r.PathValue("kind"), r.URL.Query().Get("after"))}
 }
 
-func (s *Store) serveCreate(r *http.Request, body []byte) answer {
+func (s *Store) serveCreate(r *http.Request, body []byte) response {
 	o, refusal := readObject(body)
 	if refusal != nil {
 		return *refusal
 	}
 	if o.Meta.Name == "" {
-		return refuse(http.StatusBadRequest, "meta.name is missing")
+		return errorResponse(http.StatusBadRequest, "meta.name is missing")
 	}
 	k := key{r.PathValue("kind"), o.Meta.Name}
 	return s.write(func() (platform.Object, int) { return s.create(k, o.Spec) })
 }
 
-func (s *Store) serveReplace(r *http.Request, body []byte) answer {
+func (s *Store) serveReplace(r *http.Request, body []byte) response {
 	o, refusal := readObject(body)
 	if refusal != nil {
 		return *refusal
@@ -44,23 +44,23 @@
 	return s.write(func() (platform.Object, int) { return s.replace(objectKey(r), o.Meta.Revision, o.Spec) })
 }
 
-func (s *Store) serveDelete(r *http.Request, _ []byte) answer {
+func (s *Store) serveDelete(r *http.Request, _ []byte) response {
 	revision, err := optionalRevision(r.URL.Query().Get("revision"))
 	if err != nil {
-		return refuse(http.StatusBadRequest, "revision must be a number")
+		return errorResponse(http.StatusBadRequest, "revision must be a number")
 	}
 	return s.write(func() (platform.Object, int) { return s.remove(objectKey(r), revision) })
 }
 
-// readObject reads the object of a write, or returns why it can't.
-func readObject(body []byte) (platform.Object, *answer) {
+// readObject decodes the object of a write, or returns the error response.
+func readObject(body []byte) (platform.Object, *response) {
 	var o platform.Object
 	if err := json.Unmarshal(body, &o); err != nil {
-		a := refuse(http.StatusBadRequest, "body is not an object: "+err.Error())
+		a := errorResponse(http.StatusBadRequest, "body is not an object: "+err.Error())
 		return o, &a
 	}
-	if len(o.Spec) > maxValue {
-		a := refuse(http.StatusRequestEntityTooLarge, "value too large")
+	if len(o.Spec) > maxSpecBytes {
+		a := errorResponse(http.StatusRequestEntityTooLarge, "value too large")
 		return o, &a
 	}
 	return o, nil
@@ -73,41 +73,41 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-// write applies a write with the faults that concern writes. The write does
-// not hang on the client: once it has begun, it is applied.
-func (s *Store) write(apply func() (platform.Object, int)) answer {
-	late, lost := s.writeFaults()
+// write applies a write with the injected write faults. Once begun, the write is applied even if
+// the client disconnects.
+func (s *Store) write(apply func() (platform.Object, int)) response {
+	late, lost := s.drawWriteFaults()
 	if late {
 		time.Sleep(s.Faults().LateDelay.Std())
 	}
 	o, status := apply()
 	switch {
 	case lost:
-		return cut
+		return connectionCut
 	case status == http.StatusNotFound:
-		return refuse(status, "no such object")
+		return errorResponse(status, "no such object")
 	}
-	return answer{status, o}
+	return response{status, o}
 }
 
-func (s *Store) serveWatch(r *http.Request, _ []byte) answer {
+func (s *Store) serveWatch(r *http.Request, _ []byte) response {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("watch"), 10, 64)
 	if err != nil {
-		return refuse(http.StatusBadRequest, "watch must be a revision")
+		return errorResponse(http.StatusBadRequest, "watch must be a revision")
 	}
 	waitMS, err := optionalRevision(q.Get("waitMs"))
 	if err != nil {
-		return refuse(http.StatusBadRequest, "waitMs must be milliseconds")
+		return errorResponse(http.StatusBadRequest, "waitMs must be milliseconds")
 	}
 	wait := min(time.Duration(waitMS)*time.Millisecond, maxWatchWait)
 	return s.watch(r.Context(), r.RemoteAddr, after, wait, r.PathValue("kind"))
 }
 
-func (s *Store) watch(ctx context.Context, from string, after uint64, wait time.Duration, kind string) answer {
-	s.counts.waiting(1)
-	defer s.counts.waiting(-1)
-	released := s.released()
+func (s *Store) watch(ctx context.Context, from string, after uint64, wait time.Duration, kind string) response {
+	s.counts.addWaitingWatches(1)
+	defer s.counts.addWaitingWatches(-1)
+	released := s.watchesEndedSignal()
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for era := s.Era(); ; {
@@ -116,42 +116,42 @@
 			return a
 		}
 		if s.Era() != era {
-			return cut // the store that this watch asked is gone
+			return connectionCut // the store was restored while the watch was pending
 		}
-		events, changed, ok := s.since(after, kind)
+		events, changed, ok := s.changesSince(after, kind)
 		if !ok {
-			return refuse(http.StatusGone, "changes since that revision are gone")
+			return errorResponse(http.StatusGone, "changes since that revision are gone")
 		}
 		if s.Faults().DeafWatches {
 			events = platform.ObjectEvents{Events: []platform.ObjectEvent{}, CurrentRev: after}
 		}
 		if len(events.Events) > 0 {
-			return answer{http.StatusOK, events}
+			return response{http.StatusOK, events}
 		}
 		select {
 		case <-changed:
 		case <-faultsChanged:
 		case <-released:
-			return answer{http.StatusOK, events}
+			return response{http.StatusOK, events}
 		case <-timeout.C:
-			return answer{http.StatusOK, events}
+			return response{http.StatusOK, events}
 		case <-ctx.Done():
-			return cut
+			return connectionCut
 		}
 	}
 }
 
-// released returns a channel that closes when waiting watches are to end.
-func (s *Store) released() <-chan struct{} {
+// watchesEndedSignal returns a channel that is closed when pending watches must end.
+func (s *Store) watchesEndedSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.release
+	return s.watchesEnded
 }
 
-// endWatches answers all watches that wait, as if their time were over.
+// endWatches answers all pending watches as if their wait had expired.
 func (s *Store) endWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.release)
-	s.release = make(chan struct{})
+	close(s.watchesEnded)
+	s.watchesEnded = make(chan struct{})
 }
--- a/internal/standin/objectstore/config.go
+++ b/internal/standin/objectstore/config.go
@@ -1,6 +1,3 @@
-// Package objectstore is the stand-in of the platform: its object API over
-// HTTP with revisions, conditional writes and watches, in memory. It counts every call and takes faults. docs/PLATFORM.md
-// describes the interface.
 package objectstore
 
 import (
@@ -14,50 +11,50 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of errors of this package.
 var Error = errs.Class("objectstore")
 
 const (
-	defaultHistory = 10000
-	defaultPage    = 500 // objects, as the platform sends them
+	defaultHistory  = 10000
+	defaultPageSize = 500 // objects, like the platform
 )
 
-// Config is what the stand-in is started with.
+// Config is the configuration of the stand-in.
 type Config struct {
 	Listen      string        `json:"listen"`                   // host:port
-	Seed        uint64        `json:"seed,omitempty"`           // of all chances and latencies
-	SeedFile    string        `json:"seed_file,omitempty"`      // JSON of Seeds, read by Load
+	Seed        uint64        `json:"seed,omitempty"`           // of the random number generator
+	SeedFile    string        `json:"seed_file,omitempty"`      // JSON of Seeds, loaded by Load
 	History     int           `json:"history"`                  // changes kept for watches
-	Page        int           `json:"page"`                     // objects in one answer to a list
-	ClockOffset unit.Duration `json:"clock_offset"`             // platform's clock less this machine's
-	NoClock     bool          `json:"no_clock,omitempty"`       // answers tell no time, as on the users' platform
-	NoEra       bool          `json:"no_era,omitempty"`         // answers tell no era
-	CopyEvery   unit.Duration `json:"copy_every,omitempty"`     // between two copies of the store; 0: none are taken
-	OldestCopy  unit.Duration `json:"oldest_copy,omitempty"`    // that is kept, to come back from
+	Page        int           `json:"page"`                     // objects in one list response
+	ClockOffset unit.Duration `json:"clock_offset"`             // platform's clock minus this machine's clock
+	NoClock     bool          `json:"no_clock,omitempty"`       // responses carry no Date header, as on the users' platform
+	NoEra       bool          `json:"no_era,omitempty"`         // responses carry no era header
+	CopyEvery   unit.Duration `json:"copy_every,omitempty"`     // interval between backups; 0: no backups
+	OldestCopy  unit.Duration `json:"oldest_copy,omitempty"`    // age of the oldest backup that is kept
 	WriteRate   float64       `json:"write_rate,omitempty"`     // writes/s; 0: no limit
 	ReadRate    float64       `json:"read_rate,omitempty"`      // reads/s, watches included; 0: no limit
-	Faults      Faults        `json:"faults,omitempty"`         // in force from the start
+	Faults      Faults        `json:"faults,omitempty"`         // injected from the start
 	Seeds       Seeds         `json:"seeds,omitempty,omitzero"` // present from the start
 }
 
-// Seeds are the objects that are present from the start.
+// Seeds are the objects that the store contains at its start.
 type Seeds struct {
 	Objects []SeedObject `json:"objects,omitempty"`
 }
 
-// SeedObject is an object that is present from the start.
+// SeedObject is one object that the store contains at its start.
 type SeedObject struct {
 	Kind  string          `json:"kind"`
 	Name  string          `json:"name"`
 	Value json.RawMessage `json:"value"`
 }
 
-// DefaultConfig returns a stand-in without faults, limits and lag.
+// DefaultConfig returns a configuration without faults, rate limits and clock offset.
 func DefaultConfig() Config {
-	return Config{Listen: "127.0.0.1:0", Seed: 1, History: defaultHistory, Page: defaultPage}
+	return Config{Listen: "127.0.0.1:0", Seed: 1, History: defaultHistory, Page: defaultPageSize}
 }
 
-// Validate returns every error of the configuration.
+// Validate returns all errors of the configuration.
 func (c Config) Validate() error {
 	var all []error
 	if c.Listen == "" {
@@ -75,7 +72,7 @@
 	if c.WriteRate < 0 || c.ReadRate < 0 {
 		all = append(all, Error.New("write_rate %g or read_rate %g is negative", c.WriteRate, c.ReadRate))
 	}
-	all = append(all, standin.Named("faults", c.Faults.Validate()), c.Seeds.validate())
+	all = append(all, standin.WrapFieldError("faults", c.Faults.Validate()), c.Seeds.validate())
 	return errors.Join(all...)
 }
 
@@ -89,7 +86,7 @@
 	return errors.Join(all...)
 }
 
-// Load reads the seed file, if one is named, and adds it to the seeds.
+// Load reads the seed file, if one is configured, and appends its objects to the seeds.
 func (c Config) Load() (Config, error) {
 	if c.SeedFile == "" {
 		return c, nil
--- a/internal/standin/objectstore/control.go
+++ b/internal/standin/objectstore/control.go
@@ -14,20 +14,20 @@
 	mux.HandleFunc("POST "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
 		if err := errors.Join(readStrict(r, &f), f.Validate()); err != nil {
-			writeJSON(w, http.StatusBadRequest, problem{err.Error()})
+			writeJSON(w, http.StatusBadRequest, errorBody{err.Error()})
 			return
 		}
 		s.SetFaults(f)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("POST "+PathRestore, func(w http.ResponseWriter, r *http.Request) {
-		var d Drill
+		var d RestoreDrill
 		if err := errors.Join(readStrict(r, &d), d.Validate()); err != nil {
-			writeJSON(w, http.StatusBadRequest, problem{err.Error()})
+			writeJSON(w, http.StatusBadRequest, errorBody{err.Error()})
 			return
 		}
-		if err := s.Play(d); err != nil {
-			writeJSON(w, http.StatusConflict, problem{err.Error()})
+		if err := s.RunDrill(d); err != nil {
+			writeJSON(w, http.StatusConflict, errorBody{err.Error()})
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -38,7 +38,7 @@
 }
 
 func readStrict(r *http.Request, v any) error {
-	d := json.NewDecoder(io.LimitReader(r.Body, maxBody))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	return d.Decode(v)
 }
--- a/internal/standin/objectstore/copies.go
+++ b/internal/standin/objectstore/copies.go
@@ -8,18 +8,18 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// errNoCopies means that a store can't be put back: it keeps no copies of itself.
-var errNoCopies = errors.New("the store keeps no copies; set copy_every and oldest_copy")
+// errNoBackups is returned for a restore of a store that is configured without backups.
+var errNoBackups = errors.New("the store keeps no copies; set copy_every and oldest_copy")
 
-// copies are those of a store, taken every so often.
-type copies struct {
-	mu  sync.Mutex
-	all []Copy // oldest first
+// backups holds the periodic backups of a store.
+type backups struct {
+	mu   sync.Mutex
+	list []Backup // oldest first
 }
 
-// KeepCopies copies the store every so often, as its configuration says, until stop closes. It returns at once if that takes
-// none.
-func (s *Store) KeepCopies(stop <-chan struct{}) {
+// TakeBackups backs up the store at the configured interval until stop is closed. It returns at
+// once if no interval is configured.
+func (s *Store) TakeBackups(stop <-chan struct{}) {
 	every := s.cfg.CopyEvery.Std()
 	if every <= 0 {
 		return
@@ -27,7 +27,7 @@
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		s.copies.add(s.Copy(), int(s.cfg.OldestCopy.Std()/every))
+		s.backups.append(s.Copy(), int(s.cfg.OldestCopy.Std()/every))
 		select {
 		case <-tick.C:
 		case <-stop:
@@ -36,63 +36,64 @@
 	}
 }
 
-// add keeps a copy, and the newest ones up to a number.
-func (c *copies) add(one Copy, most int) {
+// append adds a backup and drops the oldest ones beyond maxCount.
+func (c *backups) append(b Backup, maxCount int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all = append(c.all, one)
-	c.all = c.all[max(len(c.all)-max(most, 1), 0):]
+	c.list = append(c.list, b)
+	c.list = c.list[max(len(c.list)-max(maxCount, 1), 0):]
 }
 
-// take returns the newest copy that is so many older than the last one, or the oldest there is, and forgets all: what they
-// hold after it is lost.
-func (c *copies) take(back int) (Copy, error) {
+// resetTo returns the backup taken stepsBack intervals before the newest one, or the oldest
+// available one, and discards all others, so that the newer state is lost.
+func (c *backups) resetTo(stepsBack int) (Backup, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.all) == 0 {
-		return Copy{}, errNoCopies
+	if len(c.list) == 0 {
+		return Backup{}, errNoBackups
 	}
-	one := c.all[max(len(c.all)-1-back, 0)]
-	c.all = []Copy{one}
-	return one, nil
+	b := c.list[max(len(c.list)-1-stepsBack, 0)]
+	c.list = []Backup{b}
+	return b, nil
 }
 
-// RestoreOlder puts the store back to a copy of about an age, or to the oldest that it keeps.
-func (s *Store) RestoreOlder(age time.Duration) error {
+// RestoreBackup restores the backup of about the given age, or the oldest available one.
+func (s *Store) RestoreBackup(age time.Duration) error {
 	every := s.cfg.CopyEvery.Std()
 	if every <= 0 {
-		return errNoCopies
+		return errNoBackups
 	}
-	one, err := s.copies.take(int(age / every))
+	b, err := s.backups.resetTo(int(age / every))
 	if err != nil {
 		return err
 	}
-	s.Restore(one)
+	s.Restore(b)
 	return nil
 }
 
-// Drill is a restore as it is asked for: the store is away for a time and comes back from an older copy.
-type Drill struct {
-	Outage Outage        `json:"outage"` // how it is away
-	Away   unit.Duration `json:"away"`
-	Age    unit.Duration `json:"age"` // of the copy, when the store is back
+// RestoreDrill describes an outage of the store that ends with a restore from an older backup.
+type RestoreDrill struct {
+	Outage Outage        `json:"outage"` // failure mode while the store is unavailable
+	Away   unit.Duration `json:"away"`   // duration of the outage
+	Age    unit.Duration `json:"age"`    // age of the restored backup
 }
 
-// Validate returns every error of the drill.
-func (d Drill) Validate() error {
-	if d.Away < 0 || d.Away.Std() > longestDrill || d.Age < 0 {
-		return Error.New("away %s, age %s: want 0s or more, and away up to %s", d.Away, d.Age, longestDrill)
+// Validate returns all errors of the drill.
+func (d RestoreDrill) Validate() error {
+	if d.Away < 0 || d.Away.Std() > maxDrillOutage || d.Age < 0 {
+		return Error.New("away %s, age %s: want 0s or more, and away up to %s", d.Away, d.Age, maxDrillOutage)
 	}
 	return Faults{Outage: d.Outage}.Validate()
 }
 
-// longestDrill bounds how long a drill holds its request.
-const longestDrill = time.Minute
+// maxDrillOutage bounds the outage of a drill, since the HTTP request that starts the drill blocks
+// for that long.
+const maxDrillOutage = time.Minute
 
-// Play takes the store away and brings it back, without faults then. It returns when that is done.
-func (s *Store) Play(d Drill) error {
+// RunDrill simulates the outage, restores the backup and clears all faults. It blocks until then.
+func (s *Store) RunDrill(d RestoreDrill) error {
 	s.SetFaults(Faults{Outage: d.Outage})
 	defer s.SetFaults(Faults{})
 	time.Sleep(d.Away.Std())
-	return s.RestoreOlder(d.Age.Std())
+	return s.RestoreBackup(d.Age.Std())
 }
--- a/internal/standin/objectstore/counters.go
+++ b/internal/standin/objectstore/counters.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Verb is one kind of call.
+// Verb is an operation type of the object API.
 type Verb string
 
-// Verbs. A watch counts as one call however long it waits.
+// Operation types. A watch counts as one call, however long it waits.
 const (
 	VerbGet    Verb = "get"
 	VerbList   Verb = "list"
@@ -18,20 +18,20 @@
 	VerbWatch  Verb = "watch"
 )
 
-// Results of calls that got no answer, beside the HTTP status codes.
+// Results of calls that ended without an HTTP status code.
 const (
-	ResultCut  = "cut"  // the connection was cut by a fault
-	ResultGone = "gone" // the client went first
+	ResultCut  = "cut"  // a fault cut the connection
+	ResultGone = "gone" // the client disconnected first
 )
 
-// Counters is how many calls came, and how they ended.
+// Counters counts the calls and their results.
 type Counters struct {
-	Calls          map[Verb]uint64            `json:"calls"`   // at arrival
+	Calls          map[Verb]uint64            `json:"calls"`   // counted on arrival
 	Results        map[Verb]map[string]uint64 `json:"results"` // by HTTP status, ResultCut or ResultGone
 	WaitingWatches int                        `json:"waiting_watches"`
 }
 
-// Total returns the calls of the verbs, of all if none is named.
+// Total returns the number of calls of the given verbs, or of all verbs if none is given.
 func (c Counters) Total(verbs ...Verb) uint64 {
 	var n uint64
 	if len(verbs) == 0 {
@@ -51,7 +51,7 @@
 	c  Counters
 }
 
-func (c *counters) arrived(v Verb) {
+func (c *counters) countCall(v Verb) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.c.Calls == nil {
@@ -61,7 +61,7 @@
 	c.c.Calls[v]++
 }
 
-func (c *counters) ended(v Verb, result string) {
+func (c *counters) countResult(v Verb, result string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.c.Results[v] == nil {
@@ -70,13 +70,13 @@
 	c.c.Results[v][result]++
 }
 
-func (c *counters) waiting(delta int) {
+func (c *counters) addWaitingWatches(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.c.WaitingWatches += delta
 }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (s *Store) Counters() Counters {
 	s.counts.mu.Lock()
 	defer s.counts.mu.Unlock()
--- a/internal/standin/objectstore/docs_test.go
+++ b/internal/standin/objectstore/docs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The page names every field of the settings and of the faults.
+// docs/PLATFORM.md must document every field of the settings and the faults.
 func TestPageNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/PLATFORM.md")
 	if err != nil {
--- a/internal/standin/objectstore/faults.go
+++ b/internal/standin/objectstore/faults.go
@@ -9,32 +9,32 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Outage is how the store fails as a whole.
+// Outage is a failure mode of the whole store.
 type Outage string
 
-// Outages. Nothing is applied during one.
+// Outages. No write is applied during an outage.
 const (
 	OutageNone        Outage = ""
-	OutageUnavailable Outage = "unavailable" // 503
-	OutageCut         Outage = "cut"         // the connection is cut without an answer
-	OutageHang        Outage = "hang"        // no answer until the outage ends
+	OutageUnavailable Outage = "unavailable" // status 503
+	OutageCut         Outage = "cut"         // the connection is cut without a response
+	OutageHang        Outage = "hang"        // no response until the outage ends
 )
 
-// Faults are the failures in force. Counts go down with each use; a
-// probability is drawn for each write.
+// Faults are the injected faults. The counts decrease with each use; the probabilities are drawn
+// for each write.
 type Faults struct {
 	Outage          Outage          `json:"outage,omitempty"`
-	OutageFor       []string        `json:"outage_for,omitempty"`       // IP addresses of the clients that it concerns; none: all
-	DeafWatches     bool            `json:"deaf_watches,omitempty"`     // watches hear of no change
-	Latency         standin.Latency `json:"latency,omitzero"`           // before each call is looked at
-	LoseAnswers     int             `json:"lose_answers,omitempty"`     // of the next writes: applied, then cut
-	LoseProbability float64         `json:"lose_probability,omitempty"` // of each write
-	LateWrites      int             `json:"late_writes,omitempty"`      // of the next writes: applied after LateDelay
-	LateProbability float64         `json:"late_probability,omitempty"` // of each write
-	LateDelay       unit.Duration   `json:"late_delay,omitempty"`       // though the client has gone
+	OutageFor       []string        `json:"outage_for,omitempty"`       // IP addresses of the affected clients; empty: all
+	DeafWatches     bool            `json:"deaf_watches,omitempty"`     // watches report no changes
+	Latency         standin.Latency `json:"latency,omitzero"`           // added before each call is processed
+	LoseAnswers     int             `json:"lose_answers,omitempty"`     // number of upcoming writes that are applied without a response
+	LoseProbability float64         `json:"lose_probability,omitempty"` // probability that a write is applied without a response
+	LateWrites      int             `json:"late_writes,omitempty"`      // number of upcoming writes that are applied after LateDelay
+	LateProbability float64         `json:"late_probability,omitempty"` // probability that a write is applied after LateDelay
+	LateDelay       unit.Duration   `json:"late_delay,omitempty"`       // elapses even if the client disconnects
 }
 
-// Validate returns every error of the faults.
+// Validate returns all errors of the faults.
 func (f Faults) Validate() error {
 	var all []error
 	switch f.Outage {
@@ -46,14 +46,13 @@
 		all = append(all, Error.New("lose_answers, late_writes and late_delay must not be negative"))
 	}
 	all = append(all,
-		standin.Named("latency", f.Latency.Validate()),
-		standin.Probability("lose_probability", f.LoseProbability),
-		standin.Probability("late_probability", f.LateProbability))
+		standin.WrapFieldError("latency", f.Latency.Validate()),
+		standin.ValidateProbability("lose_probability", f.LoseProbability),
+		standin.ValidateProbability("late_probability", f.LateProbability))
 	return errors.Join(all...)
 }
 
-// SetFaults puts the faults in force in place of all earlier ones. Calls that
-// hang and watches that wait see the change at once.
+// SetFaults replaces all current faults. Hanging calls and pending watches are notified at once.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,26 +61,26 @@
 	s.faultsChanged = make(chan struct{})
 }
 
-// Faults returns the faults in force, counts as they stand.
+// Faults returns the current faults with the remaining counts.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// outage returns the outage in force for the client at an address, and a
-// channel that closes when the faults change.
+// outage returns the current outage for the client at an address, and a channel that is closed
+// when the faults change.
 func (s *Store) outage(from string) (Outage, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.faults.concern(from) {
+	if !s.faults.affects(from) {
 		return OutageNone, s.faultsChanged
 	}
 	return s.faults.Outage, s.faultsChanged
 }
 
-// concern reports whether an outage concerns the client at host:port.
-func (f Faults) concern(from string) bool {
+// affects reports whether an outage applies to the client at host:port.
+func (f Faults) affects(from string) bool {
 	if len(f.OutageFor) == 0 {
 		return true
 	}
@@ -89,9 +88,9 @@
 	return err == nil && slices.Contains(f.OutageFor, host)
 }
 
-// writeFaults decides for one write whether it is applied late and whether
-// its answer is lost.
-func (s *Store) writeFaults() (late, lost bool) {
+// drawWriteFaults decides for one write whether it is applied late and whether its response is
+// lost.
+func (s *Store) drawWriteFaults() (late, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	late = s.rng.Chance(s.faults.LateProbability)
--- a/internal/standin/objectstore/faults_test.go
+++ b/internal/standin/objectstore/faults_test.go
@@ -56,7 +56,7 @@
 			s.SetFaults(f)
 			is.Equal(c.create(t.Context(), "a", `{}`, nil), 0)
 			is.Equal(len(s.Objects(objstore.KindClaim)), 1)
-			is.Equal(s.Faults().LoseAnswers, 0) // used up
+			is.Equal(s.Faults().LoseAnswers, 0) // the count is used up
 			is.Equal(s.Counters().Results[VerbPut][ResultCut], uint64(1))
 		})
 	}
@@ -70,7 +70,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		is.Equal(newClient(s).create(ctx, "a", `{}`, nil), 0)
-		is.Equal(s.Revision(), uint64(0)) // not yet
+		is.Equal(s.Revision(), uint64(0)) // not applied yet
 		time.Sleep(time.Minute)
 		is.Equal(s.Revision(), uint64(1))
 		is.Equal(s.Counters().Results[VerbPut][ResultGone], uint64(1))
@@ -96,7 +96,7 @@
 		c := newClient(New(cfg))
 		is.Equal(c.create(t.Context(), "a", `{}`, nil), http.StatusOK)
 		is.Equal(c.create(t.Context(), "b", `{}`, nil), http.StatusTooManyRequests)
-		is.Equal(c.do(t.Context(), "GET", "/api/objects/claim/a", "", nil), http.StatusOK) // reads have no limit
+		is.Equal(c.do(t.Context(), "GET", "/api/objects/claim/a", "", nil), http.StatusOK) // reads are not limited
 		time.Sleep(time.Second)
 		is.Equal(c.create(t.Context(), "b", `{}`, nil), http.StatusOK)
 	})
@@ -111,7 +111,7 @@
 	for _, bad := range []string{`{"outage":"x"}`, `{"outrage":"cut"}`, `{"lose_probability":2}`, `{"late_delay":2}`, ``} {
 		is.Equal(c.do(t.Context(), "POST", PathFaults, bad, nil), http.StatusBadRequest)
 	}
-	is.Equal(s.Faults().Outage, OutageCut) // refused ones change nothing
+	is.Equal(s.Faults().Outage, OutageCut) // invalid faults change nothing
 }
 
 func TestValidateNamesEveryError(t *testing.T) {
@@ -126,7 +126,7 @@
 func TestOutageForSomeClients(t *testing.T) {
 	is := is.New(t)
 	f := Faults{Outage: OutageCut, OutageFor: []string{"127.0.0.2"}}
-	is.True(f.concern("127.0.0.2:4711"))
-	is.True(!f.concern("127.0.0.1:4711"))
-	is.True(Faults{Outage: OutageCut}.concern("127.0.0.1:4711"))
+	is.True(f.affects("127.0.0.2:4711"))
+	is.True(!f.affects("127.0.0.1:4711"))
+	is.True(Faults{Outage: OutageCut}.affects("127.0.0.1:4711"))
 }
--- a/internal/standin/objectstore/handler.go
+++ b/internal/standin/objectstore/handler.go
@@ -13,63 +13,62 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Paths of the stand-in itself. They are not counted and take no faults.
+// Control paths of the stand-in. They are not counted and not subject to faults.
 const (
 	PathFaults   = "/standin/faults"   // GET, POST: Faults
 	PathCounters = "/standin/counters" // GET: Counters
-	PathRestore  = "/standin/restore"  // POST: Drill
+	PathRestore  = "/standin/restore"  // POST: RestoreDrill
 )
 
-// pathObjects is the path of the object API, as the platform's page has it.
+// pathObjects is the path prefix of the platform's object API.
 const pathObjects = "/api/objects/"
 
 const (
 	maxWatchWait = 5 * time.Minute
-	maxValue     = 1 << 20           // bytes of a spec
-	maxBody      = maxValue + 64<<10 // the spec and its metadata
+	maxSpecBytes = 1 << 20               // of a spec
+	maxBodyBytes = maxSpecBytes + 64<<10 // spec and metadata
 )
 
-// answer is what one call ends with. A zero status means that the connection
-// is cut.
-type answer struct {
+// response is the outcome of one call. Status zero cuts the connection.
+type response struct {
 	status int
-	body   any // nil: none
+	body   any // nil: no body
 }
 
-var cut = answer{}
+var connectionCut = response{}
 
-type problem struct {
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-func refuse(status int, text string) answer { return answer{status, problem{text}} }
+func errorResponse(status int, text string) response { return response{status, errorBody{text}} }
 
-type call func(r *http.Request, body []byte) answer
+type operation func(r *http.Request, body []byte) response
 
-// Handler returns the HTTP interface of the store.
+// Handler returns the HTTP handler of the object API and the control paths.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	kind := pathObjects + "{kind}"
 	object := kind + "/{name...}"
-	mux.HandleFunc("GET "+kind, s.counted(s.listOrWatch))
-	mux.HandleFunc("POST "+kind, s.counted(s.as(VerbPut, s.serveCreate)))
-	mux.HandleFunc("GET "+object, s.counted(s.as(VerbGet, s.serveGet)))
-	mux.HandleFunc("PUT "+object, s.counted(s.as(VerbPut, s.serveReplace)))
-	mux.HandleFunc("DELETE "+object, s.counted(s.as(VerbDelete, s.serveDelete)))
+	mux.HandleFunc("GET "+kind, s.instrumented(s.listOrWatch))
+	mux.HandleFunc("POST "+kind, s.instrumented(s.fixedVerb(VerbPut, s.serveCreate)))
+	mux.HandleFunc("GET "+object, s.instrumented(s.fixedVerb(VerbGet, s.serveGet)))
+	mux.HandleFunc("PUT "+object, s.instrumented(s.fixedVerb(VerbPut, s.serveReplace)))
+	mux.HandleFunc("DELETE "+object, s.instrumented(s.fixedVerb(VerbDelete, s.serveDelete)))
 	s.handleControl(mux)
-	return s.timed(mux)
+	return s.withPlatformHeaders(mux)
 }
 
-// timed puts the platform's clock and the era on every answer.
-func (s *Store) timed(next http.Handler) http.Handler {
+// withPlatformHeaders sets the platform's clock and the era on every response.
+func (s *Store) withPlatformHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.stamp(w)
+		s.setPlatformHeaders(w)
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (s *Store) stamp(w http.ResponseWriter) {
-	w.Header()["Date"] = nil // the server would tell this machine's time
+func (s *Store) setPlatformHeaders(w http.ResponseWriter) {
+	w.Header()["Date"] = nil // suppress the server's own Date header
 	if !s.cfg.NoClock {
 		w.Header().Set("Date", s.Now().Format(http.TimeFormat))
 	}
@@ -78,62 +77,62 @@
 	}
 }
 
-// choice tells which verb a request is and who serves it.
-type choice func(r *http.Request) (Verb, call)
+// operationSelector returns the verb of a request and the function that serves it.
+type operationSelector func(r *http.Request) (Verb, operation)
 
-// as is the choice of requests that are always the same verb.
-func (s *Store) as(v Verb, c call) choice {
-	return func(*http.Request) (Verb, call) { return v, c }
+// fixedVerb returns a selector for requests that always have the same verb.
+func (s *Store) fixedVerb(v Verb, c operation) operationSelector {
+	return func(*http.Request) (Verb, operation) { return v, c }
 }
 
-// listOrWatch tells the two apart by the query.
-func (s *Store) listOrWatch(r *http.Request) (Verb, call) {
+// listOrWatch selects between list and watch by the query parameters.
+func (s *Store) listOrWatch(r *http.Request) (Verb, operation) {
 	if r.URL.Query().Has("watch") {
 		return VerbWatch, s.serveWatch
 	}
 	return VerbList, s.serveList
 }
 
-// limit returns the rate that a verb counts against.
-func (s *Store) limit(v Verb) *rate.Limiter {
+// limiterFor returns the rate limiter that applies to a verb.
+func (s *Store) limiterFor(v Verb) *rate.Limiter {
 	if v == VerbPut || v == VerbDelete {
 		return s.writes
 	}
 	return s.reads
 }
 
-// counted wraps a call of the object API: it counts, limits the rate, and
-// brings about the faults that concern every call.
-func (s *Store) counted(choose choice) http.HandlerFunc {
+// instrumented wraps an operation of the object API with counters, rate limits and the faults that
+// apply to every call.
+func (s *Store) instrumented(choose operationSelector) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, c := choose(r)
-		s.counts.arrived(v)
-		// The body is read first, because the server notices a client that has
-		// gone only once the body has been read.
-		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-		a := refuse(http.StatusBadRequest, "body cannot be read")
+		s.counts.countCall(v)
+		// The body is read first because the server detects a disconnected client only after the
+		// body has been read.
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+		a := errorResponse(http.StatusBadRequest, "body cannot be read")
 		if err == nil {
-			a = s.run(r, s.limit(v), body, c)
+			a = s.run(r, s.limiterFor(v), body, c)
 		}
-		s.finish(w, r, v, a)
+		s.writeResponse(w, r, v, a)
 	}
 }
 
-func (s *Store) run(r *http.Request, limit *rate.Limiter, body []byte, c call) answer {
-	if !s.delay(r.Context()) {
-		return cut
+func (s *Store) run(r *http.Request, limit *rate.Limiter, body []byte, c operation) response {
+	if !s.waitLatency(r.Context()) {
+		return connectionCut
 	}
 	if a, _, down := s.waitOutage(r.Context(), r.RemoteAddr); down {
 		return a
 	}
 	if limit != nil && !limit.Allow() {
-		return refuse(http.StatusTooManyRequests, "rate limit reached")
+		return errorResponse(http.StatusTooManyRequests, "rate limit reached")
 	}
 	return c(r, body)
 }
 
-// delay waits for the latency in force. It reports false if the client went.
-func (s *Store) delay(ctx context.Context) bool {
+// waitLatency sleeps for the injected latency. It returns false if the client disconnects.
+func (s *Store) waitLatency(ctx context.Context) bool {
 	d := s.rng.Draw(s.Faults().Latency)
 	if d <= 0 {
 		return true
@@ -146,42 +145,42 @@
 	}
 }
 
-// waitOutage returns the answer of a call that the outage ends, or false once
-// there is no outage, and then a channel that closes when the faults change.
-func (s *Store) waitOutage(ctx context.Context, from string) (answer, <-chan struct{}, bool) {
+// waitOutage applies the current outage. It returns true and the response if the outage ends the
+// call, else false and a channel that is closed when the faults change.
+func (s *Store) waitOutage(ctx context.Context, from string) (response, <-chan struct{}, bool) {
 	for {
 		outage, changed := s.outage(from)
 		switch outage {
 		case OutageUnavailable:
-			return refuse(http.StatusServiceUnavailable, "outage"), nil, true
+			return errorResponse(http.StatusServiceUnavailable, "outage"), nil, true
 		case OutageCut:
-			return cut, nil, true
+			return connectionCut, nil, true
 		case OutageHang:
 			select {
 			case <-changed:
 			case <-ctx.Done():
-				return cut, nil, true
+				return connectionCut, nil, true
 			}
 		default:
-			return answer{}, changed, false
+			return response{}, changed, false
 		}
 	}
 }
 
-// finish counts the answer and writes it, or cuts the connection.
-func (s *Store) finish(w http.ResponseWriter, r *http.Request, v Verb, a answer) {
+// writeResponse counts the result and writes the response, or cuts the connection.
+func (s *Store) writeResponse(w http.ResponseWriter, r *http.Request, v Verb, a response) {
 	switch {
 	case r.Context().Err() != nil:
-		s.counts.ended(v, ResultGone)
+		s.counts.countResult(v, ResultGone)
 	case a.status == 0:
-		s.counts.ended(v, ResultCut)
+		s.counts.countResult(v, ResultCut)
 	default:
-		s.counts.ended(v, statusResult(a.status))
+		s.counts.countResult(v, statusResult(a.status))
 	}
 	if a.status == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	s.stamp(w) // anew, because a watch may have waited
+	s.setPlatformHeaders(w) // set again, as the time and era may have changed during a watch
 	if a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", "1")
 	}
@@ -192,6 +191,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if body != nil {
-		_ = json.NewEncoder(w).Encode(body) // the client may have gone
+		_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 	}
 }
--- a/internal/standin/objectstore/objectstore_test.go
+++ b/internal/standin/objectstore/objectstore_test.go
@@ -31,8 +31,8 @@
 	return &client{http.Client{Transport: &tr}}
 }
 
-// do makes one call and decodes its answer into out, unless that is nil. It
-// returns 0 if there was no answer.
+// do makes one call and decodes the response body into out, unless out is nil. It returns the
+// status, or 0 if there was no response.
 func (c *client) do(ctx context.Context, method, path, body string, out any) int {
 	r, _ := http.NewRequestWithContext(ctx, method, "http://"+testHost+path, strings.NewReader(body))
 	resp, err := c.http.Do(r)
@@ -54,7 +54,7 @@
 	return c.do(ctx, "POST", "/api/objects/claim", fmt.Sprintf(`{"meta":{"name":%q},"spec":%s}`, name, spec), out)
 }
 
-// replace writes an object that stands at a revision.
+// replace overwrites an object at a revision.
 func (c *client) replace(ctx context.Context, name string, revision int, spec string, out any) int {
 	body := fmt.Sprintf(`{"meta":{"name":%q,"revision":%d},"spec":%s}`, name, revision, spec)
 	return c.do(ctx, "PUT", "/api/objects/claim/"+name, body, out)
@@ -67,12 +67,12 @@
 	is.Equal(c.create(t.Context(), "a", `{"n":1}`, &o), http.StatusOK)
 	is.Equal(o.Meta.Revision, uint64(1))
 	is.Equal(c.create(t.Context(), "a", `{"n":2}`, &o), http.StatusConflict)
-	is.Equal(string(o.Spec), `{"n":1}`) // the object that stands
+	is.Equal(string(o.Spec), `{"n":1}`) // the existing object
 	is.Equal(c.replace(t.Context(), "a", 1, `{"n":2}`, &o), http.StatusOK)
 	is.Equal(o.Meta.Revision, uint64(2))
 	is.Equal(o.Meta.CreatedRev, uint64(1))
 	is.Equal(c.replace(t.Context(), "a", 2, `{"n":2}`, &o), http.StatusOK)
-	is.Equal(o.Meta.Revision, uint64(2)) // a write that changes nothing
+	is.Equal(o.Meta.Revision, uint64(2)) // writing an equal value doesn't change the revision
 	is.Equal(c.do(t.Context(), "DELETE", "/api/objects/claim/a?revision=1", "", nil), http.StatusConflict)
 	is.Equal(c.do(t.Context(), "DELETE", "/api/objects/claim/a?revision=2", "", nil), http.StatusOK)
 	is.Equal(c.do(t.Context(), "GET", "/api/objects/claim/a", "", nil), http.StatusNotFound)
@@ -83,7 +83,7 @@
 func TestBadCalls(t *testing.T) {
 	is := is.New(t)
 	c := newClient(New(DefaultConfig()))
-	largest := `"` + strings.Repeat("x", maxValue-2) + `"`
+	largest := `"` + strings.Repeat("x", maxSpecBytes-2) + `"`
 	is.Equal(c.create(t.Context(), "a", largest, nil), http.StatusOK)
 	is.Equal(c.create(t.Context(), "b", `"`+largest[1:len(largest)-1]+`x"`, nil), http.StatusRequestEntityTooLarge)
 	is.Equal(c.create(t.Context(), "b", `{`, nil), http.StatusBadRequest)
@@ -190,7 +190,7 @@
 	is.Equal(c.do(t.Context(), "GET", watchPath(2, "claim"), "", nil), http.StatusOK)
 	s.Compact()
 	is.Equal(c.do(t.Context(), "GET", watchPath(3, "claim"), "", nil), http.StatusGone)
-	is.Equal(c.do(t.Context(), "GET", watchPath(9, "claim"), "", nil), http.StatusGone) // never reached
+	is.Equal(c.do(t.Context(), "GET", watchPath(9, "claim"), "", nil), http.StatusGone) // in the future
 }
 
 func TestDeafWatchHearsNothing(t *testing.T) {
@@ -204,7 +204,7 @@
 		go func() { got <- c.do(t.Context(), "GET", watchPath(0, "claim"), "", &e) }()
 		synctest.Wait()
 		s.Apply(objstore.KindClaim, "a", json.RawMessage(`1`))
-		is.Equal(<-got, http.StatusOK) // at the end of its wait
+		is.Equal(<-got, http.StatusOK) // when its wait expires
 		is.Equal(len(e.Events), 0)
 		is.Equal(e.CurrentRev, uint64(0))
 		s.SetFaults(Faults{})
--- a/internal/standin/objectstore/restore.go
+++ b/internal/standin/objectstore/restore.go
@@ -7,27 +7,27 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// firstEra is that of a store that never came back from a copy.
+// firstEra is the era of a store that was never restored.
 const firstEra = 1
 
-// Copy is the store as it stood at a moment.
-type Copy struct {
+// Backup is a snapshot of the store's state.
+type Backup struct {
 	objects   map[key]platform.Object
 	history   []change
 	compacted uint64
 	revision  uint64
 }
 
-// Copy returns the store as it stands.
-func (s *Store) Copy() Copy {
+// Copy returns a backup of the current state.
+func (s *Store) Copy() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{objects: maps.Clone(s.objects), history: slices.Clone(s.history), compacted: s.compacted, revision: s.revision}
+	return Backup{objects: maps.Clone(s.objects), history: slices.Clone(s.history), compacted: s.compacted, revision: s.revision}
 }
 
-// Restore puts the store back to what a copy holds: later writes are lost, their revisions are
-// given out again, and the era rises by one. Watches that wait are cut.
-func (s *Store) Restore(c Copy) {
+// Restore resets the store to a backup: later writes are lost, their revisions are assigned again,
+// and the era increases by one. Pending watches are disconnected.
+func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects, s.history = maps.Clone(c.objects), slices.Clone(c.history)
--- a/internal/standin/objectstore/restore_test.go
+++ b/internal/standin/objectstore/restore_test.go
@@ -13,8 +13,8 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// After a restore what was written since the copy is lost, its revisions are given out again, and
-// a watch from one that is not reached yet is answered 410.
+// After a restore, writes since the backup are lost, their revisions are assigned again, and a
+// watch from a revision that is no longer reached gets status 410.
 func TestRestoreGivesRevisionsOutAgain(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig())
@@ -34,7 +34,8 @@
 	is.Equal(c.do(t.Context(), "GET", "/api/objects/claim?watch=2&waitMs=0", "", nil), http.StatusOK)
 }
 
-// A drill takes the store away and brings it back from a copy of an age; with the oldest copy where none is so old.
+// A drill simulates an outage and restores the backup of the given age, or the oldest available
+// one.
 func TestDrill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -43,7 +44,7 @@
 		s := New(cfg)
 		c := newClient(s)
 		stop := make(chan struct{})
-		go s.KeepCopies(stop)
+		go s.TakeBackups(stop)
 		for i := range 10 {
 			is.Equal(c.create(t.Context(), fmt.Sprint(i), `{}`, nil), http.StatusOK)
 			time.Sleep(time.Second)
@@ -58,7 +59,7 @@
 		is.Equal(s.Era(), uint64(2))
 		is.Equal(c.do(t.Context(), "GET", "/api/objects/claim/6", "", nil), http.StatusOK)
 		is.Equal(c.do(t.Context(), "GET", "/api/objects/claim/9", "", nil), http.StatusNotFound)
-		is.NoErr(s.RestoreOlder(time.Hour))
+		is.NoErr(s.RestoreBackup(time.Hour))
 		is.Equal(s.Era(), uint64(3))
 		close(stop)
 		for _, bad := range []string{`{"away":"-1s"}`, `{"outage":"odd"}`, `{"age":3}`, `{"away":"2h"}`} {
--- a/internal/standin/objectstore/server.go
+++ b/internal/standin/objectstore/server.go
@@ -11,38 +11,38 @@
 
 const (
 	headerTimeout = 10 * time.Second
-	shutdownLimit = time.Second // for calls in flight
+	shutdownGrace = time.Second // for calls in flight
 )
 
 // Server serves a store on a listener.
 type Server struct {
-	http  http.Server
-	store *Store
-	ended chan struct{} // closes at the shutdown
-	once  sync.Once
+	http     http.Server
+	store    *Store
+	stopped  chan struct{} // closed by Shutdown
+	stopOnce sync.Once
 }
 
 // NewServer returns a server for the store.
 func NewServer(s *Store) *Server {
-	srv := &Server{http: http.Server{Handler: s.Handler(), ReadHeaderTimeout: headerTimeout}, store: s, ended: make(chan struct{})}
+	srv := &Server{http: http.Server{Handler: s.Handler(), ReadHeaderTimeout: headerTimeout}, store: s, stopped: make(chan struct{})}
 	srv.http.RegisterOnShutdown(s.endWatches)
 	return srv
 }
 
-// Serve answers calls, and copies the store, until Shutdown; it then returns nil.
+// Serve handles requests and takes backups until Shutdown, and then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
-	go s.store.KeepCopies(s.ended)
+	go s.store.TakeBackups(s.stopped)
 	if err := s.http.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return Error.New("serve: %w", err)
 	}
 	return nil
 }
 
-// Shutdown takes no more calls, ends the watches that wait, and lets other
-// calls in flight end for a moment; those that hang are then cut.
+// Shutdown stops accepting calls, ends pending watches and waits up to shutdownGrace for other
+// calls in flight; those that still hang are then cut.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.once.Do(func() { close(s.ended) })
-	ctx, cancel := context.WithTimeout(ctx, shutdownLimit)
+	s.stopOnce.Do(func() { close(s.stopped) })
+	ctx, cancel := context.WithTimeout(ctx, shutdownGrace)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err == nil {
 		return nil
