--- a/internal/standin/objectstore/store.go
+++ b/internal/standin/objectstore/store.go
@@ -18,13 +18,14 @@
 
 type key struct{ kind, name string }
 
-// change is one change to an object.
+// change is one entry of the change history.
 type change struct {
 	kind  string
 	event platform.ObjectEvent
 }
 
-// Store is the platform's stand-in. Every method is safe for concurrent use.
+// Store is an in-memory stand-in for the platform's object store. All methods are safe for
+// concurrent use.
 type Store struct {
 	cfg    Config
 	rng    *standin.Rand
@@ -35,31 +36,31 @@
 	mu            sync.Mutex
 	objects       map[key]platform.Object
 	history       []change // by ascending revision
-	compacted     uint64   // changes up to this revision are gone
+	compacted     uint64   // changes up to this revision have been discarded
 	revision      uint64
 	era           uint64
-	changed       chan struct{} // closes at the next change
+	changed       chan struct{} // closed at the next change
 	faults        Faults
-	faultsChanged chan struct{} // closes when the faults change
-	release       chan struct{} // closes when waiting watches are to end
+	faultsChanged chan struct{} // closed when the faults change
+	watchesEnded  chan struct{} // closed to end pending watches
 
-	copies copies
+	backups backups
 }
 
-// New returns a store with the seeds of the configuration, which must be
-// valid. It starts no goroutine.
+// New returns a store that contains the seed objects of the configuration, which must be valid. It
+// starts no goroutine.
 func New(cfg Config) *Store {
 	s := &Store{
 		cfg:           cfg,
 		rng:           standin.NewRand(cfg.Seed),
-		writes:        limiter(cfg.WriteRate),
-		reads:         limiter(cfg.ReadRate),
+		writes:        newLimiter(cfg.WriteRate),
+		reads:         newLimiter(cfg.ReadRate),
 		objects:       map[key]platform.Object{},
 		era:           firstEra,
 		changed:       make(chan struct{}),
 		faults:        cfg.Faults,
 		faultsChanged: make(chan struct{}),
-		release:       make(chan struct{}),
+		watchesEnded:  make(chan struct{}),
 	}
 	for _, o := range cfg.Seeds.Objects {
 		s.Apply(o.Kind, o.Name, o.Value)
@@ -67,26 +68,26 @@
 	return s
 }
 
-// limiter returns nil for no limit. A second's worth may come at once.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns nil if there is no limit. The burst is the number of calls of one second.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Now returns the platform's clock.
+// Now returns the current time of the platform's clock.
 func (s *Store) Now() time.Time { return time.Now().Add(s.cfg.ClockOffset.Std()).UTC() }
 
-// Apply writes the object whatever its revision, past all faults and counters.
+// Apply writes the object regardless of its revision, bypassing faults and counters.
 func (s *Store) Apply(kind, name string, spec json.RawMessage) platform.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writeLocked(key{kind, name}, spec)
 }
 
-// Remove deletes the object whatever its revision, past all faults and
-// counters. It reports whether there was one.
+// Remove deletes the object regardless of its revision, bypassing faults and counters. It reports
+// whether the object existed.
 func (s *Store) Remove(kind, name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,14 +99,14 @@
 	return ok
 }
 
-// Objects returns the product's objects of the kinds, sorted by kind and name.
+// Objects returns the decoded objects of the given kinds, sorted by kind and name.
 func (s *Store) Objects(kinds ...string) []objstore.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []objstore.Object
 	for k, o := range s.objects {
 		if slices.Contains(kinds, k.kind) {
-			all = append(all, open(k.kind, o))
+			all = append(all, decodeObject(k.kind, o))
 		}
 	}
 	slices.SortFunc(all, func(a, b objstore.Object) int {
@@ -114,18 +115,18 @@
 	return all
 }
 
-// Object returns one of the product's objects.
+// Object returns one decoded object.
 func (s *Store) Object(kind, name string) (objstore.Object, bool) {
-	o, ok := s.record(key{kind, name})
+	o, ok := s.object(key{kind, name})
 	if !ok {
 		return objstore.Object{}, false
 	}
-	return open(kind, o), true
+	return decodeObject(kind, o), true
 }
 
-// open returns the product's object in a record; one that can't be read has
-// no value.
-func open(kind string, o platform.Object) objstore.Object {
+// decodeObject decodes a stored object. An object that cannot be decoded is returned without a
+// value.
+func decodeObject(kind string, o platform.Object) objstore.Object {
 	opened, err := objstore.Open(kind, objstore.Record{Name: o.Meta.Name, Revision: revision.Revision{Number: o.Meta.Revision}, Spec: o.Spec})
 	if err != nil {
 		return objstore.Object{Kind: kind, Name: o.Meta.Name}
@@ -133,21 +134,21 @@
 	return opened
 }
 
-func (s *Store) record(k key) (platform.Object, bool) {
+func (s *Store) object(k key) (platform.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.objects[k]
 	return o, ok
 }
 
-// Revision returns the revision of the newest change.
+// Revision returns the revision of the latest change.
 func (s *Store) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Compact forgets all changes so far: a watch from before answers 410.
+// Compact discards the change history, so that a watch from an earlier revision gets status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,8 +156,8 @@
 	s.compacted = s.revision
 }
 
-// page returns the objects of a kind that follow a name.
-func (s *Store) page(kind, after string) platform.ObjectPage {
+// listPage returns a page of the objects of a kind whose names sort after the given one.
+func (s *Store) listPage(kind, after string) platform.ObjectPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := platform.ObjectPage{CurrentRev: s.revision, Items: []platform.Object{}}
@@ -172,36 +173,36 @@
 	return p
 }
 
-// create writes an object that must not exist.
+// create writes an object that must not exist yet.
 func (s *Store) create(k key, spec json.RawMessage) (platform.Object, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if standing, ok := s.objects[k]; ok {
-		return standing, http.StatusConflict
+	if existing, ok := s.objects[k]; ok {
+		return existing, http.StatusConflict
 	}
 	return s.writeLocked(k, spec), http.StatusOK
 }
 
-// replace writes an object that must stand at the revision; 0 is any.
+// replace overwrites an object whose current revision must match; revision 0 matches any.
 func (s *Store) replace(k key, revision uint64, spec json.RawMessage) (platform.Object, int) {
-	return s.changeAt(k, revision, func() platform.Object { return s.writeLocked(k, spec) })
+	return s.updateAtRevision(k, revision, func() platform.Object { return s.writeLocked(k, spec) })
 }
 
-// remove deletes an object that must stand at the revision; 0 is any.
+// remove deletes an object whose current revision must match; revision 0 matches any.
 func (s *Store) remove(k key, revision uint64) (platform.Object, int) {
-	return s.changeAt(k, revision, func() platform.Object { return s.deleteLocked(k) })
+	return s.updateAtRevision(k, revision, func() platform.Object { return s.deleteLocked(k) })
 }
 
-// changeAt makes a change to an object that must stand at the revision.
-func (s *Store) changeAt(k key, revision uint64, change func() platform.Object) (platform.Object, int) {
+// updateAtRevision applies a change to an object whose current revision must match; 0 matches any.
+func (s *Store) updateAtRevision(k key, revision uint64, change func() platform.Object) (platform.Object, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	standing, ok := s.objects[k]
+	existing, ok := s.objects[k]
 	switch {
 	case !ok:
-		return standing, http.StatusNotFound
-	case revision != 0 && standing.Meta.Revision != revision:
-		return standing, http.StatusConflict
+		return existing, http.StatusNotFound
+	case revision != 0 && existing.Meta.Revision != revision:
+		return existing, http.StatusConflict
 	}
 	return change(), http.StatusOK
 }
@@ -209,7 +210,7 @@
 func (s *Store) writeLocked(k key, spec json.RawMessage) platform.Object {
 	o, ok := s.objects[k]
 	if ok && string(o.Spec) == string(spec) {
-		return o // nothing changes
+		return o // unchanged
 	}
 	s.revision++
 	if !ok {
@@ -231,7 +232,7 @@
 	return o
 }
 
-// recordLocked adds the change to the history and wakes the watches.
+// recordLocked appends the change to the history and wakes pending watches.
 func (s *Store) recordLocked(c change) {
 	s.history = append(s.history, c)
 	if over := len(s.history) - s.cfg.History; over > 0 && s.cfg.History > 0 {
@@ -242,10 +243,9 @@
 	s.changed = make(chan struct{})
 }
 
-// since returns the changes of a kind after the revision. It reports false if
-// some of them are gone, or if the revision has not been reached. The channel
-// closes at the next change.
-func (s *Store) since(after uint64, kind string) (platform.ObjectEvents, <-chan struct{}, bool) {
+// changesSince returns the changes of a kind after the revision. It returns false if some of them have
+// been discarded or if the revision lies in the future. The channel is closed at the next change.
+func (s *Store) changesSince(after uint64, kind string) (platform.ObjectEvents, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := platform.ObjectEvents{CurrentRev: s.revision, Events: []platform.ObjectEvent{}}
--- a/internal/standin/platformtarget/cold.go
+++ b/internal/standin/platformtarget/cold.go
@@ -8,39 +8,40 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// coldWindow is the span in which the requests to a cold target are counted.
+// coldWindow is the sliding window over which requests to a cold target are counted.
 const coldWindow = time.Second
 
-// cold is a target while it is cold: it bears a few requests a second only.
-type cold struct {
-	until    time.Time
-	arrivals []time.Time // in the last window, of requests that came while it was cold
-	most     int         // that came in any window
+// coldState tracks the cold phase of a target, in which it can serve only a few requests per
+// second.
+type coldState struct {
+	until        time.Time
+	arrivals     []time.Time // requests in the current window that arrived during the cold phase
+	maxPerWindow int         // maximum number of requests in any window
 }
 
-// GoCold makes the target cold for a time from now on.
+// GoCold starts a cold phase of the given duration.
 func (t *Target) GoCold(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cold.until = time.Now().Add(d)
 }
 
-// MostWhileCold returns how many requests came in any second while the target was cold.
+// MostWhileCold returns the maximum number of requests within any second of the cold phases.
 func (t *Target) MostWhileCold() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.cold.most
+	return t.cold.maxPerWindow
 }
 
-// coldLeft returns how much longer the target stays cold.
-func (t *Target) coldLeft() time.Duration {
+// remainingColdTime returns the time until the cold phase ends, or 0.
+func (t *Target) remainingColdTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(time.Until(t.cold.until), 0)
 }
 
-// noteArrival counts a request that is for this target.
-func (t *Target) noteArrival() {
+// countColdRequest counts a request if it arrives during a cold phase.
+func (t *Target) countColdRequest() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -54,27 +55,28 @@
 		}
 	}
 	t.cold.arrivals = append(recent, now)
-	t.cold.most = max(t.cold.most, len(t.cold.arrivals))
+	t.cold.maxPerWindow = max(t.cold.maxPerWindow, len(t.cold.arrivals))
 }
 
-// tellWarmup writes how much longer the target stays cold.
-func (t *Target) tellWarmup(h http.Header) {
-	if left := t.coldLeft(); left > 0 {
+// setWarmupHeader sets the remaining time of the cold phase.
+func (t *Target) setWarmupHeader(h http.Header) {
+	if left := t.remainingColdTime(); left > 0 {
 		h.Set(platform.HeaderWarmup, strconv.FormatInt(left.Milliseconds(), 10))
 	}
 }
 
-// tellLoad writes the target's load.
-func (t *Target) tellLoad(h http.Header, f Faults) {
+// setLoadHeader sets the load header: running and waiting requests, slots, and the current cost of
+// work in percent of the nominal one.
+func (t *Target) setLoadHeader(h http.Header, f Faults) {
 	if !t.cfg.TellLoad {
 		return
 	}
 	t.mu.Lock()
 	waiting := t.waiting
 	t.mu.Unlock()
-	work := usualWork * max(f.Slow, 1)
+	work := nominalWorkPercent * max(f.Slow, 1)
 	h.Set(platform.HeaderLoad, strconv.Itoa(len(t.slots))+","+strconv.Itoa(waiting)+","+strconv.Itoa(t.cfg.Slots)+","+strconv.Itoa(int(work)))
 }
 
-// usualWork is the figure of a target on whose machine work takes as long as usual.
-const usualWork = 100
+// nominalWorkPercent is the reported cost of work on a target that isn't slowed down.
+const nominalWorkPercent = 100
--- a/internal/standin/platformtarget/pause.go
+++ b/internal/standin/platformtarget/pause.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Elapse moves the target's pauses, as if it had started earlier.
-func (t *Target) Elapse(d time.Duration) { t.began = t.began.Add(-d) }
+// Elapse advances the phase of the periodic pauses, as if the target had started earlier.
+func (t *Target) Elapse(d time.Duration) { t.pauseEpoch = t.pauseEpoch.Add(-d) }
 
-// withPauses returns how long work takes that begins now, with the pauses that fall into it.
-func (t *Target) withPauses(work time.Duration) time.Duration {
+// durationWithPauses returns the duration of work that begins now, including the pauses that fall
+// into it.
+func (t *Target) durationWithPauses(work time.Duration) time.Duration {
 	if t.cfg.Pause <= 0 || t.cfg.PauseEvery <= t.cfg.Pause {
 		return work
 	}
 	took := time.Duration(0)
-	at := time.Since(t.began)
+	at := time.Since(t.pauseEpoch)
 	for {
 		phase := (at + took) % t.cfg.PauseEvery
 		if phase < t.cfg.Pause {
-			took += t.cfg.Pause - phase // it stands still
+			took += t.cfg.Pause - phase // no progress during a pause
 			continue
 		}
 		untilPause := t.cfg.PauseEvery - phase
--- a/internal/standin/platformtarget/site.go
+++ b/internal/standin/platformtarget/site.go
@@ -16,49 +16,49 @@
 	"rhubarbwood.example/rhubarbwood/platform"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of errors of this package.
 var Error = errs.Class("platformtarget")
 
-// Sizes of the site.
+// Sizes and route settings of the site.
 const (
-	siteShards   = 4
-	siteReplicas = 2 // targets of each service
-	siteSlots    = 4
-	siteRecords  = 20
-	siteTop      = 5
+	siteShards            = 4
+	siteTargetsPerService = 2
+	siteSlotsPerTarget    = 4
+	siteRecordsPerAnswer  = 20
+	siteTopK              = 5
 
-	siteVersion        = 1
-	siteTimeoutMs      = 600
-	siteObjectiveMs    = 100
-	siteMaxConnections = 100
-	siteMinShare       = 0.5
+	siteConfigVersion   = 1
+	siteTimeoutMs       = 600
+	siteLatencyTargetMs = 100
+	siteMaxConnections  = 100
+	siteMinSuccessShare = 0.5
 )
 
-// Names of the site's routes.
+// Host name and path prefixes of the site's routes.
 const (
 	SiteHost   = "lists.example"
-	SiteQuery  = "/lists/" // to all shards
-	SiteSingle = "/gifts/" // to one service, not idempotent
+	SiteQuery  = "/lists/" // route to all shards
+	SiteSingle = "/gifts/" // non-idempotent route to one service
 )
 
-// Site is a few targets on loopback, registered in a store stand-in, with a
-// configuration that routes to them.
+// Site is a set of targets on loopback, registered in a store stand-in together with a
+// configuration that routes requests to them.
 type Site struct {
 	servers []*http.Server
 	serving sync.WaitGroup
 }
 
-// StartSite starts the targets and writes registry and configuration.
+// StartSite starts the targets and writes their registrations and the configuration to the store.
 func StartSite(store *objectstore.Store, domains []string, latency standin.Latency) (*Site, error) {
 	s := &Site{}
-	config := platform.Config{Version: siteVersion}
+	config := platform.Config{Version: siteConfigVersion}
 	query := platform.Route{
 		Name: "lists", Hostname: SiteHost, PathPrefix: SiteQuery, Type: platform.TypeIdempotent,
-		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteObjectiveMs, MaxAttempts: 2, TopK: siteTop, MinSuccessShare: siteMinShare,
+		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteLatencyTargetMs, MaxAttempts: 2, TopK: siteTopK, MinSuccessShare: siteMinSuccessShare,
 	}
 	single := platform.Route{
 		Name: "gifts", Hostname: SiteHost, PathPrefix: SiteSingle, Type: platform.TypeNonIdempotent, Service: "gifts",
-		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteObjectiveMs, MaxAttempts: 2,
+		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteLatencyTargetMs, MaxAttempts: 2,
 	}
 	services := []string{single.Service}
 	for i := range siteShards {
@@ -67,7 +67,7 @@
 	query.Shards = services[1:]
 	for _, name := range services {
 		config.Services = append(config.Services, platform.Service{Name: name, HealthCheckPath: pathHealth, MaxConnections: siteMaxConnections})
-		for i := range siteReplicas {
+		for i := range siteTargetsPerService {
 			if err := s.start(store, name, fmt.Sprintf("%s-t%d", name, i), domains[i%len(domains)], latency); err != nil {
 				return nil, errors.Join(err, s.Stop(context.Background()))
 			}
@@ -79,14 +79,14 @@
 
 // start starts one target and registers it.
 func (s *Site) start(store *objectstore.Store, service, id, domain string, latency standin.Latency) error {
-	target := New(Config{ID: id, Service: service, Slots: siteSlots, Queue: siteSlots, Records: siteRecords, Latency: latency})
+	target := New(Config{ID: id, Service: service, Slots: siteSlotsPerTarget, Queue: siteSlotsPerTarget, Records: siteRecordsPerAnswer, Latency: latency})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return Error.New("listen for target %s: %w", id, err)
 	}
 	server := &http.Server{Handler: target}
 	s.servers = append(s.servers, server)
-	s.serving.Go(func() { _ = server.Serve(ln) }) // ends at Stop
+	s.serving.Go(func() { _ = server.Serve(ln) }) // returns at Stop
 	return apply(store, platform.KindTargets, id, target.Registration(ln.Addr().String(), domain))
 }
 
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Stop ends the targets.
+// Stop shuts down the targets.
 func (s *Site) Stop(ctx context.Context) error {
 	var problems []error
 	for _, server := range s.servers {
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -1,7 +1,3 @@
-// Package platformtarget is the stand-in of a target on the users' platform: it
-// serves any path over HTTP, signs its answers, sheds load, refuses requests
-// that are meant for another target, and takes faults. It remembers what it
-// ran.
 package platformtarget
 
 import (
@@ -24,88 +20,89 @@
 // pathHealth is the path of the health check.
 const pathHealth = "/healthz"
 
-// recordSize is the size of one record of an answer, in bytes.
-const recordSize = 16
+// recordBytes is the size of one record in a response.
+const recordBytes = 16
 
-// Config is what a stand-in is started with.
+// Config is the configuration of a stand-in.
 type Config struct {
 	ID      string
 	Service string
-	Slots   int // requests that run at once
-	Queue   int // requests that wait; more are refused
-	Records int // in each answer
+	Slots   int // maximum number of concurrent requests
+	Queue   int // maximum number of waiting requests; further ones are rejected
+	Records int // in each response
 	Latency standin.Latency
 	Seed    uint64
-	Born    time.Time // of this incarnation; zero: it does not say
-	// Cold is how long it stays cold after its start.
+	Born    time.Time // start of this incarnation; zero: not registered
+	// Cold is the duration of the cold phase after the start.
 	Cold time.Duration
-	// Pause is for how long it stands still each PauseEvery, as for garbage collection.
+	// Pause is the duration of a pause without progress, like a garbage collection, that begins
+	// every PauseEvery.
 	Pause      time.Duration
 	PauseEvery time.Duration
-	// TellLoad makes it tell its load with each answer.
+	// TellLoad adds the load header to each response.
 	TellLoad bool
 }
 
-// Faults are the failures in force. Probabilities are drawn for each request.
+// Faults are the injected faults. Probabilities are drawn for each request.
 type Faults struct {
-	Slow     float64 // times that a request takes longer; 0 and 1: none
-	Silent   bool    // requests run for ever
-	Fail     float64 // ran in vain, and says so
-	Shed     float64 // refused as not run
-	Lose     float64 // ran, and the connection is cut instead of an answer
-	Cut      float64 // the answer ends early
-	Extra    float64 // the answer is sent twice
-	Unframed float64 // the answer has no length and ends with the connection
-	Impostor bool    // another target has the address
+	Slow     float64 // factor on the duration of a request; 0 and 1: none
+	Silent   bool    // requests never finish
+	Fail     float64 // request runs and returns status 500
+	Shed     float64 // request is rejected as not run
+	Lose     float64 // request runs, then the connection is cut without a response
+	Cut      float64 // response body is truncated
+	Extra    float64 // response is sent twice
+	Unframed float64 // response has no length and ends with the connection
+	Impostor bool    // another target answers at the address
 }
 
-// Run is one request that was run.
+// Run is one request that the target ran.
 type Run struct {
 	RequestID string
 	Method    string
 	URI       string
 	Body      string
-	Left      time.Duration // that the request might take
+	Left      time.Duration // remaining time that the request was given; 0: no bound
 	Began     time.Time
-	Cancelled bool // the caller left meanwhile
+	Cancelled bool // the caller disconnected before the end
 }
 
-// Target is a stand-in. Every method is safe for concurrent use.
+// Target is a stand-in. All methods are safe for concurrent use.
 type Target struct {
-	cfg   Config
-	began time.Time // pauses count from then on
-	rng   *standin.Rand
-	slots chan struct{}
+	cfg        Config
+	pauseEpoch time.Time // start of the first pause
+	rng        *standin.Rand
+	slots      chan struct{}
 
-	mu      sync.Mutex
-	waiting int
-	faults  Faults
-	runs    []*Run
-	arrived int
-	cold    cold
+	mu       sync.Mutex
+	waiting  int
+	faults   Faults
+	runs     []*Run
+	received int
+	cold     coldState
 
-	silentHealth atomic.Bool
+	healthCheckHangs atomic.Bool
 }
 
-// SilenceHealth makes the health check answer nothing, or ends that.
-func (t *Target) SilenceHealth(silent bool) { t.silentHealth.Store(silent) }
+// SilenceHealth sets whether health checks hang.
+func (t *Target) SilenceHealth(silent bool) { t.healthCheckHangs.Store(silent) }
 
 // New returns a stand-in without faults.
 func New(cfg Config) *Target {
 	cfg.Slots = max(cfg.Slots, 1)
-	t := &Target{cfg: cfg, began: time.Now(), rng: standin.NewRand(cfg.Seed), slots: make(chan struct{}, cfg.Slots)}
+	t := &Target{cfg: cfg, pauseEpoch: time.Now(), rng: standin.NewRand(cfg.Seed), slots: make(chan struct{}, cfg.Slots)}
 	t.GoCold(cfg.Cold)
 	return t
 }
 
-// SetFaults puts the faults in force in place of all earlier ones.
+// SetFaults replaces all current faults.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Runs returns the requests that were run.
+// Runs returns the requests that the target ran.
 func (t *Target) Runs() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,18 +113,18 @@
 	return all
 }
 
-// Arrived returns the requests that came, refused ones included.
+// Arrived returns the number of received requests, including rejected ones.
 func (t *Target) Arrived() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.arrived
+	return t.received
 }
 
-// Registration returns what the target writes into the registry.
+// Registration returns the target's entry for the registry.
 func (t *Target) Registration(address, domain string) platform.Registration {
 	r := platform.Registration{
 		Service: t.cfg.Service, Address: address, Zone: domain,
-		MaxConcurrency: t.cfg.Slots, State: platform.StateReady, ColdLeftMs: t.coldLeft().Milliseconds(),
+		MaxConcurrency: t.cfg.Slots, State: platform.StateReady, ColdLeftMs: t.remainingColdTime().Milliseconds(),
 	}
 	if !t.cfg.Born.IsZero() {
 		r.Born = t.cfg.Born.UnixMilli()
@@ -135,7 +132,7 @@
 	return r
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -143,43 +140,44 @@
 	}
 	t.mu.Lock()
 	f := t.faults
-	t.arrived++
+	t.received++
 	t.mu.Unlock()
 	h := w.Header()
-	t.tellLoad(h, f)
+	t.setLoadHeader(h, f)
 	switch want := r.Header.Get(platform.HeaderInstance); {
 	case r.URL.Path == pathHealth:
-		if t.silentHealth.Load() {
+		if t.healthCheckHangs.Load() {
 			<-r.Context().Done()
 			return
 		}
 		h.Set("X-Instance-Id", t.cfg.ID)
-		t.tellWarmup(h)
+		t.setWarmupHeader(h)
 		return
 	case f.Impostor, want != "" && want != t.cfg.ID:
 		h.Set("X-Instance-Id", "another")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	case r.Header.Get(platform.HeaderRequestID) == "":
-		notRun(w, http.StatusBadRequest)
+		refuseNotRun(w, http.StatusBadRequest)
 		return
 	}
-	t.noteArrival()
-	if t.rng.Chance(f.Shed) || !t.enter(r.Context()) {
-		notRun(w, http.StatusServiceUnavailable)
+	t.countColdRequest()
+	if t.rng.Chance(f.Shed) || !t.acquireSlot(r.Context()) {
+		refuseNotRun(w, http.StatusServiceUnavailable)
 		return
 	}
 	defer func() { <-t.slots }()
 	t.run(w, r, f, string(body))
 }
 
-func notRun(w http.ResponseWriter, status int) {
+func refuseNotRun(w http.ResponseWriter, status int) {
 	w.Header().Set(platform.HeaderNotRun, "1")
 	w.WriteHeader(status)
 }
 
-// enter takes a slot, after a wait in the queue if there is room in it.
-func (t *Target) enter(ctx context.Context) bool {
+// acquireSlot takes a slot, waiting in the queue if it isn't full. It returns false if the request
+// must be shed.
+func (t *Target) acquireSlot(ctx context.Context) bool {
 	select {
 	case t.slots <- struct{}{}:
 		return true
@@ -207,7 +205,7 @@
 	}
 }
 
-// run runs a request and answers it.
+// run executes a request and writes the response.
 func (t *Target) run(w http.ResponseWriter, r *http.Request, f Faults, body string) {
 	left, _ := strconv.ParseFloat(r.Header.Get(platform.HeaderDeadline), 64)
 	run := &Run{
@@ -228,44 +226,43 @@
 	h.Set(platform.HeaderRequestID, run.RequestID)
 	h.Set(platform.HeaderSignature, Signature(t.cfg.Service, run.RequestID))
 	switch {
-	case ended == workOutOfTime:
+	case ended == workDeadlineExceeded:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	case t.rng.Chance(f.Fail):
 		w.WriteHeader(http.StatusInternalServerError)
 	case t.rng.Chance(f.Lose):
 		panic(http.ErrAbortHandler)
 	case t.rng.Chance(f.Cut):
-		t.raw(w, run.RequestID, "Content-Length: %d\r\n", 1)
+		t.writeRaw(w, run.RequestID, "Content-Length: %d\r\n", 1)
 	case t.rng.Chance(f.Extra):
-		t.raw(w, run.RequestID, "Content-Length: %d\r\n", 0)
+		t.writeRaw(w, run.RequestID, "Content-Length: %d\r\n", 0)
 	case t.rng.Chance(f.Unframed):
-		t.raw(w, run.RequestID, "", 0)
+		t.writeRaw(w, run.RequestID, "", 0)
 	default:
-		_, _ = w.Write(Body(t.cfg.Service, run.RequestID, t.cfg.Records)) // the caller may have left
+		_, _ = w.Write(Body(t.cfg.Service, run.RequestID, t.cfg.Records)) // the caller may have disconnected
 	}
 }
 
-// workEnd is how the work on a request ended.
-type workEnd uint8
+// workResult is the reason why the work on a request ended.
+type workResult uint8
 
 const (
-	workDone workEnd = iota
+	workDone workResult = iota
 	workCancelled
-	workOutOfTime
+	workDeadlineExceeded
 )
 
-// work takes as long as a request does, and no longer than the time it was given;
-// 0: no bound.
-func (t *Target) work(ctx context.Context, f Faults, left time.Duration) workEnd {
-	took := time.Duration(math.MaxInt64)
+// work simulates the work on a request, bounded by the remaining time; 0: no bound.
+func (t *Target) work(ctx context.Context, f Faults, left time.Duration) workResult {
+	duration := time.Duration(math.MaxInt64)
 	if !f.Silent {
-		took = t.withPauses(time.Duration(float64(t.rng.Draw(t.cfg.Latency)) * max(f.Slow, 1)))
+		duration = t.durationWithPauses(time.Duration(float64(t.rng.Draw(t.cfg.Latency)) * max(f.Slow, 1)))
 	}
 	end := workDone
-	if left > 0 && took > left && !f.Silent {
-		took, end = left, workOutOfTime
+	if left > 0 && duration > left && !f.Silent {
+		duration, end = left, workDeadlineExceeded
 	}
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -275,40 +272,40 @@
 	}
 }
 
-// raw writes the answer past the HTTP server: less bytes of it, or, if it is
-// whole and has a length, twice; then the connection ends.
-func (t *Target) raw(w http.ResponseWriter, requestID, length string, less int) {
+// writeRaw writes the response on the hijacked connection and closes it. It leaves out the last
+// omittedBytes bytes; a complete response with a length is written twice.
+func (t *Target) writeRaw(w http.ResponseWriter, requestID, lengthHeader string, omittedBytes int) {
 	conn, buffered, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = conn.Close() }()
 	body := Body(t.cfg.Service, requestID, t.cfg.Records)
-	if length != "" {
-		length = fmt.Sprintf(length, len(body))
+	if lengthHeader != "" {
+		lengthHeader = fmt.Sprintf(lengthHeader, len(body))
 	}
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n%s\r\n%s",
 		platform.HeaderRequestID, requestID, platform.HeaderSignature, Signature(t.cfg.Service, requestID),
-		length, body[:len(body)-less])
+		lengthHeader, body[:len(body)-omittedBytes])
 	times := 1
-	if length != "" && less == 0 {
+	if lengthHeader != "" && omittedBytes == 0 {
 		times = 2
 	}
 	for range times {
-		_, _ = buffered.WriteString(answer) // the caller may have left
+		_, _ = buffered.WriteString(answer) // the caller may have disconnected
 	}
 	_ = buffered.Flush()
 }
 
-// Signature returns the signature of a service's answer to a request.
+// Signature returns the signature of a service's response to a request.
 func Signature(service, requestID string) string { return service + "." + requestID }
 
-// Body returns a service's answer to a request: records in no order.
+// Body returns the body of a service's response to a request: unsorted records.
 func Body(service, requestID string, records int) []byte {
 	var b bytes.Buffer
 	for i := range records {
 		sum := sha256.Sum256(fmt.Appendf(nil, "%s/%s/%d", service, requestID, i))
-		b.Write(sum[:recordSize])
+		b.Write(sum[:recordBytes])
 	}
 	return b.Bytes()
 }
--- a/internal/standin/platformtarget/target_test.go
+++ b/internal/standin/platformtarget/target_test.go
@@ -16,7 +16,7 @@
 
 const address = "10.128.0.9:8080"
 
-// ask sends one request over a network in memory.
+// ask sends one request over an in-memory network.
 func ask(t *testing.T, target *Target, header map[string]string) (*http.Response, []byte, error) {
 	t.Helper()
 	network := standin.NewNetwork()
@@ -52,7 +52,7 @@
 		name   string
 		faults Faults
 		header map[string]string
-		status int // 0: no answer
+		status int // 0: no response
 		ran    int
 	}{
 		{"whole", Faults{}, mine, 200, 1},
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,7 @@
-// Package standin holds what the stand-ins of the platform and of a target
-// share: random latencies, chances, and a transport that needs no socket.
-// They take the place of the real ones in tests, demos and measurements.
+// Package standin provides what the stand-ins for the platform and the targets share: random
+// latencies and probabilities, and an HTTP transport and a network in memory. The stand-ins
+// replace the real services in tests, demos and benchmarks; no production code path uses them.
+// Begin with the subpackages objectstore, target and platformtarget.
 package standin
 
 import (
@@ -18,20 +19,18 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of errors of this package.
 var Error = errs.Class("standin")
 
-// Server serves a stand-in. Serve returns nil once Shutdown was called;
-// Shutdown lets requests in flight end, and cuts off what is left when ctx is
-// done.
+// Server serves a stand-in. Serve returns nil after Shutdown. Shutdown waits for requests in
+// flight and cuts those that remain when ctx ends.
 type Server interface {
 	Serve(ln net.Listener) error
 	Shutdown(ctx context.Context) error
 }
 
-// Latency is a distribution of durations: lognormal around Mean, and
-// StraggleFactor times longer with probability Straggle. The zero value is
-// always 0.
+// Latency is a distribution of durations: lognormal with the given mean, multiplied by
+// StraggleFactor with probability Straggle. The zero value always yields 0.
 type Latency struct {
 	Mean           unit.Duration `json:"mean"`
 	Sigma          float64       `json:"sigma,omitempty"`    // of the logarithm; 0: always Mean
@@ -39,7 +38,7 @@
 	StraggleFactor float64       `json:"straggle_factor,omitempty"`
 }
 
-// Validate returns every error of the distribution.
+// Validate returns all errors of the distribution.
 func (l Latency) Validate() error {
 	var all []error
 	if l.Mean < 0 {
@@ -51,31 +50,31 @@
 	if l.Straggle > 0 && l.StraggleFactor < 1 {
 		all = append(all, Error.New("straggle_factor %g is below 1", l.StraggleFactor))
 	}
-	all = append(all, Probability("straggle", l.Straggle))
+	all = append(all, ValidateProbability("straggle", l.Straggle))
 	return errors.Join(all...)
 }
 
-// Probability returns an error if p is not within 0..1.
-func Probability(name string, p float64) error {
+// ValidateProbability returns an error if p is not within 0..1.
+func ValidateProbability(name string, p float64) error {
 	if p >= 0 && p <= 1 {
 		return nil
 	}
 	return Error.New("%s %g is not within 0..1", name, p)
 }
 
-// Rand is a seeded source of latencies and chances, safe for concurrent use.
+// Rand is a seeded random source that is safe for concurrent use.
 type Rand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewRand returns a source that gives the same sequence for the same seed.
+// NewRand returns a source that yields the same sequence for the same seed.
 func NewRand(seed uint64) *Rand {
 	return &Rand{rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Chance returns true with probability p. It draws nothing when p is 0 or 1,
-// so that a fault which is off leaves the sequence as it was.
+// Chance returns true with probability p. It draws no number when p is 0 or 1, so that a disabled
+// fault doesn't shift the sequence.
 func (r *Rand) Chance(p float64) bool {
 	if p <= 0 || p >= 1 {
 		return p >= 1
@@ -85,7 +84,7 @@
 	return r.rng.Float64() < p
 }
 
-// Draw returns one duration of the distribution.
+// Draw returns a random duration of the distribution.
 func (r *Rand) Draw(l Latency) time.Duration {
 	if l.Mean <= 0 {
 		return 0
@@ -100,15 +99,15 @@
 	return time.Duration(v)
 }
 
-// lognormal returns a lognormal value whose mean is 1.
+// lognormal returns a lognormal random value with mean 1.
 func (r *Rand) lognormal(sigma float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return math.Exp(sigma*r.rng.NormFloat64() - sigma*sigma/2)
 }
 
-// Named prefixes the error with the name of the field that it belongs to.
-func Named(field string, err error) error {
+// WrapFieldError adds the field name to a non-nil error.
+func WrapFieldError(field string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -20,7 +20,7 @@
 	l := Latency{Mean: second, Sigma: 0.5, Straggle: 0.1, StraggleFactor: 10}
 	a, b := NewRand(7), NewRand(7)
 	for range 100 {
-		a.Chance(0) // a fault that is off leaves the sequence as it was
+		a.Chance(0) // a disabled fault must not shift the sequence
 		is.Equal(a.Draw(l), b.Draw(l))
 	}
 	is.True(NewRand(7).Draw(l) != NewRand(8).Draw(l))
--- a/internal/standin/target/attempts.go
+++ b/internal/standin/target/attempts.go
@@ -6,7 +6,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// Execution is one run of a reservation.
+// Execution is the log record of one execution of a reservation.
 type Execution struct {
 	Target        string `json:"target"`
 	Incarnation   uint64 `json:"incarnation"`
@@ -18,7 +18,7 @@
 	Granted       bool   `json:"granted"`
 }
 
-// answer is what the target answers to the reservation.
+// answer returns the target's answer to the reservation.
 func (e Execution) answer() targetapi.Answer {
 	text := e.Item + " reserved"
 	if !e.Granted {
@@ -37,11 +37,11 @@
 type attempt struct {
 	refused bool // settled as never run
 	running bool
-	answer  targetapi.Answer // once it has run
+	answer  targetapi.Answer // set once it has run
 }
 
-// reservations holds those that ran: the execution log, the stock, and what
-// became of each attempt. It keeps all of them for as long as it lives.
+// reservations holds the execution log, the stock and the state of each attempt. Nothing is
+// evicted.
 type reservations struct {
 	mu         sync.Mutex
 	stock      map[string]int
@@ -58,8 +58,8 @@
 	return r
 }
 
-// begin runs the reservation: it logs the execution and takes from the stock.
-// It reports false, and does nothing, if the attempt was settled as never run.
+// begin executes the reservation: it logs the execution and takes the item from the stock. It
+// returns false and changes nothing if the attempt was settled as never run.
 func (r *reservations) begin(e Execution) (ran Execution, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,14 +67,14 @@
 	if a != nil && a.refused {
 		return e, false
 	}
-	e.Granted = r.takeLocked(e.Item)
+	e.Granted = r.takeStockLocked(e.Item)
 	r.executions = append(r.executions, e)
 	r.attempts[e.AttemptID] = &attempt{running: true}
-	r.journal.ran(e)
+	r.journal.appendExecution(e)
 	return e, true
 }
 
-func (r *reservations) takeLocked(item string) bool {
+func (r *reservations) takeStockLocked(item string) bool {
 	n, limited := r.stock[item]
 	if !limited {
 		return true
@@ -86,15 +86,15 @@
 	return true
 }
 
-// finish records the answer of an attempt that ran.
+// finish records the answer of an executed attempt.
 func (r *reservations) finish(a targetapi.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts[a.AttemptID] = &attempt{answer: a}
 }
 
-// settle tells what became of the attempt. One that has not begun is refused
-// from now on.
+// settle returns the final state of the attempt. An attempt that has not begun is refused from now
+// on.
 func (r *reservations) settle(attemptID string) targetapi.Settlement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +102,7 @@
 	if a == nil {
 		a = &attempt{refused: true}
 		r.attempts[attemptID] = a
-		r.journal.refused(attemptID)
+		r.journal.appendRefusal(attemptID)
 	}
 	return targetapi.Settlement{
 		AttemptID: attemptID,
@@ -112,7 +112,7 @@
 	}
 }
 
-func (r *reservations) log() []Execution {
+func (r *reservations) executionLog() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Execution{}, r.executions...)
--- a/internal/standin/target/config.go
+++ b/internal/standin/target/config.go
@@ -1,7 +1,3 @@
-// Package target is the stand-in of a target: it runs shard requests over
-// HTTP/1.1 and h2c with a limited number of slots and connections, logs every
-// execution of a reservation, and takes faults. docs/TARGETS.md describes the
-// interface.
 package target
 
 import (
@@ -15,7 +11,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of errors of this package.
 var Error = errs.Class("target")
 
 // Defaults of Config.
@@ -29,49 +25,48 @@
 	defaultSigma        = 0.3
 )
 
-// Config is what the stand-in is started with.
+// Config is the configuration of the stand-in.
 type Config struct {
 	Listen         string              `json:"listen"`                   // host:port
-	ControlListen  string              `json:"control_listen,omitempty"` // host:port of the stand-in's own paths, past the connection limit
+	ControlListen  string              `json:"control_listen,omitempty"` // host:port of the control paths, not subject to the connection limit
 	ID             string              `json:"id"`
-	Incarnation    uint64              `json:"incarnation,omitempty"` // 0: the time of the start in ms
+	Incarnation    uint64              `json:"incarnation,omitempty"` // 0: start time in milliseconds
 	Services       map[string]Holdings `json:"services"`              // by service name
-	Slots          int                 `json:"slots"`                 // requests run at once
-	QueueLength    int                 `json:"queue_length"`          // requests waiting; more are shed
-	RetryAfter     unit.Duration       `json:"retry_after"`           // told when shedding
-	Connections    int                 `json:"connections"`           // open at once; more are closed. 0: no limit
-	ConnectionCost unit.Duration       `json:"connection_cost"`       // delay of a new connection's first request
-	ServiceTime    standin.Latency     `json:"service_time"`          // of one request in a slot
-	ColdStart      ColdStart           `json:"cold_start,omitzero"`   // slower at first
+	Slots          int                 `json:"slots"`                 // maximum number of concurrent requests
+	QueueLength    int                 `json:"queue_length"`          // maximum number of waiting requests; further ones are shed
+	RetryAfter     unit.Duration       `json:"retry_after"`           // sent when shedding
+	Connections    int                 `json:"connections"`           // maximum number of open connections; further ones are closed. 0: no limit
+	ConnectionCost unit.Duration       `json:"connection_cost"`       // delay of the first request on a new connection
+	ServiceTime    standin.Latency     `json:"service_time"`          // duration of one request in a slot
+	ColdStart      ColdStart           `json:"cold_start,omitzero"`   // slowdown after the start
 	RowsPerShard   int                 `json:"rows_per_shard"`
-	Stock          map[string]int      `json:"stock,omitempty"`         // by item; items not named never run out
-	Settles        bool                `json:"settles,omitempty"`       // offer the settle interface
-	ExecutionLog   string              `json:"execution_log,omitempty"` // file, one JSON line per execution
-	StatusLag      unit.Duration       `json:"status_lag,omitempty"`    // age of state and snapshots in the status
+	Stock          map[string]int      `json:"stock,omitempty"`         // by item; items not listed never run out
+	Settles        bool                `json:"settles,omitempty"`       // serve the settle interface
+	ExecutionLog   string              `json:"execution_log,omitempty"` // file with one JSON line per execution
+	StatusLag      unit.Duration       `json:"status_lag,omitempty"`    // delay with which the status reports state and snapshots
 	Seed           uint64              `json:"seed,omitempty"`
-	Faults         Faults              `json:"faults,omitzero"` // in force from the start
+	Faults         Faults              `json:"faults,omitzero"` // injected from the start
 }
 
-// Holdings are the shards and index snapshots that a target holds of one
-// service.
+// Holdings are the shards and index snapshots of one service that a target holds.
 type Holdings struct {
-	Shards    []uint32 `json:"shards"`
-	Snapshots []uint64 `json:"snapshots"`
-	Moved     []Moved  `json:"moved,omitempty"` // snapshots in which the shards differ
+	Shards    []uint32         `json:"shards"`
+	Snapshots []uint64         `json:"snapshots"`
+	Overrides []SnapshotShards `json:"moved,omitempty"` // snapshots whose shards differ from Shards
 }
 
-// Moved are the shards that a target holds in one snapshot.
-type Moved struct {
+// SnapshotShards are the shards that a target holds in one snapshot.
+type SnapshotShards struct {
 	Snapshot uint64   `json:"snapshot"`
 	Shards   []uint32 `json:"shards"`
 }
 
-// in returns the shards held in the snapshot, and whether it is held at all.
-func (h Holdings) in(snapshot uint64) ([]uint32, bool) {
+// shardsIn returns the shards held in the snapshot, and false if the snapshot is not held.
+func (h Holdings) shardsIn(snapshot uint64) ([]uint32, bool) {
 	if !slices.Contains(h.Snapshots, snapshot) {
 		return nil, false
 	}
-	for _, m := range h.Moved {
+	for _, m := range h.Overrides {
 		if m.Snapshot == snapshot {
 			return m.Shards, true
 		}
@@ -79,32 +74,32 @@
 	return h.Shards, true
 }
 
-// with returns holdings that also have the snapshot. With no shards it has
-// those held in general.
-func (h Holdings) with(snapshot uint64, shards []uint32) Holdings {
-	h = h.without(snapshot)
+// withSnapshot returns holdings that include the snapshot. Without shards, the snapshot has the default
+// shards of the service.
+func (h Holdings) withSnapshot(snapshot uint64, shards []uint32) Holdings {
+	h = h.withoutSnapshot(snapshot)
 	h.Snapshots = append(h.Snapshots, snapshot)
 	if len(shards) > 0 {
-		h.Moved = append(h.Moved, Moved{snapshot, shards})
+		h.Overrides = append(h.Overrides, SnapshotShards{snapshot, shards})
 	}
 	return h
 }
 
-// without returns holdings that have the snapshot no longer.
-func (h Holdings) without(snapshot uint64) Holdings {
+// withoutSnapshot returns holdings that exclude the snapshot.
+func (h Holdings) withoutSnapshot(snapshot uint64) Holdings {
 	h.Snapshots = slices.DeleteFunc(slices.Clone(h.Snapshots), func(id uint64) bool { return id == snapshot })
-	h.Moved = slices.DeleteFunc(slices.Clone(h.Moved), func(m Moved) bool { return m.Snapshot == snapshot })
+	h.Overrides = slices.DeleteFunc(slices.Clone(h.Overrides), func(m SnapshotShards) bool { return m.Snapshot == snapshot })
 	return h
 }
 
-// ColdStart makes a target Factor times slower at its start; the factor falls
-// evenly to 1 over Duration.
+// ColdStart slows a target down by Factor at its start; the factor decreases linearly to 1 over
+// Duration.
 type ColdStart struct {
 	Duration unit.Duration `json:"duration"`
 	Factor   float64       `json:"factor"`
 }
 
-// DefaultConfig returns a target without faults that holds nothing.
+// DefaultConfig returns a configuration without faults and without services.
 func DefaultConfig() Config {
 	return Config{
 		Listen:       "127.0.0.1:0",
@@ -118,7 +113,7 @@
 	}
 }
 
-// Validate returns every error of the configuration.
+// Validate returns all errors of the configuration.
 func (c Config) Validate() error {
 	var all []error
 	require := func(ok bool, format string, args ...any) {
@@ -139,7 +134,7 @@
 	require(c.ColdStart.Duration >= 0, "cold_start: duration %s is negative", c.ColdStart.Duration)
 	require(c.ColdStart.Duration == 0 || c.ColdStart.Factor >= 1, "cold_start: factor %g is below 1", c.ColdStart.Factor)
 	all = append(all,
-		standin.Named("service_time", c.ServiceTime.Validate()),
-		standin.Named("faults", c.Faults.Validate()))
+		standin.WrapFieldError("service_time", c.ServiceTime.Validate()),
+		standin.WrapFieldError("faults", c.Faults.Validate()))
 	return errors.Join(all...)
 }
--- a/internal/standin/target/control.go
+++ b/internal/standin/target/control.go
@@ -7,23 +7,23 @@
 	"net/http"
 )
 
-// Paths of the stand-in itself. They take no faults.
+// Control paths of the stand-in. They are not subject to faults.
 const (
 	PathFaults     = "/standin/faults"     // GET, POST: Faults
-	PathDrain      = "/standin/drain"      // POST: DrainOrder
+	PathDrain      = "/standin/drain"      // POST: DrainRequest
 	PathRestart    = "/standin/restart"    // POST
 	PathSnapshots  = "/standin/snapshots"  // POST: SnapshotChange
 	PathExecutions = "/standin/executions" // GET: []Execution
 	PathCounters   = "/standin/counters"   // GET: Counters
 )
 
-// DrainOrder begins a drain. If Serve is set requests are still taken.
-type DrainOrder struct {
+// DrainRequest starts a drain. If Serve is set, the target continues to accept requests.
+type DrainRequest struct {
 	Serve bool `json:"serve,omitempty"`
 }
 
-// SnapshotChange adds a snapshot to a service, or drops one. Shards is what
-// the target holds in it, if that differs from the shards it holds in general.
+// SnapshotChange adds a snapshot to a service, or drops one. Shards lists the shards held in the
+// snapshot if they differ from the service's default.
 type SnapshotChange struct {
 	Service  string   `json:"service"`
 	Snapshot uint64   `json:"snapshot"`
@@ -31,9 +31,8 @@
 	Drop     bool     `json:"drop,omitempty"`
 }
 
-// controlHandler returns the stand-in's own paths alone. Served on a listener
-// of their own, they stay reachable when all connections of the target are
-// taken.
+// controlHandler serves only the control paths. On a listener of its own they remain reachable
+// when the target's connection limit is reached.
 func (t *Target) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	t.handleControl(mux)
@@ -44,26 +43,26 @@
 	mux.HandleFunc("GET "+PathExecutions, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Executions()) })
 	mux.HandleFunc("GET "+PathCounters, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Counters()) })
 	mux.HandleFunc("GET "+PathFaults, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Faults()) })
-	mux.HandleFunc("POST "+PathFaults, order(func(f Faults) error {
+	mux.HandleFunc("POST "+PathFaults, controlCall(func(f Faults) error {
 		if err := f.Validate(); err != nil {
 			return err
 		}
 		t.SetFaults(f)
 		return nil
 	}))
-	mux.HandleFunc("POST "+PathDrain, order(func(d DrainOrder) error {
+	mux.HandleFunc("POST "+PathDrain, controlCall(func(d DrainRequest) error {
 		t.Drain(d.Serve)
 		return nil
 	}))
-	mux.HandleFunc("POST "+PathRestart, order(func(struct{}) error {
+	mux.HandleFunc("POST "+PathRestart, controlCall(func(struct{}) error {
 		t.Restart()
 		return nil
 	}))
-	mux.HandleFunc("POST "+PathSnapshots, order(t.changeSnapshot))
+	mux.HandleFunc("POST "+PathSnapshots, controlCall(t.changeSnapshot))
 }
 
 func (t *Target) changeSnapshot(c SnapshotChange) error {
-	if !t.serves(c.Service) {
+	if !t.servesService(c.Service) {
 		return Error.New("service %q is not served here", c.Service)
 	}
 	if c.Drop {
@@ -74,12 +73,12 @@
 	return nil
 }
 
-// order wraps a control call: a JSON body, which may be empty, and no answer
-// but an error.
-func order[T any](do func(T) error) http.HandlerFunc {
+// controlCall decodes the JSON body of a control call, which may be empty, and reports only
+// errors.
+func controlCall[T any](do func(T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var body T
-		d := json.NewDecoder(io.LimitReader(r.Body, maxBody))
+		d := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 		d.DisallowUnknownFields()
 		err := d.Decode(&body)
 		if err == nil || errors.Is(err, io.EOF) {
--- a/internal/standin/target/counters.go
+++ b/internal/standin/target/counters.go
@@ -8,28 +8,28 @@
 	"rhubarbwood.example/rhubarbwood/internal/unit"
 )
 
-// Result is how a shard request ended at the target.
+// Result is the outcome of a shard request at the target.
 type Result string
 
-// Results of shard requests.
+// Outcomes of shard requests.
 const (
 	ResultDone            Result = "done"
 	ResultSnapshotNotHeld Result = "snapshot_not_held"
 	ResultDraining        Result = "draining"
 	ResultShed            Result = "shed"
 	ResultRefusedAttempt  Result = "refused_attempt"
-	ResultBudget          Result = "budget" // told as shed
+	ResultBudget          Result = "budget" // budget expired; the response says shed
 	ResultCancelled       Result = "cancelled"
 	ResultFailed          Result = "failed"
 	ResultCut             Result = "cut"
 	ResultBad             Result = "bad_request"
-	ResultSpoiled         Result = "spoiled" // run, answer made wrong by a fault
+	ResultSpoiled         Result = "spoiled" // run, but a fault corrupted the answer
 )
 
-// Counters is what the target has seen so far.
+// Counters are the counters of a target.
 type Counters struct {
 	Requests           map[string]map[Result]uint64 `json:"requests"` // by kind
-	Received           uint64                       `json:"received"` // shard requests at arrival
+	Received           uint64                       `json:"received"` // shard requests, counted on arrival
 	Statuses           uint64                       `json:"statuses"`
 	Settles            uint64                       `json:"settles"`
 	Running            int                          `json:"running"`
@@ -40,11 +40,11 @@
 	ConnectionsOpened  uint64                       `json:"connections_opened"`
 	ConnectionsRefused uint64                       `json:"connections_refused"`
 	AfterDrain         uint64                       `json:"after_drain"`       // requests received since the drain began
-	LastAfterDrain     unit.Duration                `json:"last_after_drain"`  // from the drain to the last of them
-	AfterDrainTimes    []unit.Duration              `json:"after_drain_times"` // of the first of them, from the drain on
+	LastAfterDrain     unit.Duration                `json:"last_after_drain"`  // from the start of the drain to the latest of them
+	AfterDrainTimes    []unit.Duration              `json:"after_drain_times"` // from the start of the drain to each of the first ones, at most maxAfterDrainTimes
 }
 
-// Count returns the requests of all kinds that ended so.
+// Count returns the number of requests of all kinds with this result.
 func (c Counters) Count(r Result) uint64 {
 	var n uint64
 	for _, results := range c.Requests {
@@ -66,8 +66,8 @@
 	f(&c.c)
 }
 
-// received counts a shard request at arrival; drained is the time since the
-// drain began, negative if there is none.
+// received counts a shard request on arrival; drained is the time since the drain began, negative
+// if the target isn't draining.
 func (c *counters) received(drained time.Duration) {
 	c.update(func(c *Counters) {
 		c.Received++
@@ -94,7 +94,7 @@
 	})
 }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (t *Target) Counters() Counters {
 	t.counts.mu.Lock()
 	defer t.counts.mu.Unlock()
--- a/internal/standin/target/docs_test.go
+++ b/internal/standin/target/docs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The page names every field of the settings and of the faults.
+// docs/TARGETS.md must document every field of the settings and the faults.
 func TestPageNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/TARGETS.md")
 	if err != nil {
--- a/internal/standin/target/faults.go
+++ b/internal/standin/target/faults.go
@@ -7,48 +7,48 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// Freeze is where frozen requests stand still.
+// Freeze is the point at which requests freeze.
 type Freeze string
 
-// Freezes. A frozen request gets no answer until the faults change.
+// Freeze points. A frozen request gets no response until the faults change.
 const (
 	FreezeNone   Freeze = ""
-	FreezeBefore Freeze = "before" // before the request is looked at
-	FreezeAfter  Freeze = "after"  // after it has run
+	FreezeBefore Freeze = "before" // before the request is processed
+	FreezeAfter  Freeze = "after"  // after the request has run
 )
 
-// Faults are the failures in force. Probabilities are drawn for each request.
+// Faults are the injected faults. Probabilities are drawn for each request.
 type Faults struct {
-	LatencyFactor float64 `json:"latency_factor,omitempty"` // of the service time; 0: 1
-	LatencyShare  float64 `json:"latency_share,omitempty"`  // of requests that LatencyFactor is for; 0: all
+	LatencyFactor float64 `json:"latency_factor,omitempty"` // factor on the service time; 0: 1
+	LatencyShare  float64 `json:"latency_share,omitempty"`  // share of requests that LatencyFactor applies to; 0: all
 	Freeze        Freeze  `json:"freeze,omitempty"`
-	FreezeShare   float64 `json:"freeze_share,omitempty"`  // of requests that freeze; 0: all
-	FreezeStatus  bool    `json:"freeze_status,omitempty"` // the status does not answer either
-	Shed          float64 `json:"shed,omitempty"`          // refused with 503 shed, not run
-	Fail          float64 `json:"fail,omitempty"`          // 500 failed, run in vain
+	FreezeShare   float64 `json:"freeze_share,omitempty"`  // share of requests that freeze; 0: all
+	FreezeStatus  bool    `json:"freeze_status,omitempty"` // the status endpoint freezes too
+	Shed          float64 `json:"shed,omitempty"`          // rejected with 503 shed, not run
+	Fail          float64 `json:"fail,omitempty"`          // run without result, responds 500 failed
 	CutBefore     float64 `json:"cut_before,omitempty"`    // connection cut, not run
 	Cut           float64 `json:"cut,omitempty"`           // run, then the connection is cut
-	Crossed       float64 `json:"crossed,omitempty"`       // run, answered with the previous answer
-	Truncate      float64 `json:"truncate,omitempty"`      // run, body ends before its Content-Length
-	ShortJSON     float64 `json:"short_json,omitempty"`    // run, body is well delimited but cut JSON
-	ShortRows     float64 `json:"short_rows,omitempty"`    // run, a row is missing though counted
-	Status        string  `json:"status,omitempty"`        // state told in the status, whatever is true
-	HideLoad      bool    `json:"hide_load,omitempty"`     // the status tells load 0
+	Crossed       float64 `json:"crossed,omitempty"`       // run, responds with the previous answer
+	Truncate      float64 `json:"truncate,omitempty"`      // run, body is shorter than its Content-Length
+	ShortJSON     float64 `json:"short_json,omitempty"`    // run, Content-Length is correct but the JSON is truncated
+	ShortRows     float64 `json:"short_rows,omitempty"`    // run, one counted row is missing
+	Status        string  `json:"status,omitempty"`        // state reported by the status endpoint instead of the true one
+	HideLoad      bool    `json:"hide_load,omitempty"`     // the status endpoint reports load 0
 }
 
-// Validate returns every error of the faults.
+// Validate returns all errors of the faults.
 func (f Faults) Validate() error {
 	all := []error{
-		standin.Probability("latency_share", f.LatencyShare),
-		standin.Probability("freeze_share", f.FreezeShare),
-		standin.Probability("shed", f.Shed),
-		standin.Probability("fail", f.Fail),
-		standin.Probability("cut_before", f.CutBefore),
-		standin.Probability("cut", f.Cut),
-		standin.Probability("crossed", f.Crossed),
-		standin.Probability("truncate", f.Truncate),
-		standin.Probability("short_json", f.ShortJSON),
-		standin.Probability("short_rows", f.ShortRows),
+		standin.ValidateProbability("latency_share", f.LatencyShare),
+		standin.ValidateProbability("freeze_share", f.FreezeShare),
+		standin.ValidateProbability("shed", f.Shed),
+		standin.ValidateProbability("fail", f.Fail),
+		standin.ValidateProbability("cut_before", f.CutBefore),
+		standin.ValidateProbability("cut", f.Cut),
+		standin.ValidateProbability("crossed", f.Crossed),
+		standin.ValidateProbability("truncate", f.Truncate),
+		standin.ValidateProbability("short_json", f.ShortJSON),
+		standin.ValidateProbability("short_rows", f.ShortRows),
 	}
 	if f.LatencyFactor < 0 {
 		all = append(all, Error.New("latency_factor %g is negative", f.LatencyFactor))
@@ -66,16 +66,15 @@
 	return errors.Join(all...)
 }
 
-// share returns a share of requests as a probability: 0 means all.
-func share(s float64) float64 {
+// shareOrAll returns a share of requests as a probability; 0 stands for all requests.
+func shareOrAll(s float64) float64 {
 	if s == 0 {
 		return 1
 	}
 	return s
 }
 
-// SetFaults puts the faults in force in place of all earlier ones. Frozen
-// requests see the change at once.
+// SetFaults replaces all current faults. Frozen requests are notified at once.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,13 +83,13 @@
 	t.faultsChanged = make(chan struct{})
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (t *Target) Faults() Faults {
 	f, _ := t.faultsInForce()
 	return f
 }
 
-// faultsInForce also returns a channel that closes when the faults change.
+// faultsInForce returns the current faults and a channel that is closed when they change.
 func (t *Target) faultsInForce() (Faults, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/target/faults_test.go
+++ b/internal/standin/target/faults_test.go
@@ -17,7 +17,7 @@
 
 const second = unit.Duration(time.Second)
 
-// slowConfig is a target of one slot that takes a second for each request.
+// slowConfig returns a target with one slot and a service time of one second.
 func slowConfig() Config {
 	cfg := testConfig()
 	cfg.Slots = 1
@@ -26,8 +26,8 @@
 	return cfg
 }
 
-// background sends without waiting for the answer, and returns once nothing
-// moves any more.
+// background sends a request without waiting for the answer, and returns once all goroutines are
+// blocked.
 func (c *client) background(ctx context.Context, s sent) <-chan received {
 	got := make(chan received, 1)
 	go func() { got <- c.send(ctx, s) }()
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := testConfig()
-		cfg.Slots = 100 // all thaw at once, and none is to be shed
+		cfg.Slots = 100 // all requests resume at once, and none must be shed
 		tgt := New(cfg)
 		tgt.SetFaults(Faults{Freeze: FreezeBefore, FreezeShare: 0.5})
 		c := newClient(tgt)
@@ -166,11 +166,11 @@
 		tgt.Drain(false)
 		time.Sleep(time.Millisecond)
 		is.Equal(c.send(t.Context(), search()).rejection.Code, targetapi.CodeDraining)
-		is.Equal((<-running).status, http.StatusOK) // taken before the drain
+		is.Equal((<-running).status, http.StatusOK) // accepted before the drain
 		is.Equal(tgt.Status().State, targetapi.StateDraining)
 		is.Equal(tgt.Counters().AfterDrainTimes, []unit.Duration{unit.Duration(time.Millisecond)})
 		tgt.Drain(true)
-		is.Equal(c.send(t.Context(), search()).status, http.StatusOK) // still served, and counted
+		is.Equal(c.send(t.Context(), search()).status, http.StatusOK) // still accepted, and counted
 		is.Equal(tgt.Counters().AfterDrain, uint64(2))
 		tgt.Restart()
 		is.Equal(tgt.Status().State, targetapi.StateReady)
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -10,10 +10,10 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-const maxBody = 1 << 16
+const maxBodyBytes = 1 << 16
 
-// Handler returns the HTTP interface of the target. The limit and the cost of
-// connections are the server's, see NewServer.
+// Handler returns the HTTP handler of the target. The limit and the time cost of connections are
+// implemented by the server, see NewServer.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+targetapi.PathShard, t.serveShard)
@@ -26,11 +26,11 @@
 }
 
 func (t *Target) serveShard(w http.ResponseWriter, r *http.Request) {
-	drained, _ := t.drained()
+	drained, _ := t.drainState()
 	t.counts.received(drained)
-	// The whole body is read first, because the server notices a client that
-	// has gone only then.
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	// The whole body is read first because the server detects a disconnected client only after
+	// that.
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		t.counts.ended("", ResultCancelled)
 		panic(http.ErrAbortHandler)
@@ -43,10 +43,10 @@
 	}
 	out := t.run(r.Context(), req)
 	t.counts.ended(req.Kind, out.result)
-	write(w, out)
+	writeReply(w, out)
 }
 
-func write(w http.ResponseWriter, out reply) {
+func writeReply(w http.ResponseWriter, out reply) {
 	if out.status == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -54,7 +54,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	w.WriteHeader(out.status)
-	_, _ = w.Write(out.body) // the client may have gone
+	_, _ = w.Write(out.body) // the client may have disconnected
 	if length > len(out.body) {
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -132,5 +132,5 @@
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the client may have gone
+	_ = json.NewEncoder(w).Encode(body) // the client may have disconnected
 }
--- a/internal/standin/target/journal.go
+++ b/internal/standin/target/journal.go
@@ -8,15 +8,14 @@
 	"os"
 )
 
-// refusalSuffix is added to the execution log's name for the file of the
-// attempts that were settled as never run.
+// refusalSuffix is appended to the path of the execution log; that file lists the attempts that
+// were settled as never run.
 const refusalSuffix = ".refused"
 
-// journal is the two files in which a target keeps what it knows of attempts,
-// so that it outlives the process. A nil journal keeps nothing.
-//
-// A file that cannot be written would make every count of runs untrue, so the
-// target does not go on.
+// journal persists executions and refused attempts in two files, so that they survive a restart of
+// the process. A nil journal persists nothing.
+// The target panics if a write fails, because a missing record would falsify the number of
+// executions.
 type journal struct {
 	executions *os.File
 	refusals   *os.File
@@ -26,19 +25,19 @@
 	AttemptID string `json:"attempt_id"`
 }
 
-// open reads what an earlier process wrote, and writes to the same files from
-// now on. An empty path keeps everything in memory.
+// open restores the state from the files of an earlier process and appends to them from then on.
+// An empty path keeps everything in memory.
 func (r *reservations) open(path string) error {
 	if path == "" {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	executions, err := openLines(path, r.restoreExecutionLocked)
+	executions, err := openJSONLines(path, r.restoreExecutionLocked)
 	if err != nil {
 		return err
 	}
-	refusals, err := openLines(path+refusalSuffix, r.restoreRefusalLocked)
+	refusals, err := openJSONLines(path+refusalSuffix, r.restoreRefusalLocked)
 	if err != nil {
 		return errors.Join(err, executions.Close())
 	}
@@ -59,7 +58,7 @@
 
 func (r *reservations) restoreExecutionLocked(e Execution) {
 	if e.Granted {
-		r.takeLocked(e.Item)
+		r.takeStockLocked(e.Item)
 	}
 	r.executions = append(r.executions, e)
 	r.attempts[e.AttemptID] = &attempt{answer: e.answer()}
@@ -69,21 +68,20 @@
 	r.attempts[old.AttemptID] = &attempt{refused: true}
 }
 
-func (j *journal) ran(e Execution) {
+func (j *journal) appendExecution(e Execution) {
 	if j != nil {
-		appendLine(j.executions, e)
+		appendJSONLine(j.executions, e)
 	}
 }
 
-func (j *journal) refused(attemptID string) {
+func (j *journal) appendRefusal(attemptID string) {
 	if j != nil {
-		appendLine(j.refusals, refusal{attemptID})
+		appendJSONLine(j.refusals, refusal{attemptID})
 	}
 }
 
-// openLines opens a file of JSON lines for appending and hands over the lines
-// that are there.
-func openLines[T any](path string, line func(T)) (*os.File, error) {
+// openJSONLines opens a file of JSON lines for appending and calls line for each existing line.
+func openJSONLines[T any](path string, line func(T)) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, Error.New("open execution log: %w", err)
@@ -102,7 +100,7 @@
 	}
 }
 
-func appendLine(f *os.File, v any) {
+func appendJSONLine(f *os.File, v any) {
 	line, err := json.Marshal(v)
 	if err == nil {
 		_, err = f.Write(append(line, '\n'))
--- a/internal/standin/target/rows.go
+++ b/internal/standin/target/rows.go
@@ -19,16 +19,16 @@
 	"Introdução ao direito", "Gramática da língua portuguesa", "História do Nordeste", "Álgebra linear",
 }
 
-// Rows returns the rows of one shard in one snapshot whose value contains the
-// text, whatever its case; the empty text matches all. Best score first. The
-// rows depend on the arguments alone, so that a checker can make them too, and
-// each value names its snapshot: "Kantha quilt (snapshot 7)".
+// Rows returns the rows of one shard in one snapshot whose value contains the text, ignoring case,
+// in descending order of score. An empty text matches all rows. The rows depend only on the
+// arguments, so that a test can compute the expected rows, and each value names its snapshot:
+// "Kantha quilt (snapshot 7)".
 func Rows(service string, shard uint32, snapshot uint64, perShard int, text string) []targetapi.Row {
-	return filter(makeRows(service, shard, snapshot, perShard), text)
+	return filterRows(generateRows(service, shard, snapshot, perShard), text)
 }
 
-// filter returns the rows whose value contains the text, in their order.
-func filter(rows []targetapi.Row, text string) []targetapi.Row {
+// filterRows returns the rows whose value contains the text, in their original order.
+func filterRows(rows []targetapi.Row, text string) []targetapi.Row {
 	if text == "" {
 		return rows
 	}
@@ -42,10 +42,10 @@
 	return found
 }
 
-func makeRows(service string, shard uint32, snapshot uint64, perShard int) []targetapi.Row {
+func generateRows(service string, shard uint32, snapshot uint64, perShard int) []targetapi.Row {
 	rows := make([]targetapi.Row, perShard)
 	for n := range rows {
-		rows[n] = makeRow(service, shard, snapshot, n)
+		rows[n] = generateRow(service, shard, snapshot, n)
 	}
 	slices.SortFunc(rows, func(a, b targetapi.Row) int {
 		if c := cmp.Compare(b.Score, a.Score); c != 0 {
@@ -56,7 +56,7 @@
 	return rows
 }
 
-func makeRow(service string, shard uint32, snapshot uint64, n int) targetapi.Row {
+func generateRow(service string, shard uint32, snapshot uint64, n int) targetapi.Row {
 	key := fmt.Sprintf("%s/%d/%d", service, shard, n)
 	hash := xxhash.Sum64String(key)
 	scored := xxhash.Sum64String(fmt.Sprintf("%s@%d", key, snapshot))
@@ -73,18 +73,18 @@
 	snapshot uint64
 }
 
-// allRows returns every row of the shard, kept from the first use on.
-func (t *Target) allRows(k shardKey) []targetapi.Row {
+// cachedRows returns all rows of the shard, generating them at the first use.
+func (t *Target) cachedRows(k shardKey) []targetapi.Row {
 	if rows, ok := t.rows.Load(k); ok {
 		return rows.([]targetapi.Row)
 	}
-	rows := makeRows(k.service, k.shard, k.snapshot, t.cfg.RowsPerShard)
+	rows := generateRows(k.service, k.shard, k.snapshot, t.cfg.RowsPerShard)
 	t.rows.Store(k, rows)
 	return rows
 }
 
-// forgetRows drops the rows kept of a snapshot.
-func (t *Target) forgetRows(service string, snapshot uint64) {
+// dropCachedRows removes the cached rows of a snapshot.
+func (t *Target) dropCachedRows(service string, snapshot uint64) {
 	t.rows.Range(func(key, _ any) bool {
 		if k := key.(shardKey); k.service == service && k.snapshot == snapshot {
 			t.rows.Delete(k)
@@ -93,10 +93,10 @@
 	})
 }
 
-// search returns the rows that match, best first and at most limit of them
-// unless it is 0, and how many match in all.
+// search returns the matching rows in descending order of score, at most limit of them unless
+// limit is 0, and the total number of matches.
 func (t *Target) search(k shardKey, text string, limit int) ([]targetapi.Row, int) {
-	rows := filter(t.allRows(k), text)
+	rows := filterRows(t.cachedRows(k), text)
 	total := len(rows)
 	if limit > 0 && limit < total {
 		rows = rows[:limit]
--- a/internal/standin/target/run.go
+++ b/internal/standin/target/run.go
@@ -9,17 +9,16 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// shardRequest is one request read from the wire.
+// shardRequest is one decoded request.
 type shardRequest struct {
 	targetapi.Request
 	requestID string
 	attemptID string
 	key       shardKey
-	deadline  time.Time // zero: no budget named
+	deadline  time.Time // zero: no budget given
 }
 
-// reply is what a request ends with. A zero status means that the connection
-// is cut.
+// reply is the outcome of one request. Status zero cuts the connection.
 type reply struct {
 	status int
 	result Result
@@ -27,61 +26,61 @@
 	length int // Content-Length, if longer than the body
 }
 
-// rejection is the answer to a request that was not run, or failed. It names
-// the attempt, so that the relay can tell a crossed one.
+// rejection is the response to a request that was not run or that failed. It names the attempt, so
+// that the relay can detect a response to another attempt.
 func rejection(r shardRequest, status int, result Result, rej targetapi.Rejection) reply {
 	rej.AttemptID = r.attemptID
-	body, _ := json.Marshal(rej) // plain fields cannot fail
+	body, _ := json.Marshal(rej) // plain fields always encode
 	return reply{status: status, result: result, body: body}
 }
 
-func (t *Target) shed(r shardRequest, result Result) reply {
+func (t *Target) shedReply(r shardRequest, result Result) reply {
 	return rejection(r, http.StatusServiceUnavailable, result, targetapi.Rejection{
 		Code:         targetapi.CodeShed,
 		RetryAfterMS: t.cfg.RetryAfter.Std().Milliseconds(),
 	})
 }
 
-func refusedAttempt(r shardRequest) reply {
+func refusedAttemptReply(r shardRequest) reply {
 	return rejection(r, http.StatusConflict, ResultRefusedAttempt, targetapi.Rejection{Code: targetapi.CodeRefusedAttempt})
 }
 
-func failed(r shardRequest) reply {
+func failedReply(r shardRequest) reply {
 	return rejection(r, http.StatusInternalServerError, ResultFailed, targetapi.Rejection{Code: targetapi.CodeFailed})
 }
 
-func cut(result Result) reply { return reply{result: result} }
+func cutConnection(result Result) reply { return reply{result: result} }
 
-// run takes one request through admission, execution and the faults.
+// run takes one request through admission, execution and fault injection.
 func (t *Target) run(ctx context.Context, r shardRequest) reply {
 	if !t.waitWhileFrozen(ctx, FreezeBefore) {
-		return cut(ResultCancelled)
+		return cutConnection(ResultCancelled)
 	}
-	if rej, ok := t.refuse(r); ok {
+	if rej, ok := t.reject(r); ok {
 		return rej
 	}
-	switch t.slots.acquire(ctx, remaining(r.deadline)) {
+	switch t.slots.acquire(ctx, remainingBudget(r.deadline)) {
 	case queueFull:
-		return t.shed(r, ResultShed)
-	case budgetOut:
-		return t.shed(r, ResultBudget)
-	case abandoned:
-		return cut(ResultCancelled)
+		return t.shedReply(r, ResultShed)
+	case budgetExpired:
+		return t.shedReply(r, ResultBudget)
+	case clientGone:
+		return cutConnection(ResultCancelled)
 	}
 	out := t.execute(ctx, r)
 	t.slots.release()
 	if !t.waitWhileFrozen(ctx, FreezeAfter) {
-		return cut(ResultCancelled)
+		return cutConnection(ResultCancelled)
 	}
 	return out
 }
 
-// waitWhileFrozen waits while requests are frozen at this point. It reports false if the
-// client went.
+// waitWhileFrozen blocks while requests are frozen at the given point. It returns false if the
+// client disconnects.
 func (t *Target) waitWhileFrozen(ctx context.Context, at Freeze) bool {
 	for {
 		f, changed := t.faultsInForce()
-		if f.Freeze != at || !t.rng.Chance(share(f.FreezeShare)) {
+		if f.Freeze != at || !t.rng.Chance(shareOrAll(f.FreezeShare)) {
 			return true
 		}
 		select {
@@ -92,30 +91,30 @@
 	}
 }
 
-// refuse returns the rejection of a request that must not be queued.
-func (t *Target) refuse(r shardRequest) (reply, bool) {
+// reject returns the rejection of a request that must not be queued.
+func (t *Target) reject(r shardRequest) (reply, bool) {
 	f := t.Faults()
 	if t.rng.Chance(f.CutBefore) {
-		return cut(ResultCut), true
+		return cutConnection(ResultCut), true
 	}
-	if _, refuses := t.drained(); refuses {
+	if _, refuses := t.drainState(); refuses {
 		return rejection(r, http.StatusServiceUnavailable, ResultDraining, targetapi.Rejection{
 			Code:         targetapi.CodeDraining,
 			RetryAfterMS: t.cfg.RetryAfter.Std().Milliseconds(),
 		}), true
 	}
 	if t.rng.Chance(f.Shed) {
-		return t.shed(r, ResultShed), true
+		return t.shedReply(r, ResultShed), true
 	}
-	return t.refuseHoldings(r)
+	return t.rejectNotHeld(r)
 }
 
-// refuseHoldings rejects what the target does not hold. Reservations belong to
-// a service and not to a shard of a snapshot.
-func (t *Target) refuseHoldings(r shardRequest) (reply, bool) {
-	held, snapshots := t.holds(r.key)
+// rejectNotHeld rejects requests for a shard or snapshot that the target does not hold. A
+// reservation needs only the service, as it doesn't belong to a shard of a snapshot.
+func (t *Target) rejectNotHeld(r shardRequest) (reply, bool) {
+	held, snapshots := t.holdsShard(r.key)
 	if r.Kind == targetapi.KindReserve {
-		held = t.serves(r.key.service)
+		held = t.servesService(r.key.service)
 	}
 	if held {
 		return reply{}, false
@@ -126,37 +125,36 @@
 	}), true
 }
 
-// remaining returns the time left until the deadline, never negative, or -1 if
-// there is no deadline.
-func remaining(deadline time.Time) time.Duration {
+// remainingBudget returns the time until the deadline, at least 0, or -1 if there is no deadline.
+func remainingBudget(deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return -1
 	}
 	return max(0, time.Until(deadline))
 }
 
-// execute runs a request that has a slot.
+// execute runs a request that has acquired a slot.
 func (t *Target) execute(ctx context.Context, r shardRequest) reply {
 	if ctx.Err() != nil {
-		return cut(ResultCancelled)
+		return cutConnection(ResultCancelled)
 	}
-	if remaining(r.deadline) == 0 {
-		return t.shed(r, ResultBudget)
+	if remainingBudget(r.deadline) == 0 {
+		return t.shedReply(r, ResultBudget)
 	}
 	if r.Kind == targetapi.KindReserve {
 		return t.reserve(r)
 	}
-	if !t.work(ctx) {
-		return cut(ResultCancelled)
+	if !t.simulateWork(ctx) {
+		return cutConnection(ResultCancelled)
 	}
-	answer := r.echo()
+	answer := r.emptyAnswer()
 	answer.Rows, answer.TotalRows = t.search(r.key, r.Text, r.Limit)
 	answer.RowCount = len(answer.Rows)
-	return t.reply(r, answer)
+	return t.encodeAnswer(r, answer)
 }
 
-// work takes the service time. It reports false if the client went.
-func (t *Target) work(ctx context.Context) bool {
+// simulateWork sleeps for the service time. It returns false if the client disconnects.
+func (t *Target) simulateWork(ctx context.Context) bool {
 	d := t.serviceTime()
 	if d <= 0 {
 		return true
@@ -171,18 +169,18 @@
 	}
 }
 
-// reserve runs a reservation to its end, even if the client goes: the
-// execution is logged at its beginning.
+// reserve runs a reservation to its end even if the client disconnects, because the execution is
+// logged when it begins.
 func (t *Target) reserve(r shardRequest) reply {
 	e, ok := t.reservations.begin(t.execution(r))
 	if !ok {
-		return refusedAttempt(r)
+		return refusedAttemptReply(r)
 	}
-	t.work(context.Background())
+	t.simulateWork(context.Background())
 	answer := e.answer()
 	answer.Shard, answer.Snapshot = r.key.shard, r.key.snapshot
 	t.reservations.finish(answer)
-	return t.reply(r, answer)
+	return t.encodeAnswer(r, answer)
 }
 
 func (t *Target) execution(r shardRequest) Execution {
@@ -199,7 +197,7 @@
 	}
 }
 
-func (r shardRequest) echo() targetapi.Answer {
+func (r shardRequest) emptyAnswer() targetapi.Answer {
 	return targetapi.Answer{
 		RequestID: r.requestID,
 		AttemptID: r.attemptID,
@@ -210,48 +208,48 @@
 	}
 }
 
-// reply writes the answer, spoiled by the faults that concern answers.
-func (t *Target) reply(r shardRequest, a targetapi.Answer) reply {
+// encodeAnswer encodes the answer and applies the faults that alter responses.
+func (t *Target) encodeAnswer(r shardRequest, a targetapi.Answer) reply {
 	f := t.Faults()
 	if t.rng.Chance(f.Fail) {
-		return failed(r)
+		return failedReply(r)
 	}
 	if t.rng.Chance(f.Cut) {
-		return cut(ResultCut)
+		return cutConnection(ResultCut)
 	}
 	short := len(a.Rows) > 0 && t.rng.Chance(f.ShortRows)
 	if short {
 		a.Rows = a.Rows[:len(a.Rows)-1]
 	}
-	body, _ := json.Marshal(a) // plain fields cannot fail
+	body, _ := json.Marshal(a) // plain fields always encode
 	if short {
-		return spoiled(body, len(body))
+		return corruptReply(body, len(body))
 	}
-	return t.spoil(f, body)
+	return t.corrupt(f, body)
 }
 
-func (t *Target) spoil(f Faults, body []byte) reply {
-	previous := t.remember(body)
+func (t *Target) corrupt(f Faults, body []byte) reply {
+	previous := t.swapPrevious(body)
 	switch {
 	case previous != nil && t.rng.Chance(f.Crossed):
-		return spoiled(previous, len(previous))
+		return corruptReply(previous, len(previous))
 	case t.rng.Chance(f.Truncate):
-		return spoiled(body[:len(body)/2], len(body))
+		return corruptReply(body[:len(body)/2], len(body))
 	case t.rng.Chance(f.ShortJSON):
-		return spoiled(body[:len(body)/2], len(body)/2)
+		return corruptReply(body[:len(body)/2], len(body)/2)
 	}
 	return reply{status: http.StatusOK, result: ResultDone, body: body, length: len(body)}
 }
 
-func spoiled(body []byte, length int) reply {
+func corruptReply(body []byte, length int) reply {
 	return reply{status: http.StatusOK, result: ResultSpoiled, body: body, length: length}
 }
 
-// remember keeps the body and returns the one before it.
-func (t *Target) remember(body []byte) []byte {
+// swapPrevious stores the body and returns the previously stored one.
+func (t *Target) swapPrevious(body []byte) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	previous := t.previous
-	t.previous = body
+	previous := t.previousBody
+	t.previousBody = body
 	return previous
 }
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -11,8 +11,8 @@
 
 const headerTimeout = 10 * time.Second
 
-// Server serves a target on a listener over HTTP/1.1 and h2c, with the
-// target's limit and cost of connections.
+// Server serves a target on a listener over HTTP/1.1 and h2c, and applies the target's connection
+// limit and connection cost.
 type Server struct {
 	http    http.Server
 	control http.Server
@@ -31,8 +31,8 @@
 	}
 }
 
-// Serve answers requests until Shutdown; it then returns nil. It also opens
-// the control listener, if one is configured.
+// Serve handles requests until Shutdown and then returns nil. It also opens the control listener,
+// if one is configured.
 func (s *Server) Serve(ln net.Listener) error {
 	if err := s.listenControl(); err != nil {
 		return err
@@ -52,12 +52,11 @@
 	if err != nil {
 		return Error.New("listen for control: %w", err)
 	}
-	go func() { _ = s.ServeControl(ln) }() // ends with Shutdown
+	go func() { _ = s.ServeControl(ln) }() // returns at Shutdown
 	return nil
 }
 
-// ServeControl answers the stand-in's own paths on another listener until
-// Shutdown; it then returns nil.
+// ServeControl serves the control paths on another listener until Shutdown, and then returns nil.
 func (s *Server) ServeControl(ln net.Listener) error {
 	if err := s.control.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return Error.New("serve control: %w", err)
@@ -65,8 +64,8 @@
 	return nil
 }
 
-// Shutdown takes no more connections and waits for the requests in flight;
-// once ctx ends they are cut.
+// Shutdown stops accepting connections and waits for the requests in flight; it cuts them when ctx
+// ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
@@ -75,7 +74,7 @@
 	return errors.Join(err, Error.Wrap(s.control.Close()))
 }
 
-// listener closes connections over the limit at once and counts the others.
+// listener closes connections beyond the limit right after accepting them and counts the others.
 type listener struct {
 	net.Listener
 	target *Target
@@ -91,12 +90,11 @@
 		if l.target.connectionOpened() {
 			return &conn{Conn: c, target: l.target}, nil
 		}
-		_ = c.Close() // refused: nothing was said on it
+		_ = c.Close() // refused before any byte is exchanged
 	}
 }
 
-// connectionOpened counts a connection. It reports false if it is one too
-// many.
+// connectionOpened counts a connection. It returns false if the limit is reached.
 func (t *Target) connectionOpened() (ok bool) {
 	t.counts.update(func(c *Counters) {
 		if t.cfg.Connections > 0 && c.Connections >= t.cfg.Connections {
@@ -113,7 +111,7 @@
 
 func (t *Target) connectionClosed() { t.counts.update(func(c *Counters) { c.Connections-- }) }
 
-// conn delays its first read by the cost of a new connection.
+// conn delays its first read by the connection cost.
 type conn struct {
 	net.Conn
 	target *Target
@@ -121,13 +119,13 @@
 	closed sync.Once
 }
 
-// Read waits for the cost of the connection when it is called first.
+// Read sleeps for the connection cost on the first call.
 func (c *conn) Read(b []byte) (int, error) {
 	c.opened.Do(func() { time.Sleep(c.target.cfg.ConnectionCost.Std()) })
 	return c.Conn.Read(b)
 }
 
-// Close counts the connection as closed.
+// Close closes the connection and counts it once.
 func (c *conn) Close() error {
 	c.closed.Do(c.target.connectionClosed)
 	return c.Conn.Close()
--- a/internal/standin/target/server_test.go
+++ b/internal/standin/target/server_test.go
@@ -19,8 +19,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// post makes a call of the target's other paths and decodes its answer into
-// out, unless that is nil.
+// post calls one of the target's control paths and decodes the response body into out, unless out
+// is nil.
 func (c *client) post(path, body string, out any) int {
 	resp, err := c.http.Post("http://"+c.host+path, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -33,7 +33,7 @@
 	return resp.StatusCode
 }
 
-// running serves a target on loopback until the test ends.
+// running is a target that is served on loopback until the test ends.
 type running struct {
 	*Server
 	address string
@@ -51,7 +51,7 @@
 	return r
 }
 
-// transport speaks only HTTP/1.1 or only HTTP/2.
+// transport returns a transport that speaks only HTTP/1.1 or only HTTP/2.
 func transport(h2 bool) *http.Transport {
 	var p http.Protocols
 	p.SetHTTP1(!h2)
@@ -99,7 +99,7 @@
 	is.Equal(c.ConnectionsMax, 1)
 }
 
-// A cut, and a cancelled wait, reach the other side over both protocols.
+// A cut connection and a cancelled request must reach the peer over both protocols.
 func TestCutAndCancelOverTheWire(t *testing.T) {
 	for _, h2 := range []bool{false, true} {
 		is := is.New(t)
@@ -125,7 +125,8 @@
 	}
 }
 
-// A client that goes before its body has come has not sent a bad request.
+// A request whose client disconnects before sending the whole body counts as cancelled, not as a
+// bad request.
 func TestGoneBeforeItsBodyIsCancelled(t *testing.T) {
 	is := is.New(t)
 	tgt := New(testConfig())
@@ -152,7 +153,7 @@
 		until(t, func() bool { return len(tgt.Executions()) == 1 })
 		stopped := make(chan error, 1)
 		go func() { stopped <- srv.Shutdown(t.Context()) }()
-		is.NoErr(<-srv.served) // takes no more
+		is.NoErr(<-srv.served) // accepts no more connections
 		tgt.SetFaults(Faults{})
 		is.True((<-got).answer.Granted)
 		is.NoErr(<-stopped)
@@ -210,7 +211,7 @@
 	tgt := New(cfg)
 	is.NoErr(tgt.OpenLog())
 	c := newClient(tgt)
-	tgt.SetFaults(Faults{Freeze: FreezeAfter}) // no answer, but a line
+	tgt.SetFaults(Faults{Freeze: FreezeAfter}) // no response, but the connection stays open
 	ctx, cancel := context.WithCancel(t.Context())
 	got := make(chan received, 1)
 	go func() { got <- c.send(ctx, reserve("a1")) }()
@@ -243,5 +244,5 @@
 	is.Equal(second.Executions(), first.Executions())
 	is.Equal(second.reservations.settle("ran"), targetapi.Settlement{AttemptID: "ran", Ran: true, Answer: granted})
 	is.Equal(c.send(t.Context(), reserve("refused")).rejection.Code, targetapi.CodeRefusedAttempt)
-	is.True(!c.send(t.Context(), reserve("other")).answer.Granted) // the stock is gone
+	is.True(!c.send(t.Context(), reserve("other")).answer.Granted) // the stock is used up
 }
--- a/internal/standin/target/slots.go
+++ b/internal/standin/target/slots.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// admission is how the wait for a slot ended.
+// admission is the result of acquiring a slot.
 type admission uint8
 
 const (
-	admitted  admission = iota
-	queueFull           // at once: too many wait already
-	budgetOut           // the budget ended in the queue
-	abandoned           // the client went
+	admitted      admission = iota
+	queueFull               // rejected at once, as the queue is full
+	budgetExpired           // the budget expired in the queue
+	clientGone              // the client disconnected in the queue
 )
 
-// slots runs a bounded number of requests at once and queues a bounded number
-// of others, first come first served.
+// slots limits the number of concurrent requests and queues a limited number of others in FIFO
+// order.
 type slots struct {
 	mu         sync.Mutex
 	size       int
@@ -27,11 +27,10 @@
 	queue      []chan struct{}
 }
 
-// acquire waits for a slot until ctx or the budget ends. A negative budget has
-// no end.
+// acquire waits for a slot until ctx ends or the budget expires. A negative budget never expires.
 func (s *slots) acquire(ctx context.Context, budget time.Duration) admission {
-	turn, result := s.enter()
-	if turn == nil {
+	granted, result := s.acquireOrEnqueue()
+	if granted == nil {
 		return result
 	}
 	var ended <-chan time.Time
@@ -41,20 +40,20 @@
 		ended = timer.C
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return admitted
 	case <-ended:
-		result = budgetOut
+		result = budgetExpired
 	case <-ctx.Done():
-		result = abandoned
+		result = clientGone
 	}
-	s.leave(turn)
+	s.cancelWait(granted)
 	return result
 }
 
-// enter takes a free slot or a place in the queue. The channel is nil when
-// there is nothing to wait for.
-func (s *slots) enter() (chan struct{}, admission) {
+// acquireOrEnqueue takes a free slot or a place in the queue. The channel is nil if there is
+// nothing to wait for.
+func (s *slots) acquireOrEnqueue() (chan struct{}, admission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running < s.size {
@@ -64,16 +63,16 @@
 	if len(s.queue) >= s.queueLimit {
 		return nil, queueFull
 	}
-	turn := make(chan struct{})
-	s.queue = append(s.queue, turn)
-	return turn, admitted
+	granted := make(chan struct{})
+	s.queue = append(s.queue, granted)
+	return granted, admitted
 }
 
-// leave gives up a place in the queue, or the slot if it was given meanwhile.
-func (s *slots) leave(turn chan struct{}) {
+// cancelWait leaves the queue, or releases the slot if it was assigned in the meantime.
+func (s *slots) cancelWait(granted chan struct{}) {
 	s.mu.Lock()
 	for i, q := range s.queue {
-		if q == turn {
+		if q == granted {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
 			s.mu.Unlock()
 			return
@@ -83,7 +82,7 @@
 	s.release()
 }
 
-// release gives the slot back, to the first in the queue if there is one.
+// release frees the slot, or assigns it to the first waiter in the queue.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,10 +90,10 @@
 	if len(s.queue) == 0 {
 		return
 	}
-	turn := s.queue[0]
+	granted := s.queue[0]
 	s.queue = s.queue[1:]
 	s.startLocked()
-	close(turn)
+	close(granted)
 }
 
 func (s *slots) startLocked() {
@@ -102,8 +101,8 @@
 	s.runningMax = max(s.runningMax, s.running)
 }
 
-// load returns the running and the queued requests, and the most that ever ran
-// at once.
+// load returns the numbers of running and queued requests, and the maximum number of concurrent
+// requests so far.
 func (s *slots) load() (running, queued, runningMax int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,3 +1,7 @@
+// Package target is a stand-in for a target: it serves shard requests over HTTP/1.1 and h2c with a
+// limited number of slots and connections, logs every execution of a reservation, and injects
+// faults. Its rows are generated; there is no real index. docs/TARGETS.md describes the interface.
+// Begin with Target and Target.Handler.
 package target
 
 import (
@@ -10,8 +14,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/targetapi"
 )
 
-// Target is the stand-in of one target. Every method is safe for concurrent
-// use.
+// Target is a stand-in for one target. All methods are safe for concurrent use.
 type Target struct {
 	cfg          Config
 	rng          *standin.Rand
@@ -22,24 +25,24 @@
 
 	mu            sync.Mutex
 	faults        Faults
-	faultsChanged chan struct{} // closes when the faults change
+	faultsChanged chan struct{} // closed when the faults change
 	services      map[string]Holdings
 	incarnation   uint64
 	started       time.Time
 	drainBegan    time.Time // zero: not draining
-	drainServes   bool      // draining, but still taking requests
-	history       []statusAt
-	previous      []byte // body of the last true answer
+	drainServes   bool      // draining, but still accepting requests
+	statusHistory []statusAt
+	previousBody  []byte // body of the latest correct answer
 }
 
-// statusAt is a status as it was from a time on.
+// statusAt is a status and the time from which it applied.
 type statusAt struct {
-	at     time.Time
+	since  time.Time
 	status targetapi.Status
 }
 
-// New returns a ready target with this configuration, which must be valid. It
-// starts no goroutine. The execution log's file is opened by OpenLog.
+// New returns a ready target. The configuration must be valid. New starts no goroutine; OpenLog
+// opens the file of the execution log.
 func New(cfg Config) *Target {
 	t := &Target{
 		cfg:           cfg,
@@ -59,22 +62,21 @@
 	return t
 }
 
-// OpenLog opens the execution log's file, if one is configured, and takes over
-// what an earlier process wrote there: executions, stock and settled attempts.
+// OpenLog opens the file of the execution log, if one is configured, and restores executions,
+// stock and settled attempts of an earlier process.
 func (t *Target) OpenLog() error { return t.reservations.open(t.cfg.ExecutionLog) }
 
-// CloseLog closes it.
+// CloseLog closes the file of the execution log.
 func (t *Target) CloseLog() error { return t.reservations.close() }
 
-// ID returns the target's id.
+// ID returns the target's ID.
 func (t *Target) ID() string { return t.cfg.ID }
 
-// Executions returns the reservations that ran, in order.
-func (t *Target) Executions() []Execution { return t.reservations.log() }
+// Executions returns the executed reservations in order.
+func (t *Target) Executions() []Execution { return t.reservations.executionLog() }
 
-// Drain begins a drain: new requests are refused as draining, those taken
-// already end. If serve is set the target says that it is draining, but still
-// takes requests and counts them.
+// Drain starts a drain: new requests are rejected as draining, and accepted ones finish. If serve
+// is set, the target reports that it is draining but still accepts requests and counts them.
 func (t *Target) Drain(serve bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,8 +87,8 @@
 	t.recordLocked()
 }
 
-// Restart ends a drain as a new start would: the incarnation grows and the
-// target is cold again. Stock and execution log stay.
+// Restart ends a drain like a restart of the process: the incarnation increases and the cold start
+// begins again. Stock and execution log are kept.
 func (t *Target) Restart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,45 +99,45 @@
 	t.recordLocked()
 }
 
-// AddSnapshot makes the target hold the snapshot of the service. With no
-// shards it holds those that it holds of the service in general.
+// AddSnapshot adds a snapshot of the service. Without shards, the target holds the service's
+// default shards in it.
 func (t *Target) AddSnapshot(service string, snapshot uint64, shards ...uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.services[service] = t.services[service].with(snapshot, shards)
+	t.services[service] = t.services[service].withSnapshot(snapshot, shards)
 	t.recordLocked()
 }
 
-// DropSnapshot makes the target hold the snapshot no longer.
+// DropSnapshot removes a snapshot of the service.
 func (t *Target) DropSnapshot(service string, snapshot uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.services[service] = t.services[service].without(snapshot)
+	t.services[service] = t.services[service].withoutSnapshot(snapshot)
 	t.recordLocked()
-	t.forgetRows(service, snapshot)
+	t.dropCachedRows(service, snapshot)
 }
 
-// holds reports whether the target holds the shard in the snapshot, and
-// returns the snapshots that it holds of the service.
-func (t *Target) holds(k shardKey) (bool, []uint64) {
+// holdsShard reports whether the target holds the shard in the snapshot, and returns the held snapshots
+// of the service.
+func (t *Target) holdsShard(k shardKey) (bool, []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.services[k.service]
-	shards, _ := h.in(k.snapshot)
+	shards, _ := h.shardsIn(k.snapshot)
 	return slices.Contains(shards, k.shard), h.Snapshots
 }
 
-// serves reports whether the target is one of the service.
-func (t *Target) serves(service string) bool {
+// servesService reports whether the target serves the service.
+func (t *Target) servesService(service string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, ok := t.services[service]
 	return ok
 }
 
-// drained returns the time since the drain began, negative if there is none,
-// and whether new requests are refused for it.
-func (t *Target) drained() (time.Duration, bool) {
+// drainState returns the time since the drain began, negative if the target isn't draining, and
+// whether new requests are rejected because of it.
+func (t *Target) drainState() (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.drainBegan.IsZero() {
@@ -144,8 +146,7 @@
 	return time.Since(t.drainBegan), !t.drainServes
 }
 
-// recordLocked adds the present state to the history that the status is told
-// from.
+// recordLocked appends the current state to the history from which the status is reported.
 func (t *Target) recordLocked() {
 	s := targetapi.Status{
 		ID:          t.cfg.ID,
@@ -161,13 +162,13 @@
 	for name, h := range t.services {
 		s.Snapshots[name] = h.Snapshots
 	}
-	t.history = append(t.history, statusAt{time.Now(), s})
+	t.statusHistory = append(t.statusHistory, statusAt{time.Now(), s})
 }
 
-// Status returns what the status endpoint tells: state and snapshots as old as
-// the lag, the load of now, and lies if the faults say so.
+// Status returns the response of the status endpoint: state and snapshots delayed by the status
+// lag, the current load, and the changes that the faults make to them.
 func (t *Target) Status() targetapi.Status {
-	s := t.lagging()
+	s := t.laggedStatus()
 	f := t.Faults()
 	running, queued, _ := t.slots.load()
 	s.Load = float64(running+queued) / float64(t.cfg.Slots)
@@ -180,23 +181,23 @@
 	return s
 }
 
-func (t *Target) lagging() targetapi.Status {
+func (t *Target) laggedStatus() targetapi.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	asOf := time.Now().Add(-t.cfg.StatusLag.Std())
-	for i := len(t.history) - 1; i > 0; i-- {
-		if !t.history[i].at.After(asOf) {
-			return t.history[i].status
+	for i := len(t.statusHistory) - 1; i > 0; i-- {
+		if !t.statusHistory[i].since.After(asOf) {
+			return t.statusHistory[i].status
 		}
 	}
-	return t.history[0].status
+	return t.statusHistory[0].status
 }
 
-// serviceTime draws the time of one request in a slot.
+// serviceTime draws the duration of one request in a slot.
 func (t *Target) serviceTime() time.Duration {
 	d := float64(t.rng.Draw(t.cfg.ServiceTime))
 	f := t.Faults()
-	if f.LatencyFactor > 0 && t.rng.Chance(share(f.LatencyShare)) {
+	if f.LatencyFactor > 0 && t.rng.Chance(shareOrAll(f.LatencyShare)) {
 		d *= f.LatencyFactor
 	}
 	return time.Duration(d * t.coldFactor())
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// client is a caller of a target without sockets.
+// client sends requests to a target without a socket.
 type client struct {
 	http http.Client
 	host string
@@ -43,7 +43,7 @@
 	return &client{http.Client{Transport: &tr}, testHost}
 }
 
-// untilLimit ends a test that would wait for ever; nothing is asserted on it.
+// untilLimit ends a test whose condition never holds; no test asserts on it.
 const untilLimit = 30 * time.Second
 
 // until waits for the condition.
@@ -74,8 +74,8 @@
 	}}
 }
 
-// received is what came back. Exactly one of answer, rejection and err is set,
-// by the status.
+// received is the outcome of a request. Depending on the status, exactly one of answer, rejection
+// and err is set.
 type received struct {
 	status    int
 	answer    targetapi.Answer
@@ -146,7 +146,7 @@
 	tgt.AddSnapshot(testService, 8, 1)
 	s := search()
 	s.snapshot = "8"
-	got := c.send(t.Context(), s) // shard 0 has moved away in snapshot 8
+	got := c.send(t.Context(), s) // shard 0 is on another target in snapshot 8
 	is.Equal(got.status, http.StatusConflict)
 	is.Equal(got.rejection.Code, targetapi.CodeSnapshotNotHeld)
 	is.Equal(got.rejection.Snapshots, []uint64{7, 8})
@@ -163,7 +163,7 @@
 	tgt := New(cfg)
 	c := newClient(tgt)
 	is.True(c.send(t.Context(), reserve("a1")).answer.Granted)
-	is.True(!c.send(t.Context(), reserve("a2")).answer.Granted) // out of stock, but it ran
+	is.True(!c.send(t.Context(), reserve("a2")).answer.Granted) // out of stock, but executed
 	log := tgt.Executions()
 	is.Equal(len(log), 2)
 	is.Equal(log[0], Execution{Target: "t1", Incarnation: 1, Service: testService, ReservationID: "r1", AttemptID: "a1",
--- a/internal/standin/transport.go
+++ b/internal/standin/transport.go
@@ -8,18 +8,17 @@
 	"sync"
 )
 
-// Transport is an http.RoundTripper that hands each request to a handler in
-// the same process, by the request's host. It needs no socket, so that tests
-// can run in virtual time. A handler that cuts the connection becomes
-// io.ErrUnexpectedEOF; a request whose context ends is given up at once, while
-// its handler runs on with the ended context.
+// Transport is an http.RoundTripper that passes each request to a handler in the same process,
+// selected by the request's host. It uses no socket, so that tests can run in virtual time. A
+// handler that aborts results in io.ErrUnexpectedEOF. A request returns as soon as its context
+// ends, while its handler continues with the ended context.
 type Transport struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 }
 
-// Handle makes the handler answer for the host. A nil handler takes the host
-// away: requests to it fail as a refused connection would.
+// Handle registers the handler of a host. A nil handler removes the host: requests to it then fail
+// like a refused connection.
 func (t *Transport) Handle(host string, h http.Handler) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,12 +38,12 @@
 	return t.handlers[host]
 }
 
-type roundTrip struct {
+type roundTripResult struct {
 	resp *http.Response
 	err  error
 }
 
-// RoundTrip runs the handler and returns its answer.
+// RoundTrip calls the handler and returns its response.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	h := t.handler(r.URL.Host)
 	if h == nil {
@@ -54,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	done := make(chan roundTrip, 1)
+	done := make(chan roundTripResult, 1)
 	go func() { done <- serveOnce(h, in) }()
 	select {
 	case out := <-done:
@@ -64,7 +63,7 @@
 	}
 }
 
-// serverRequest copies the request with its whole body, as a server sees it.
+// serverRequest copies the request with its whole body into the form that a server receives.
 func serverRequest(r *http.Request) (*http.Request, error) {
 	in := r.Clone(r.Context())
 	in.RequestURI = r.URL.RequestURI()
@@ -82,37 +81,37 @@
 	return in, nil
 }
 
-func serveOnce(h http.Handler, r *http.Request) (out roundTrip) {
+func serveOnce(h http.Handler, r *http.Request) (out roundTripResult) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = cutRoundTrip(p)
+			out = abortedRoundTrip(p)
 		}
 	}()
 	rec := httptest.NewRecorder()
 	h.ServeHTTP(rec, r)
 	out.resp = rec.Result()
 	out.resp.Request = r
-	out.resp.Body = checkLength(out.resp)
+	out.resp.Body = bodyWithLengthCheck(out.resp)
 	return out
 }
 
-func cutRoundTrip(p any) roundTrip {
+func abortedRoundTrip(p any) roundTripResult {
 	if p != http.ErrAbortHandler {
 		panic(p)
 	}
-	return roundTrip{err: io.ErrUnexpectedEOF}
+	return roundTripResult{err: io.ErrUnexpectedEOF}
 }
 
-// checkLength makes a body that is shorter than its Content-Length end in an
-// error, as a connection would.
-func checkLength(resp *http.Response) io.ReadCloser {
-	body, _ := io.ReadAll(resp.Body) // a recorder's body cannot fail
+// bodyWithLengthCheck returns a body that ends in an error if it is shorter than its
+// Content-Length, like a connection that is cut.
+func bodyWithLengthCheck(resp *http.Response) io.ReadCloser {
+	body, _ := io.ReadAll(resp.Body) // reading a recorder's body cannot fail
 	if resp.ContentLength <= int64(len(body)) {
 		return io.NopCloser(bytes.NewReader(body))
 	}
-	return io.NopCloser(io.MultiReader(bytes.NewReader(body), cutReader{}))
+	return io.NopCloser(io.MultiReader(bytes.NewReader(body), truncatedReader{}))
 }
 
-type cutReader struct{}
+type truncatedReader struct{}
 
-func (cutReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncatedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
