--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -99,9 +99,9 @@
 	return c
 }
 
-// GoBy sets the clock that measures the ages of responses; it counts the time during which the
+// SetClock sets the clock that measures the ages of responses; it counts the time during which the
 // machine is suspended. It must be called before Start.
-func (c *Catalog) GoBy(clock *clock.Clock) {
+func (c *Catalog) SetClock(clock *clock.Clock) {
 	c.clock = clock
 	c.startedAt = clock.Now()
 }
--- a/internal/catalog/fakes_test.go
+++ b/internal/catalog/fakes_test.go
@@ -64,7 +64,7 @@
 	n := &node{fleet: f, client: f.platform.Client()}
 	n.host = member.Host{ID: id, FailureDomain: domain, Peer: id, Incarnation: 1, State: member.Alive}
 	n.catalog = New(DefaultConfig(), n.client, n, n, n, event.Discard(), prometheus.NewRegistry())
-	n.catalog.GoBy(f.hostClock)
+	n.catalog.SetClock(f.hostClock)
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// GoBy sets the clock for all ages to one that also counts the time in which the machine is
+// SetClock sets the clock for all ages to one that also counts the time in which the machine is
 // suspended. Call it before the state is used.
 func (s *State) GoBy(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
 
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -104,7 +104,7 @@
 	}
 	c := catalog.New(h.settings.Catalog, store, members, catalog.NewPeerPuller(pool), members, h.log, h.metrics)
 	members.Follow(c)
-	c.GoBy(h.clock)
+	c.SetClock(h.clock)
 	h.modules.catalog = c
 	return c, peerpb.DRPCRegisterConfiguration(server, c)
 }
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// GoBy sets the clock by which Now advances, so that time during which the machine is suspended
+// SetClock sets the clock by which Now advances, so that time during which the machine is suspended
 // counts. It must be called before the records are used.
 func (g *Governed) GoBy(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
 
