--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -60,7 +60,7 @@
 	cfg := h.settings.Platform
 	records := platform.NewObjects(cfg.Timeout.Std(), cfg.Addresses...)
 	governed := objstore.Govern(cfg, records, h.log, h.metrics)
-	governed.GoBy(h.clock)
+	governed.SetClock(h.clock)
 	return objstore.New(governed), nil
 }
 
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -66,7 +66,7 @@
 
 // SetClock sets the clock by which Now advances, so that time during which the machine is suspended
 // counts. It must be called before the records are used.
-func (g *Governed) GoBy(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
+func (g *Governed) SetClock(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
 
 // Get implements Records.
 func (g *Governed) Get(ctx context.Context, kind, name string) (r Record, err error) {
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -216,7 +216,7 @@
 		is := is.New(t)
 		g := govern(newFake())
 		machine, suspend := clock.Virtual()
-		g.GoBy(machine)
+		g.SetClock(machine)
 		_, err := g.List(t.Context(), "k", "")
 		is.NoErr(err)
 		before, ok := g.Now()
