--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -160,7 +160,7 @@
 }
 
 // platformModule is the rate-limited client of the platform's object API as a module.
-type platformModule struct{ *objstore.Governed }
+type platformModule struct{ *objstore.LimitedRecords }
 
 // Start does nothing, so that a host can start while the platform is down.
 func (platformModule) Start(context.Context) error { return nil }
--- a/internal/objstore/client.go
+++ b/internal/objstore/client.go
@@ -253,7 +253,7 @@
 // appendReadable appends the objects of those records that can be decoded.
 func (c *Client) appendReadable(kind string, records []Record, l *Listing) {
 	for _, r := range records {
-		if o, err := c.openAndCache(kind, r); err == nil { // else written by another program; Governed has logged it
+		if o, err := c.openAndCache(kind, r); err == nil { // else written by another program; LimitedRecords has logged it
 			l.Objects = append(l.Objects, o)
 		}
 	}
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -25,10 +25,10 @@
 	verbHosts  = "hosts"
 )
 
-// Governed implements Records with the rate limit and the timeout of one host.
+// LimitedRecords implements Records with the rate limit and the timeout of one host.
 // It counts the calls, and logs when the platform becomes reachable or unreachable.
 // It never retries a call, since only the caller knows whether that is safe.
-type Governed struct {
+type LimitedRecords struct {
 	cfg               Config
 	records           Records
 	limiter           *rate.Limiter
@@ -47,7 +47,7 @@
 	metrics        *metrics
 }
 
-var _ Records = (*Governed)(nil)
+var _ Records = (*LimitedRecords)(nil)
 
 // Rate and burst of the log lines about records that can't be decoded. Such a record is
 // encountered again in each list until it is removed.
@@ -57,8 +57,8 @@
 )
 
 // Govern wraps records with the limits of cfg, which must be valid.
-func Govern(cfg Config, records Records, log *event.Log, reg prometheus.Registerer) *Governed {
-	return &Governed{
+func Govern(cfg Config, records Records, log *event.Log, reg prometheus.Registerer) *LimitedRecords {
+	return &LimitedRecords{
 		cfg: cfg, records: records, openedWallTime: time.Now(), openedAt: time.Now(), log: log, metrics: newMetrics(reg),
 		limiter: rate.NewLimiter(rate.Limit(cfg.CallsPerSecond), cfg.Burst), unreadableLimiter: rate.NewLimiter(unreadableLogsPerSecond, unreadableLogBurst),
 	}
@@ -66,10 +66,10 @@
 
 // SetClock sets the clock by which Now advances, so that time during which the machine is suspended
 // counts. It must be called before the records are used.
-func (g *Governed) SetClock(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
+func (g *LimitedRecords) SetClock(c *clock.Clock) { g.clock, g.openedAt = c, c.Now() }
 
 // Get implements Records.
-func (g *Governed) Get(ctx context.Context, kind, name string) (r Record, err error) {
+func (g *LimitedRecords) Get(ctx context.Context, kind, name string) (r Record, err error) {
 	err = g.call(ctx, verbGet, 0, func(ctx context.Context) (err error) {
 		r, err = g.records.Get(ctx, kind, name)
 		return err
@@ -78,7 +78,7 @@
 }
 
 // List implements Records.
-func (g *Governed) List(ctx context.Context, kind, after string) (p RecordPage, err error) {
+func (g *LimitedRecords) List(ctx context.Context, kind, after string) (p RecordPage, err error) {
 	err = g.call(ctx, verbList, 0, func(ctx context.Context) (err error) {
 		p, err = g.records.List(ctx, kind, after)
 		return err
@@ -88,7 +88,7 @@
 }
 
 // reportUnreadable counts and logs the records of a page that can't be decoded.
-func (g *Governed) reportUnreadable(kind string, p RecordPage) {
+func (g *LimitedRecords) reportUnreadable(kind string, p RecordPage) {
 	for _, r := range p.Records {
 		if r.Problem == nil {
 			continue
@@ -101,7 +101,7 @@
 }
 
 // Watch implements Records. The timeout is added to the wait.
-func (g *Governed) Watch(ctx context.Context, kind string, after revision.Revision, wait time.Duration) (p RecordPage, err error) {
+func (g *LimitedRecords) Watch(ctx context.Context, kind string, after revision.Revision, wait time.Duration) (p RecordPage, err error) {
 	err = g.call(ctx, verbWatch, wait, func(ctx context.Context) (err error) {
 		p, err = g.records.Watch(ctx, kind, after, wait)
 		return err
@@ -111,7 +111,7 @@
 }
 
 // Create implements Records.
-func (g *Governed) Create(ctx context.Context, kind, name string, spec json.RawMessage) (r Record, err error) {
+func (g *LimitedRecords) Create(ctx context.Context, kind, name string, spec json.RawMessage) (r Record, err error) {
 	err = g.call(ctx, verbPut, 0, func(ctx context.Context) (err error) {
 		r, err = g.records.Create(ctx, kind, name, spec)
 		return err
@@ -120,7 +120,7 @@
 }
 
 // Replace implements Records.
-func (g *Governed) Replace(ctx context.Context, kind, name string, revision uint64, spec json.RawMessage) (r Record, err error) {
+func (g *LimitedRecords) Replace(ctx context.Context, kind, name string, revision uint64, spec json.RawMessage) (r Record, err error) {
 	err = g.call(ctx, verbPut, 0, func(ctx context.Context) (err error) {
 		r, err = g.records.Replace(ctx, kind, name, revision, spec)
 		return err
@@ -129,14 +129,14 @@
 }
 
 // Delete implements Records.
-func (g *Governed) Delete(ctx context.Context, kind, name string, revision uint64) error {
+func (g *LimitedRecords) Delete(ctx context.Context, kind, name string, revision uint64) error {
 	return g.call(ctx, verbDelete, 0, func(ctx context.Context) error {
 		return g.records.Delete(ctx, kind, name, revision)
 	})
 }
 
 // Hosts implements Records.
-func (g *Governed) Hosts(ctx context.Context) (hosts []LiveHost, err error) {
+func (g *LimitedRecords) Hosts(ctx context.Context) (hosts []LiveHost, err error) {
 	err = g.call(ctx, verbHosts, 0, func(ctx context.Context) (err error) {
 		hosts, err = g.records.Hosts(ctx)
 		return err
@@ -147,7 +147,7 @@
 // Now implements Records. If the platform's responses carry no time, it returns this
 // host's time of day when the records were opened plus the time elapsed since, by a clock that
 // steps of the time of day do not affect.
-func (g *Governed) Now() (time.Time, bool) {
+func (g *LimitedRecords) Now() (time.Time, bool) {
 	if now, ok := g.records.Now(); ok {
 		return now, true
 	}
@@ -158,14 +158,14 @@
 }
 
 // Era implements Records.
-func (g *Governed) Era() uint64 { return g.records.Era() }
+func (g *LimitedRecords) Era() uint64 { return g.records.Era() }
 
 // Close implements Records.
-func (g *Governed) Close() { g.records.Close() }
+func (g *LimitedRecords) Close() { g.records.Close() }
 
 // call makes one call, subject to the rate limit and the timeout; wait is
 // added to the timeout.
-func (g *Governed) call(ctx context.Context, verb string, wait time.Duration, do func(context.Context) error) error {
+func (g *LimitedRecords) call(ctx context.Context, verb string, wait time.Duration, do func(context.Context) error) error {
 	start := time.Now()
 	limited, cancel := context.WithTimeout(ctx, g.cfg.Timeout.Std()+wait)
 	defer cancel()
@@ -181,7 +181,7 @@
 
 // takeToken waits for a token of the bucket. It fails at once if none will be
 // available before the deadline of ctx.
-func (g *Governed) takeToken(ctx context.Context, verb string) error {
+func (g *LimitedRecords) takeToken(ctx context.Context, verb string) error {
 	if err := g.limiter.Wait(ctx); err != nil {
 		return &Unavailable{Cause: Error.New("%s: wait for a token of %g calls a second: %w", verb, g.cfg.CallsPerSecond, err)}
 	}
@@ -190,7 +190,7 @@
 
 // logReachability logs when the platform becomes reachable or unreachable. A
 // failed call that the caller had cancelled is ignored.
-func (g *Governed) logReachability(ctx context.Context, verb string, err error) {
+func (g *LimitedRecords) logReachability(ctx context.Context, verb string, err error) {
 	switch resultOf(err) {
 	case resultUnavailable, resultUnanswered:
 		if ctx.Err() == nil && g.reachable.CompareAndSwap(true, false) {
@@ -206,7 +206,7 @@
 
 // logEra logs the era of the platform after the first response, and each change of it. The first
 // era may be 0, also because the platform reports none.
-func (g *Governed) logEra(verb string) {
+func (g *LimitedRecords) logEra(verb string) {
 	if !g.answered.Load() {
 		return
 	}
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -143,7 +143,7 @@
 func (f *fakeRecords) Era() uint64                               { return f.era }
 func (f *fakeRecords) Close()                                    {}
 
-func govern(f *fakeRecords) *Governed {
+func govern(f *fakeRecords) *LimitedRecords {
 	return Govern(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
 }
 
