--- a/internal/cli/plot.go
+++ b/internal/cli/plot.go
@@ -38,7 +38,7 @@
 		return usageError(err)
 	}
 	records := platform.NewObjects(s.Platform.Timeout.Std(), s.Platform.Addresses...)
-	store := objstore.New(objstore.Govern(s.Platform, records, event.Discard(), prometheus.NewRegistry()))
+	store := objstore.New(objstore.NewLimitedRecords(s.Platform, records, event.Discard(), prometheus.NewRegistry()))
 	ctx, cancel := context.WithTimeout(context.Background(), plotTimeout)
 	defer cancel()
 	var plot bytes.Buffer
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -59,7 +59,7 @@
 func (h *Host) newPlatform(kernel.Finder) (kernel.Module, error) {
 	cfg := h.settings.Platform
 	records := platform.NewObjects(cfg.Timeout.Std(), cfg.Addresses...)
-	governed := objstore.Govern(cfg, records, h.log, h.metrics)
+	governed := objstore.NewLimitedRecords(cfg, records, h.log, h.metrics)
 	governed.SetClock(h.clock)
 	return objstore.New(governed), nil
 }
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -56,8 +56,8 @@
 	unreadableLogBurst      = 20
 )
 
-// Govern wraps records with the limits of cfg, which must be valid.
-func Govern(cfg Config, records Records, log *event.Log, reg prometheus.Registerer) *LimitedRecords {
+// NewLimitedRecords wraps records with the limits of cfg, which must be valid.
+func NewLimitedRecords(cfg Config, records Records, log *event.Log, reg prometheus.Registerer) *LimitedRecords {
 	return &LimitedRecords{
 		cfg: cfg, records: records, openedWallTime: time.Now(), openedAt: time.Now(), log: log, metrics: newMetrics(reg),
 		limiter: rate.NewLimiter(rate.Limit(cfg.CallsPerSecond), cfg.Burst), unreadableLimiter: rate.NewLimiter(unreadableLogsPerSecond, unreadableLogBurst),
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -144,7 +144,7 @@
 func (f *fakeRecords) Close()                                    {}
 
 func govern(f *fakeRecords) *LimitedRecords {
-	return Govern(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
+	return NewLimitedRecords(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
 }
 
 func TestCallsAreCountedByResult(t *testing.T) {
@@ -242,7 +242,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	f := newFake()
-	g := Govern(DefaultConfig(), f, event.New(&out, plog.InfoLevel, "host"), prometheus.NewRegistry())
+	g := NewLimitedRecords(DefaultConfig(), f, event.New(&out, plog.InfoLevel, "host"), prometheus.NewRegistry())
 	read := func(era uint64) {
 		f.era = era
 		_, _ = g.Get(t.Context(), "k", "n")
