--- a/internal/objstore/api.go
+++ b/internal/objstore/api.go
@@ -52,9 +52,9 @@
 // At returns the revision, with its era, of the listing.
 func (l Listing) At() revision.Revision { return revision.Revision{Era: l.Era, Number: l.Revision} }
 
-// LiveHost is an entry of the platform's list of hosts, which lags behind. It
+// ListedHost is an entry of the platform's list of hosts, which lags behind. It
 // lists both the hosts of this system and those of targets.
-type LiveHost struct {
+type ListedHost struct {
 	ID      string `json:"id"` // host id or target id
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
@@ -82,7 +82,7 @@
 	// response; it is 0 also if the platform reports no era.
 	Era() uint64
 	// Hosts returns the platform's list of hosts.
-	Hosts(ctx context.Context) ([]LiveHost, error)
+	Hosts(ctx context.Context) ([]ListedHost, error)
 	// Now returns the platform's clock as of its newest response, and false
 	// before the first one. It never goes backwards.
 	Now() (time.Time, bool)
--- a/internal/objstore/client.go
+++ b/internal/objstore/client.go
@@ -236,7 +236,7 @@
 func (c *Client) Era() uint64 { return c.records.Era() }
 
 // Hosts implements Store.
-func (c *Client) Hosts(ctx context.Context) ([]LiveHost, error) { return c.records.Hosts(ctx) }
+func (c *Client) Hosts(ctx context.Context) ([]ListedHost, error) { return c.records.Hosts(ctx) }
 
 // Now implements Store.
 func (c *Client) Now() (time.Time, bool) { return c.records.Now() }
--- a/internal/objstore/governed.go
+++ b/internal/objstore/governed.go
@@ -136,7 +136,7 @@
 }
 
 // Hosts implements Records.
-func (g *LimitedRecords) Hosts(ctx context.Context) (hosts []LiveHost, err error) {
+func (g *LimitedRecords) Hosts(ctx context.Context) (hosts []ListedHost, err error) {
 	err = g.call(ctx, verbHosts, 0, func(ctx context.Context) (err error) {
 		hosts, err = g.records.Hosts(ctx)
 		return err
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -138,10 +138,10 @@
 	return r
 }
 
-func (f *fakeRecords) Hosts(context.Context) ([]LiveHost, error) { return nil, f.recordCall("hosts") }
-func (f *fakeRecords) Now() (time.Time, bool)                    { return f.now, !f.now.IsZero() }
-func (f *fakeRecords) Era() uint64                               { return f.era }
-func (f *fakeRecords) Close()                                    {}
+func (f *fakeRecords) Hosts(context.Context) ([]ListedHost, error) { return nil, f.recordCall("hosts") }
+func (f *fakeRecords) Now() (time.Time, bool)                      { return f.now, !f.now.IsZero() }
+func (f *fakeRecords) Era() uint64                                 { return f.era }
+func (f *fakeRecords) Close()                                      {}
 
 func govern(f *fakeRecords) *LimitedRecords {
 	return NewLimitedRecords(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -118,7 +118,7 @@
 }
 
 // Hosts implements objstore.Store.
-func (c *Client) Hosts(ctx context.Context) ([]objstore.LiveHost, error) {
+func (c *Client) Hosts(ctx context.Context) ([]objstore.ListedHost, error) {
 	if err := c.begin(ctx, "hosts"); err != nil {
 		return nil, err
 	}
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -32,7 +32,7 @@
 	changeSignal chan struct{} // closed and replaced at each change, outage and recovery
 	down         bool
 	heldWrites   []func()
-	hosts        []objstore.LiveHost
+	hosts        []objstore.ListedHost
 	clock        func() time.Time
 	callCounts   map[string]int
 }
@@ -68,7 +68,7 @@
 }
 
 // SetHosts replaces the platform's list of hosts.
-func (p *Platform) SetHosts(hosts ...objstore.LiveHost) {
+func (p *Platform) SetHosts(hosts ...objstore.ListedHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = slices.Clone(hosts)
--- a/internal/objstore/records.go
+++ b/internal/objstore/records.go
@@ -58,7 +58,7 @@
 	// Delete removes a record whose current revision must be the given one.
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 	// Hosts returns the platform's list of hosts.
-	Hosts(ctx context.Context) ([]LiveHost, error)
+	Hosts(ctx context.Context) ([]ListedHost, error)
 	// Now returns the platform's clock as of its newest response, and false
 	// before the first one.
 	Now() (time.Time, bool)
--- a/internal/relay/health_test.go
+++ b/internal/relay/health_test.go
@@ -109,13 +109,13 @@
 	l.leaving = map[string]bool{id: leaving}
 }
 
-func (l *hostList) Hosts(context.Context) ([]objstore.LiveHost, error) {
+func (l *hostList) Hosts(context.Context) ([]objstore.ListedHost, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	var out []objstore.LiveHost
+	var out []objstore.ListedHost
 	for id, leaving := range l.leaving {
-		out = append(out, objstore.LiveHost{ID: id, Leaving: leaving})
+		out = append(out, objstore.ListedHost{ID: id, Leaving: leaving})
 	}
 	return out, nil
 }
@@ -128,7 +128,7 @@
 		defer f.close()
 		f.targets[0].delay = time.Second
 		time.AfterFunc(100*time.Millisecond, func() {
-			f.relay.ApplyHostList([]objstore.LiveHost{{ID: "t0", Leaving: true}})
+			f.relay.ApplyHostList([]objstore.ListedHost{{ID: "t0", Leaving: true}})
 		})
 		got, err := f.search(t.Context(), batch(10, time.Minute))
 		is.NoErr(err)
--- a/internal/relay/hostlist.go
+++ b/internal/relay/hostlist.go
@@ -15,7 +15,7 @@
 
 // ApplyHostList applies a host list of the platform, from polling or another
 // source.
-func (r *Relay) ApplyHostList(hosts []objstore.LiveHost) {
+func (r *Relay) ApplyHostList(hosts []objstore.ListedHost) {
 	leaving := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		leaving[h.ID] = h.Leaving
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -41,7 +41,7 @@
 // HostLister reads the list of hosts from the platform. objstore.Store
 // implements it.
 type HostLister interface {
-	Hosts(ctx context.Context) ([]objstore.LiveHost, error)
+	Hosts(ctx context.Context) ([]objstore.ListedHost, error)
 }
 
 // Relay runs shard searches and reservations against targets. Its methods are
