--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -55,7 +55,7 @@
 	case "requests lost":
 		c.client.LoseNextRequests(f.calls)
 	case "late":
-		c.client.HoldNextWrites(f.calls)
+		c.client.DelayNextWrites(f.calls)
 	case "slow":
 		c.client.SetLatency(time.Duration(f.calls) * time.Second)
 	case "down":
@@ -66,7 +66,7 @@
 func (c operatorClient) clearFaults() {
 	c.client.LoseNextAnswers(0)
 	c.client.LoseNextRequests(0)
-	c.client.HoldNextWrites(0)
+	c.client.DelayNextWrites(0)
 	c.client.SetLatency(0)
 	c.client.Outage(false)
 }
@@ -257,7 +257,7 @@
 		is.Equal(c.editor.Change(ctx, alter(1, 3, "x")).Status, Refused) // it was not sent
 		c.client.Outage(false)
 
-		c.client.HoldNextWrites(1)
+		c.client.DelayNextWrites(1)
 		c.client.SetLatency(time.Second)
 		time.AfterFunc(2500*time.Millisecond, func() { c.client.Outage(true) })
 		start := time.Now()
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -55,7 +55,7 @@
 	cases := map[string]func(h *host){
 		"applied":     func(h *host) { h.client.LoseNextAnswers(allCalls) },
 		"not applied": func(h *host) { h.client.LoseNextRequests(allCalls) },
-		"lands late":  func(h *host) { h.client.HoldNextWrites(allCalls) },
+		"lands late":  func(h *host) { h.client.DelayNextWrites(allCalls) },
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 	f.platform.Release()
 	a.client.LoseNextAnswers(0)
 	a.client.LoseNextRequests(0)
-	a.client.HoldNextWrites(0)
+	a.client.DelayNextWrites(0)
 	is.Equal(len(f.target.runs), 0)
 
 	if repeatEarly {
@@ -93,7 +93,7 @@
 func TestCreateLandsAfterHostLost(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		r := newReservation()
-		f.hosts[0].client.HoldNextWrites(allCalls)
+		f.hosts[0].client.DelayNextWrites(allCalls)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.NotSent)
 		f.hosts[0].kill()
 		f.platform.Release()
@@ -113,7 +113,7 @@
 		a.client.LoseNextAnswers(allCalls)
 		is.Equal(a.reserve(r).Outcome, outcome.NotSent)
 		a.client.LoseNextAnswers(0)
-		a.client.HoldNextWrites(2) // delays two releases; the third one is applied
+		a.client.DelayNextWrites(2) // delays two releases; the third one is applied
 		time.Sleep(time.Minute)
 		first := b.startBlockedReserve(r)
 		f.platform.Release()
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -90,7 +90,7 @@
 	case "lose requests":
 		h.client.LoseNextRequests(n)
 	default:
-		h.client.HoldNextWrites(n)
+		h.client.DelayNextWrites(n)
 	}
 }
 
@@ -162,7 +162,7 @@
 		m.setSeenDead(h.id, false)
 		h.client.LoseNextAnswers(0)
 		h.client.LoseNextRequests(0)
-		h.client.HoldNextWrites(0)
+		h.client.DelayNextWrites(0)
 		h.gate.set(false)
 		h.sendGate.set(false)
 	}
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -89,7 +89,7 @@
 	case "drop":
 		client.LoseNextRequests(n)
 	case "hold":
-		client.HoldNextWrites(n)
+		client.DelayNextWrites(n)
 	case "release":
 		f.platform.Release()
 	case "kill":
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -42,9 +42,9 @@
 // without effect.
 func (c *Client) LoseNextRequests(n int) { c.set(func() { c.loseRequests = n }) }
 
-// HoldNextWrites makes the next n writes fail with *objstore.Unanswered and
+// DelayNextWrites makes the next n writes fail with *objstore.Unanswered and
 // take effect only when Platform.Release is called.
-func (c *Client) HoldNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
+func (c *Client) DelayNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
 
 // SetLatency delays each call but a watch by d before it takes effect. A call
 // whose context ends first fails with *objstore.Unanswered, without effect.
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -118,7 +118,7 @@
 	p.signalWatches()
 }
 
-// Release applies the writes delayed by HoldNextWrites, in their order. A write
+// Release applies the writes delayed by DelayNextWrites, in their order. A write
 // whose condition is no longer met is dropped.
 func (p *Platform) Release() {
 	p.mu.Lock()
--- a/internal/objstore/objstoretest/objstoretest_test.go
+++ b/internal/objstore/objstoretest/objstoretest_test.go
@@ -30,7 +30,7 @@
 	is.True(errors.As(err, &unanswered))
 	is.Equal(len(p.Objects("k")), 1) // not applied
 
-	c.HoldNextWrites(1)
+	c.DelayNextWrites(1)
 	_, err = c.Put(t.Context(), "k", "b", 0, []byte("late"))
 	is.True(errors.As(err, &unanswered))
 	is.Equal(len(p.Objects("k")), 1)
