--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -108,14 +108,14 @@
 	}
 	if r.releaseEarly {
 		time.Sleep(time.Second)
-		p.Release()
+		p.ApplyDelayedWrites()
 	}
 	wg.Wait()
 	for _, c := range clients {
 		c.clearFaults()
 	}
 	if r.releaseLate {
-		p.Release()
+		p.ApplyDelayedWrites()
 	}
 	return results
 }
@@ -171,7 +171,7 @@
 			for _, r := range rounds {
 				results = append(results, r.run(t.Context(), p, clients)...)
 			}
-			p.Release()
+			p.ApplyDelayedWrites()
 			writes := writesByChangeID(t.Context(), p)
 			for i, r := range results {
 				seen[r.Status]++
@@ -264,7 +264,7 @@
 		r := c.editor.Change(ctx, alter(1, 3, "x"))
 		is.Equal(r.Status, Unknown)
 		is.True(time.Since(start) <= DefaultConfig().ChangeTimeout.Std())
-		p.Release()
+		p.ApplyDelayedWrites()
 		c.clearFaults()
 		s, err := c.editor.Read(ctx, "a")
 		is.NoErr(err)
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -72,7 +72,7 @@
 	res := a.reserve(r)
 	is.Equal(res.Outcome, outcome.NotSent)
 	is.True(res.RetryAfter > 0)
-	f.platform.Release()
+	f.platform.ApplyDelayedWrites()
 	a.client.LoseNextAnswers(0)
 	a.client.LoseNextRequests(0)
 	a.client.DelayNextWrites(0)
@@ -83,7 +83,7 @@
 	}
 	time.Sleep(time.Minute) // a releases the record
 	a.kill()
-	f.platform.Release()
+	f.platform.ApplyDelayedWrites()
 	is.Equal(b.reserve(r).Outcome, outcome.Done)
 	is.Equal(f.runs(r), 1)
 }
@@ -96,7 +96,7 @@
 		f.hosts[0].client.DelayNextWrites(allCalls)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.NotSent)
 		f.hosts[0].kill()
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 		res := f.hosts[1].reserve(r)
 		is.Equal(res.Outcome, outcome.Unknown)
 		is.Equal(res.Reason, query.ReasonUnsettled)
@@ -116,7 +116,7 @@
 		a.client.DelayNextWrites(2) // delays two releases; the third one is applied
 		time.Sleep(time.Minute)
 		first := b.startBlockedReserve(r)
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 		second := c.startReserve(r)
 		b.sendGate.set(false)
 		is.Equal((<-first).Outcome, outcome.Done)
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -125,7 +125,7 @@
 }
 
 func (m *machine) deliverHeldWrites(*rapid.T) {
-	m.platform.Release()
+	m.platform.ApplyDelayedWrites()
 	synctest.Wait()
 }
 
@@ -166,7 +166,7 @@
 		h.gate.set(false)
 		h.sendGate.set(false)
 	}
-	m.platform.Release()
+	m.platform.ApplyDelayedWrites()
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
--- a/internal/delivery/restore_test.go
+++ b/internal/delivery/restore_test.go
@@ -56,7 +56,7 @@
 				}
 			}
 			f.heal()
-			f.platform.Release()
+			f.platform.ApplyDelayedWrites()
 			time.Sleep(25 * time.Minute)
 			for _, id := range f.ids()[1:] {
 				f.leave(id, false)
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -58,8 +58,8 @@
 				time.Sleep(time.Duration(rapid.IntRange(1, 100).Draw(rt, "seconds")) * time.Second)
 			}
 			f.heal()
-			time.Sleep(15 * time.Minute) // windows are aggregated
-			f.platform.Release()         // delayed writes are applied after their windows were removed
+			time.Sleep(15 * time.Minute)    // windows are aggregated
+			f.platform.ApplyDelayedWrites() // delayed writes are applied after their windows were removed
 			time.Sleep(10 * time.Minute)
 			for _, id := range f.ids()[1:] {
 				f.leave(id, false)
@@ -91,7 +91,7 @@
 	case "hold":
 		client.DelayNextWrites(n)
 	case "release":
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 	case "kill":
 		f.leave(id, true)
 		f.start(id)
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -43,7 +43,7 @@
 func (c *Client) LoseNextRequests(n int) { c.set(func() { c.loseRequests = n }) }
 
 // DelayNextWrites makes the next n writes fail with *objstore.Unanswered and
-// take effect only when Platform.Release is called.
+// take effect only when Platform.ApplyDelayedWrites is called.
 func (c *Client) DelayNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
 
 // SetLatency delays each call but a watch by d before it takes effect. A call
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -118,9 +118,9 @@
 	p.signalWatches()
 }
 
-// Release applies the writes delayed by DelayNextWrites, in their order. A write
+// ApplyDelayedWrites applies the writes delayed by DelayNextWrites, in their order. A write
 // whose condition is no longer met is dropped.
-func (p *Platform) Release() {
+func (p *Platform) ApplyDelayedWrites() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := p.heldWrites
--- a/internal/objstore/objstoretest/objstoretest_test.go
+++ b/internal/objstore/objstoretest/objstoretest_test.go
@@ -34,7 +34,7 @@
 	_, err = c.Put(t.Context(), "k", "b", 0, []byte("late"))
 	is.True(errors.As(err, &unanswered))
 	is.Equal(len(p.Objects("k")), 1)
-	p.Release()
+	p.ApplyDelayedWrites()
 	is.Equal(len(p.Objects("k")), 2) // applied late
 
 	_, err = c.Put(t.Context(), "k", "b", 0, []byte("2"))
