--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -28,7 +28,7 @@
 type machine struct {
 	*fleet
 	ids      []string
-	copies   []objstoretest.Copy
+	copies   []objstoretest.Backup
 	restored bool
 	mu       sync.Mutex
 	observed []observation
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -94,22 +94,22 @@
 	p.signalWatches()
 }
 
-// Copy is a backup of the platform's objects and revision.
-type Copy struct {
+// Backup is a backup of the platform's objects and revision.
+type Backup struct {
 	objects  map[key]objstore.Object
 	revision uint64
 }
 
 // Copy returns a backup of the platform's current state.
-func (p *Platform) Copy() Copy {
+func (p *Platform) Copy() Backup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{maps.Clone(p.objects), p.revision}
+	return Backup{maps.Clone(p.objects), p.revision}
 }
 
 // Restore resets the platform to a copy. Writes made after the copy are lost, and their revisions
 // are assigned again. The era increases by one.
-func (p *Platform) Restore(c Copy) {
+func (p *Platform) Restore(c Backup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects, p.revision = maps.Clone(c.objects), c.revision
