--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -294,7 +294,7 @@
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		f.write(testService("b"))
 		f.advance(maxPropagationTime)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		for _, name := range []string{"c", "d", "e"} {
 			f.write(testService(name))
 		}
@@ -317,7 +317,7 @@
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		operator := NewEditor(f.nodes[0].catalog)
 		created, altered := testService("created"), testService("a")
-		older := f.platform.Copy() // in this copy service a was not written by a change
+		older := f.platform.Backup() // in this copy service a was not written by a change
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Create, Service: created}).Status, Accepted)
 		for version := range uint64(3) {
 			altered.Targets[0].Slots++
@@ -348,7 +348,7 @@
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
 		operator := f.newOperator(is)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
 		f.advance(maxPropagationTime)
 		f.connectPlatform(false)
@@ -371,7 +371,7 @@
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
 		operator := f.newOperator(is)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
 		f.advance(maxPropagationTime)
 		f.platform.Restore(older)
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -114,7 +114,7 @@
 // restore takes a copy of the platform, or restores the platform from one.
 func (m *machine) restore(t *rapid.T) {
 	if len(m.copies) == 0 || rapid.Bool().Draw(t, "copy") {
-		m.copies = append(m.copies, m.platform.Copy())
+		m.copies = append(m.copies, m.platform.Backup())
 		return
 	}
 	at := rapid.IntRange(0, len(m.copies)-1).Draw(t, "of")
--- a/internal/delivery/restore_test.go
+++ b/internal/delivery/restore_test.go
@@ -19,7 +19,7 @@
 			f.record(3)
 			time.Sleep(10*time.Second + 100*time.Millisecond)
 		}
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		for range 2 {
 			f.record(3)
 			time.Sleep(10*time.Second + 100*time.Millisecond)
@@ -48,7 +48,7 @@
 				f.fail(rt)
 				f.record(rapid.IntRange(0, 4).Draw(rt, "deliveries"))
 				time.Sleep(time.Duration(rapid.IntRange(1, 100).Draw(rt, "seconds")) * time.Second)
-				older := f.platform.Copy()
+				older := f.platform.Backup()
 				f.record(rapid.IntRange(0, 4).Draw(rt, "more"))
 				time.Sleep(time.Duration(rapid.IntRange(0, 12).Draw(rt, "age")) * time.Second)
 				if rapid.Bool().Draw(rt, "restore") {
--- a/internal/delivery/roundrestore_test.go
+++ b/internal/delivery/roundrestore_test.go
@@ -80,7 +80,7 @@
 	first, second := s.compactor(s.Client()), s.compactor(s.Client())
 	s.writeWindow(t, 0)
 	s.writeWindow(t, 1)
-	older := s.Copy()
+	older := s.Backup()
 	s.writeWindow(t, 2)
 	is.NoErr(first.round(t.Context(), due, 0))
 	is.NoErr(first.round(t.Context(), due, 0)) // caches the index of the aggregate
@@ -100,7 +100,7 @@
 	for number := range uint64(3) {
 		s.writeWindow(t, number)
 	}
-	older := s.Copy()
+	older := s.Backup()
 	store := &restoredStore{s.Client(), func() { s.Restore(older) }}
 	c := s.compactor(store)
 	is.True(c.round(t.Context(), due, 0) != nil)
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -100,8 +100,8 @@
 	revision uint64
 }
 
-// Copy returns a backup of the platform's current state.
-func (p *Platform) Copy() Backup {
+// Backup returns a backup of the platform's current state.
+func (p *Platform) Backup() Backup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Backup{maps.Clone(p.objects), p.revision}
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -160,7 +160,7 @@
 		is := is.New(t)
 		k := startKeepers(t, nil, 0)
 		state, client := k.states[0], k.clients[0]
-		k.platform.Restore(k.platform.Copy())
+		k.platform.Restore(k.platform.Backup())
 		peers := k.peers[0]
 		targets := &fakeTargets{state: state, cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, becameCold: make(chan struct{}, 1)}
 		keeper := NewKeeper(targets, peers, client, state, event.Discard())
