--- a/internal/claim/attemptclient.go
+++ b/internal/claim/attemptclient.go
@@ -29,9 +29,9 @@
 // PeerAttemptClient is the AttemptClient that calls hosts over drpc.
 type PeerAttemptClient struct{ dialer peer.Dialer }
 
-// NewPeerAsker returns a PeerAttemptClient that connects to hosts through the
+// NewPeerAttemptClient returns a PeerAttemptClient that connects to hosts through the
 // dialer.
-func NewPeerAsker(d peer.Dialer) *PeerAttemptClient { return &PeerAttemptClient{d} }
+func NewPeerAttemptClient(d peer.Dialer) *PeerAttemptClient { return &PeerAttemptClient{d} }
 
 // QueryAttempt implements AttemptClient.
 func (p *PeerAttemptClient) QueryAttempt(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error) {
--- a/internal/claim/attemptclient_test.go
+++ b/internal/claim/attemptclient_test.go
@@ -25,7 +25,7 @@
 	defer func() { _ = srv.Stop(context.Background()) }()
 	pool := peer.NewPool()
 	defer func() { _ = pool.Stop(context.Background()) }()
-	asker := NewPeerAsker(pool)
+	asker := NewPeerAttemptClient(pool)
 	to := member.Host{ID: "a", Peer: srv.Addr()}
 
 	id := mustID(newID(time.Now())).String()
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -135,7 +135,7 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	c := claim.New(h.settings.Claim, store, sender, claim.NewPeerAsker(pool), members, services, h.log, h.metrics)
+	c := claim.New(h.settings.Claim, store, sender, claim.NewPeerAttemptClient(pool), members, services, h.log, h.metrics)
 	return c, peerpb.DRPCRegisterClaims(server, c)
 }
 
