--- a/internal/discovery/encode.go
+++ b/internal/discovery/encode.go
@@ -22,7 +22,7 @@
 }
 
 // encodeConfig returns a configuration as gzipped JSON, the form in which it is sent to peers.
-func (s *Spread) encodeConfig(c *routing.Config) ([]byte, error) {
+func (s *Exchange) encodeConfig(c *routing.Config) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.encoded.config == c {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -49,7 +49,7 @@
 	self     member.Host
 	members  *member.Members
 	state    *State
-	spread   *Spread
+	spread   *Exchange
 	follower *Follower
 	cut      func() // cuts the host off from the store
 }
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -20,9 +20,9 @@
 // maxPollWait limits how long a poll of a peer is held.
 const maxPollWait = 30 * time.Second
 
-// Spread exchanges state with other hosts: it is the Peers of a Follower, and the server of the
+// Exchange exchanges state with other hosts: it is the Peers of a Follower, and the server of the
 // Discovery calls of other hosts.
-type Spread struct {
+type Exchange struct {
 	cfg     Config
 	members member.View
 	dialer  peer.Dialer
@@ -54,21 +54,21 @@
 	requests                    quarantine.Mark
 }
 
-var _ Peers = (*Spread)(nil)
+var _ Peers = (*Exchange)(nil)
 
 // NewSpread returns the exchange with the members.
-func NewSpread(cfg Config, members member.View, dialer peer.Dialer, state *State) *Spread {
+func NewSpread(cfg Config, members member.View, dialer peer.Dialer, state *State) *Exchange {
 	// Hosts start with different watching hosts in order to spread the polls over them.
 	watcherIndex := int(xxhash.Sum64String(members.Self().ID) % maxWatchers)
-	return &Spread{cfg: cfg, members: members, dialer: dialer, state: state, watcherIndex: watcherIndex, cursors: map[string]peerCursor{}}
+	return &Exchange{cfg: cfg, members: members, dialer: dialer, state: state, watcherIndex: watcherIndex, cursors: map[string]peerCursor{}}
 }
 
 // AskFirst sets addresses of hosts to query at the start that may not be in the membership yet.
 // Call it before the exchange is used.
-func (s *Spread) AskFirst(seeds []string) { s.seeds = seeds }
+func (s *Exchange) AskFirst(seeds []string) { s.seeds = seeds }
 
 // currentGroups returns the groups for the current membership as this host sees it.
-func (s *Spread) currentGroups() *groups {
+func (s *Exchange) currentGroups() *groups {
 	generation := s.members.Generation()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,17 +80,17 @@
 }
 
 // ownGroup returns the group of this host.
-func (s *Spread) ownGroup() *group { return s.currentGroups().groupOf(s.members.Self()) }
+func (s *Exchange) ownGroup() *group { return s.currentGroups().groupOf(s.members.Self()) }
 
 // Watches implements Peers.
-func (s *Spread) Watches() bool { return s.ownGroup().isWatcher(s.members.Self().ID) }
+func (s *Exchange) Watches() bool { return s.ownGroup().isWatcher(s.members.Self().ID) }
 
 // Rank implements Peers.
-func (s *Spread) Rank() int { return s.ownGroup().rank(s.members.Self().ID) }
+func (s *Exchange) Rank() int { return s.ownGroup().rank(s.members.Self().ID) }
 
 // TurnFor ranks the watching hosts by a hash of the key and returns how many come before this one,
 // for dividing work by key. It returns false if this host does not watch.
-func (s *Spread) TurnFor(key string) (rank int, watches bool) {
+func (s *Exchange) TurnFor(key string) (rank int, watches bool) {
 	self := s.members.Self().ID
 	keyHash := func(id string) uint64 { return xxhash.Sum64String(key + "/" + id) }
 	for _, w := range s.currentGroups().allWatchers() {
@@ -105,10 +105,10 @@
 }
 
 // Hosts implements Peers.
-func (s *Spread) Hosts() int { return s.members.Count() }
+func (s *Exchange) Hosts() int { return s.members.Count() }
 
 // Isolated implements Peers.
-func (s *Spread) Isolated() bool {
+func (s *Exchange) Isolated() bool {
 	otherCount := len(usableExcept(s.members.Hosts(), s.members.Self().ID))
 	if otherCount > 0 {
 		s.hadPeers.Store(true)
@@ -117,7 +117,7 @@
 }
 
 // Poll implements Peers. After a failed poll or a stale reply the next poll goes to another host.
-func (s *Spread) Poll(ctx context.Context, cursor Cursor, wait time.Duration) (Update, error) {
+func (s *Exchange) Poll(ctx context.Context, cursor Cursor, wait time.Duration) (Update, error) {
 	watcher, watcherCursor, err := s.choosePeer()
 	if err != nil {
 		return Update{}, err
@@ -142,7 +142,7 @@
 
 // BootstrapContacts implements Peers. It returns established hosts, those of the own failure domain
 // first, then recently started ones, then seeds that are not among these.
-func (s *Spread) BootstrapContacts() []string {
+func (s *Exchange) BootstrapContacts() []string {
 	generation := s.members.Generation()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +152,7 @@
 	return s.contacts
 }
 
-func (s *Spread) chooseContacts() []string {
+func (s *Exchange) chooseContacts() []string {
 	self := s.members.Self()
 	hosts := usableExcept(s.members.Hosts(), self.ID)
 	slices.SortFunc(hosts, func(a, b member.Host) int {
@@ -206,7 +206,7 @@
 func pairHash(self, other member.Host) uint64 { return xxhash.Sum64String(self.ID + "/" + other.ID) }
 
 // FetchState implements Peers.
-func (s *Spread) FetchState(ctx context.Context, address string, cursor Cursor) (Update, error) {
+func (s *Exchange) FetchState(ctx context.Context, address string, cursor Cursor) (Update, error) {
 	requestedAt := s.state.clock.Now()
 	req := &peerpb.FollowRequest{}
 	encodeRequestRevisions(cursor, req)
@@ -226,7 +226,7 @@
 // choosePeer returns the host to poll next, and the cursor of its last reply. It is a watching host
 // of the own group. While those return no fresh state, the polls rotate over the watching hosts of
 // other groups and any other hosts: the store may refuse the own watchers and serve those.
-func (s *Spread) choosePeer() (member.Host, peerCursor, error) {
+func (s *Exchange) choosePeer() (member.Host, peerCursor, error) {
 	own := s.ownGroup()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +239,7 @@
 
 // pickPeer chooses the host to poll next. A host without cached state stays in its group, as other
 // groups would send it the full state across failure domains. The caller holds the lock.
-func (s *Spread) pickPeer(own *group) (member.Host, bool) {
+func (s *Exchange) pickPeer(own *group) (member.Host, bool) {
 	self := s.members.Self().ID
 	allHosts := usableExcept(s.members.Hosts(), self)
 	others := usableExcept(own.ranked[own.watcherCount:], self)
@@ -290,7 +290,7 @@
 }
 
 // noteReply records the reply of a host, nil if the poll failed.
-func (s *Spread) noteReply(peerID string, r *peerpb.FollowReply) {
+func (s *Exchange) noteReply(peerID string, r *peerpb.FollowReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r != nil {
@@ -308,12 +308,12 @@
 }
 
 // isFresh reports whether state of an age makes a read of the store unnecessary.
-func (s *Spread) isFresh(ageUs int64) bool {
+func (s *Exchange) isFresh(ageUs int64) bool {
 	return ageUs >= 0 && time.Duration(ageUs)*time.Microsecond <= s.cfg.staleAfter()
 }
 
 // SendFindings sends the findings of this host to all watching hosts, which pass them on.
-func (s *Spread) SendFindings(ctx context.Context, findings []Finding) {
+func (s *Exchange) SendFindings(ctx context.Context, findings []Finding) {
 	for _, w := range s.currentGroups().allWatchers() {
 		if w.ID == s.members.Self().ID {
 			s.state.publishFindings(findings)
@@ -327,7 +327,7 @@
 
 // Tell serves findings, quarantine records and permits sent by a peer, for this host and for those
 // that poll it.
-func (s *Spread) Tell(_ context.Context, in *peerpb.Findings) (*peerpb.FindingsNoted, error) {
+func (s *Exchange) Tell(_ context.Context, in *peerpb.Findings) (*peerpb.FindingsNoted, error) {
 	if findings := decodeFindings(in.Findings); len(findings) > 0 {
 		s.state.publishFindings(findings)
 		s.state.deliverFindings(findings)
@@ -338,7 +338,7 @@
 }
 
 // Follow serves a poll of a peer.
-func (s *Spread) Follow(ctx context.Context, in *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
+func (s *Exchange) Follow(ctx context.Context, in *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
 	receivedAt := s.state.clock.Now()
 	wait := min(time.Duration(in.WaitUs)*time.Microsecond, maxPollWait)
 	cursor := decodeRequestRevisions(in)
@@ -358,6 +358,6 @@
 }
 
 // Register adds the Discovery service to this host's peer server.
-func (s *Spread) Register(server *peer.Server) error {
+func (s *Exchange) Register(server *peer.Server) error {
 	return Error.Wrap(peerpb.DRPCRegisterDiscovery(server, s))
 }
--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -173,7 +173,7 @@
 }
 
 // TellPermits sends permits to the watching hosts. Those that miss them read them from the store.
-func (s *Spread) TellPermits(ctx context.Context, all []Permit) {
+func (s *Exchange) TellPermits(ctx context.Context, all []Permit) {
 	in := &peerpb.Findings{Permits: encodePermits(all)}
 	var calls sync.WaitGroup
 	for _, w := range usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID) {
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -104,7 +104,7 @@
 
 // SendRequests implements Peers. It sends to all watching hosts concurrently and returns how many
 // it could not reach.
-func (s *Spread) SendRequests(ctx context.Context, records []quarantine.Record) (missed int) {
+func (s *Exchange) SendRequests(ctx context.Context, records []quarantine.Record) (missed int) {
 	findings := &peerpb.Findings{Requests: quarantine.AllToWire(records, s.state.clock.Now())}
 	results := make(chan error)
 	watchers := usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID)
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -34,7 +34,7 @@
 	server *peer.Server
 	pool   *peer.Pool
 	state  *State
-	spread *Spread
+	spread *Exchange
 }
 
 // startHosts starts hosts that have each other as members.
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -218,7 +218,7 @@
 }
 
 // stateExchangeModule is the exchange of discovery state with other hosts as a module.
-type stateExchangeModule struct{ *discovery.Spread }
+type stateExchangeModule struct{ *discovery.Exchange }
 
 // Start does nothing: the peer listener serves the calls.
 func (stateExchangeModule) Start(context.Context) error { return nil }
