--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -223,7 +223,7 @@
 	}
 	cfg.Settle = unit.Duration(settle)
 	h.members = member.New(members, h.self, objstoretest.New().Client(), h, event.Discard(), nil)
-	h.spread = NewSpread(cfg, h.members, h, h.state)
+	h.spread = NewExchange(cfg, h.members, h, h.state)
 	h.spread.AskFirst(members.Seeds)
 	way, cut := newCutSource(store)
 	h.cut = cut
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -56,8 +56,8 @@
 
 var _ Peers = (*Exchange)(nil)
 
-// NewSpread returns the exchange with the members.
-func NewSpread(cfg Config, members member.View, dialer peer.Dialer, state *State) *Exchange {
+// NewExchange returns the exchange with the members.
+func NewExchange(cfg Config, members member.View, dialer peer.Dialer, state *State) *Exchange {
 	// Hosts start with different watching hosts in order to spread the polls over them.
 	watcherIndex := int(xxhash.Sum64String(members.Self().ID) % maxWatchers)
 	return &Exchange{cfg: cfg, members: members, dialer: dialer, state: state, watcherIndex: watcherIndex, cursors: map[string]peerCursor{}}
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -55,7 +55,7 @@
 		all, hosts = append(all, h), append(hosts, h.host)
 	}
 	for _, h := range all {
-		h.spread = NewSpread(DefaultConfig(), fixedMembers{self: h.host, hosts: hosts}, h.pool, h.state)
+		h.spread = NewExchange(DefaultConfig(), fixedMembers{self: h.host, hosts: hosts}, h.pool, h.state)
 		if err := h.spread.Register(h.server); err != nil {
 			t.Fatal(err)
 		}
@@ -209,6 +209,6 @@
 	for i := range 2 * maxContacts {
 		members.hosts = append(members.hosts, started(fmt.Sprint("young", i), "a", time.Second))
 	}
-	s := NewSpread(DefaultConfig(), members, nil, NewState())
+	s := NewExchange(DefaultConfig(), members, nil, NewState())
 	is.True(slices.Contains(s.BootstrapContacts(), "elder"))
 }
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -34,7 +34,7 @@
 
 // receiveFinding delivers another host's finding that a target is bad.
 func (s *site) receiveFinding(target string, born int64) {
-	spread := discovery.NewSpread(discovery.DefaultConfig(), onlySelf{}, nil, s.state)
+	spread := discovery.NewExchange(discovery.DefaultConfig(), onlySelf{}, nil, s.state)
 	_, err := spread.Tell(s.t.Context(), &peerpb.Findings{Findings: []*peerpb.Finding{{
 		Target: target, BornMs: born, Bad: true, Failures: 1, FailureDomain: domain,
 	}}})
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -235,7 +235,7 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	s := discovery.NewSpread(h.settings.Discovery, members, pool, state.State)
+	s := discovery.NewExchange(h.settings.Discovery, members, pool, state.State)
 	s.AskFirst(h.settings.Member.Seeds)
 	return stateExchangeModule{s}, s.Register(server)
 }
