--- a/internal/discovery/eras_history_test.go
+++ b/internal/discovery/eras_history_test.go
@@ -123,7 +123,7 @@
 		store := &restorableStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}}
 		start := func() *historyHost {
 			s := NewState()
-			s.GoBy(c)
+			s.SetClock(c)
 			return &historyHost{s, map[Target]bool{}}
 		}
 		hosts := []*historyHost{start(), start(), start()}
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -97,7 +97,7 @@
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
 	c, pass = clock.Virtual()
 	s = NewState()
-	s.GoBy(c)
+	s.SetClock(c)
 	return s, c, pass
 }
 
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -100,7 +100,7 @@
 
 // SetClock sets the clock for all ages to one that also counts the time in which the machine is
 // suspended. Call it before the state is used.
-func (s *State) GoBy(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
+func (s *State) SetClock(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
 
 // Clock returns the clock for all ages.
 func (s *State) Clock() *clock.Clock { return s.clock }
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	c, pass := clock.Virtual()
 	s := NewState()
-	s.GoBy(c)
+	s.SetClock(c)
 	left := []Target{{ID: "left", Born: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: inEra(1, 9)}, c.Now())
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	c, pass := clock.Virtual()
 	s := NewState()
-	s.GoBy(c)
+	s.SetClock(c)
 	s.evacuations.enabled, s.evacuations.retention = true, 4*time.Second
 	s.ApplyEvacuations(EvacuationRead{Domains: []string{"d"}, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyEvacuations(EvacuationRead{Revision: inEra(2, 3)}, c.Now())
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -126,7 +126,7 @@
 		s.log = event.New(o.log, plog.InfoLevel, "h")
 	}
 	machine, suspend := clock.Virtual()
-	s.state.GoBy(machine)
+	s.state.SetClock(machine)
 	s.suspend = suspend
 	s.requests = quarantine.NewTable(quarantine.DefaultConfig(), s.log)
 	s.setDial(o.dial)
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	s := discovery.NewState()
-	s.GoBy(h.system.Clock)
+	s.SetClock(h.system.Clock)
 	s.ShareRequests(requests.table)
 	return stateModule{s}, nil
 }
