--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -156,9 +156,9 @@
 	return asOf != nil && s.clock.Since(*asOf) <= s.permitValidity
 }
 
-// MayPermit returns the era of the registry, and whether permits of that era may be written and
+// PermitEra returns the era of the registry, and whether permits of that era may be written and
 // used. They may once those of earlier eras have become invalid on all hosts.
-func (s *State) MayPermit() (era uint64, ok bool) {
+func (s *State) PermitEra() (era uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registryEra, !s.eraFirstSeen.IsZero() && s.clock.Since(s.eraFirstSeen) >= s.permitValidity+permitEraMargin
--- a/internal/warmup/keeper.go
+++ b/internal/warmup/keeper.go
@@ -110,7 +110,7 @@
 	var mu sync.Mutex
 	var written []discovery.Permit
 	now := time.Now()
-	era, ok := k.state.MayPermit()
+	era, ok := k.state.PermitEra()
 	if !ok {
 		return
 	}
