--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// PermitsCount reports whether this host has read the registry recently enough to use permits.
+// PermitsValid reports whether this host has read the registry recently enough to use permits.
 // After a longer time other hosts may lack them and write new ones.
-func (s *State) PermitsCount() bool {
+func (s *State) PermitsValid() bool {
 	asOf := s.registryAsOf.Load()
 	return asOf != nil && s.clock.Since(*asOf) <= s.permitValidity
 }
--- a/internal/discovery/permit_age_test.go
+++ b/internal/discovery/permit_age_test.go
@@ -17,8 +17,8 @@
 		time.Sleep(time.Hour)
 		read := time.Now()
 		s.ApplyTargets(TargetList{Revision: at(7)}, read)
-		is.True(s.PermitsCount())
+		is.True(s.PermitsValid())
 		s.ApplyChanges(TargetChanges{Revision: at(8)}, read.Add(-s.permitValidity-time.Second))
-		is.True(s.PermitsCount())
+		is.True(s.PermitsValid())
 	})
 }
