--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -224,7 +224,7 @@
 	cfg.Settle = unit.Duration(settle)
 	h.members = member.New(members, h.self, objstoretest.New().Client(), h, event.Discard(), nil)
 	h.spread = NewExchange(cfg, h.members, h, h.state)
-	h.spread.AskFirst(members.Seeds)
+	h.spread.SetSeeds(members.Seeds)
 	way, cut := newCutSource(store)
 	h.cut = cut
 	h.follower = NewFollower(cfg, way, h.spread, h.state, event.Discard(), nil)
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -63,9 +63,9 @@
 	return &Exchange{cfg: cfg, members: members, dialer: dialer, state: state, watcherIndex: watcherIndex, cursors: map[string]peerCursor{}}
 }
 
-// AskFirst sets addresses of hosts to query at the start that may not be in the membership yet.
+// SetSeeds sets addresses of hosts to query at the start that may not be in the membership yet.
 // Call it before the exchange is used.
-func (s *Exchange) AskFirst(seeds []string) { s.seeds = seeds }
+func (s *Exchange) SetSeeds(seeds []string) { s.seeds = seeds }
 
 // currentGroups returns the groups for the current membership as this host sees it.
 func (s *Exchange) currentGroups() *groups {
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -236,7 +236,7 @@
 		return nil, l.Err
 	}
 	s := discovery.NewExchange(h.settings.Discovery, members, pool, state.State)
-	s.AskFirst(h.settings.Member.Seeds)
+	s.SetSeeds(h.settings.Member.Seeds)
 	return stateExchangeModule{s}, s.Register(server)
 }
 
