--- a/internal/discovery/evacuation_test.go
+++ b/internal/discovery/evacuation_test.go
@@ -130,7 +130,7 @@
 		is.True(s.View().EvacuationsUnknown)
 		is.True(s.Freshness().IsZero())
 		var views []View
-		s.Follow(func(v View) { views = append(views, v) })
+		s.Subscribe(func(v View) { views = append(views, v) })
 		s.ApplyEvacuations(EvacuationRead{Revision: at(1)}, now)
 		is.Equal(len(views), 1) // although no domain is evacuated
 		is.True(!views[0].EvacuationsUnknown)
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -105,9 +105,9 @@
 // Clock returns the clock for all ages.
 func (s *State) Clock() *clock.Clock { return s.clock }
 
-// Follow subscribes f to every new view. f is called under the lock and must be short. Call Follow
+// Subscribe subscribes f to every new view. f is called under the lock and must be short. Call Subscribe
 // before the state is used.
-func (s *State) Follow(f func(View)) { s.subscribers = append(s.subscribers, f) }
+func (s *State) Subscribe(f func(View)) { s.subscribers = append(s.subscribers, f) }
 
 // View returns a snapshot of the state.
 func (s *State) View() View {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,7 +70,7 @@
 	g.attemptHeader = http.Header{}
 	messages.Attempt(g.attemptHeader, "", 0)
 	g.registry.permitsValid = state.PermitsValid
-	state.Follow(g.registry.apply)
+	state.Subscribe(g.registry.apply)
 	if !cfg.disabled(Findings) {
 		state.FollowFindings(g.applyFindings)
 	}
