--- a/internal/discovery/findings.go
+++ b/internal/discovery/findings.go
@@ -67,9 +67,9 @@
 	return all
 }
 
-// FollowFindings sets the function that receives the findings of other hosts. It is called without
+// OnFindings sets the function that receives the findings of other hosts. It is called without
 // a lock held. Call it before the state is used.
-func (s *State) FollowFindings(f func([]Finding)) { s.onFindings = f }
+func (s *State) OnFindings(f func([]Finding)) { s.onFindings = f }
 
 // ReportFinding queues a finding of this host for its peers. It does not block.
 func (s *State) ReportFinding(f Finding) {
@@ -117,7 +117,7 @@
 	s.wakePolls()
 }
 
-// deliverFindings passes the findings of other hosts to the function set by FollowFindings.
+// deliverFindings passes the findings of other hosts to the function set by OnFindings.
 func (s *State) deliverFindings(all []Finding) {
 	if len(all) > 0 && s.onFindings != nil {
 		s.onFindings(all)
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	watcher, followers := splitWatcher(t, startHosts(t, 3))
 	delivered := make(chan Finding, 10)
-	watcher.state.FollowFindings(func(all []Finding) { delivered <- all[0] })
+	watcher.state.OnFindings(func(all []Finding) { delivered <- all[0] })
 	finding := Finding{Target: "i-1", Bad: true, Latency: 80 * time.Millisecond, Failures: 0.5, Domain: "salt-lake"}
 	followers[0].spread.SendFindings(t.Context(), []Finding{finding})
 	is.Equal((<-delivered).Target, "i-1")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 	g.registry.permitsValid = state.PermitsValid
 	state.Subscribe(g.registry.apply)
 	if !cfg.disabled(Findings) {
-		state.FollowFindings(g.applyFindings)
+		state.OnFindings(g.applyFindings)
 	}
 	return g
 }
