--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// ReadRequests sets the stored quarantine records, which the follower reads on a host that has to
+// SetQuarantineStore sets the stored quarantine records, which the follower reads on a host that has to
 // read the store. Call it before Start.
-func (f *Follower) ReadRequests(s QuarantineStore) { f.quarantineStore = s }
+func (f *Follower) SetQuarantineStore(s QuarantineStore) { f.quarantineStore = s }
 
 // quarantineReadInterval is the time between two reads of the stored quarantine records while any
 // request is quarantined. They show what an operator has cleared, and what hosts have found that
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -250,7 +250,7 @@
 		return nil, l.Err
 	}
 	follower := discovery.NewFollower(h.settings.Discovery, h.platform.Source(records), spread, state.State, h.log, h.metrics)
-	follower.ReadRequests(requests)
+	follower.SetQuarantineStore(requests)
 	return follower, nil
 }
 
