--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -37,7 +37,7 @@
 			return
 		}
 		s := NewState()
-		s.ShareRequests(quarantine.NewTable(quarantine.DefaultConfig(), event.Discard()))
+		s.ShareQuarantine(quarantine.NewTable(quarantine.DefaultConfig(), event.Discard()))
 		s.ApplyUpdate(update)
 		s.ApplyUpdate(update)
 		s.mergeRequests(update.Requests)
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -21,9 +21,9 @@
 	Read(ctx context.Context) error
 }
 
-// ShareRequests makes the records of a quarantine table part of the updates for other hosts. Call
+// ShareQuarantine makes the records of a quarantine table part of the updates for other hosts. Call
 // it before the state is used.
-func (s *State) ShareRequests(t *quarantine.Table) {
+func (s *State) ShareQuarantine(t *quarantine.Table) {
 	s.quarantined = t
 	t.Follow(func() {
 		s.mu.Lock()
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -139,7 +139,7 @@
 	}
 	s := discovery.NewState()
 	s.SetClock(h.system.Clock)
-	s.ShareRequests(requests.table)
+	s.ShareQuarantine(requests.table)
 	return stateModule{s}, nil
 }
 
