--- a/internal/discovery/bootstrap_test.go
+++ b/internal/discovery/bootstrap_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		older := NewState()
-		older.ApplyTargets(TargetList{Targets: []Target{{ID: targetNames[0], Born: 1, Service: "s"}}, Revision: at(4)}, time.Now())
+		older.ApplyTargets(TargetList{Targets: []Target{{ID: targetNames[0], StartMillis: 1, Service: "s"}}, Revision: at(4)}, time.Now())
 		older.ApplyChanges(TargetChanges{Changes: removalOf(targetNames[0]), Revision: at(5)}, time.Now())
 		time.Sleep(establishedAge * 4 / 5)
 		store := newLiveStore() // restored from a copy that has the target
--- a/internal/discovery/eras_history_test.go
+++ b/internal/discovery/eras_history_test.go
@@ -112,7 +112,7 @@
 	left map[Target]bool // by id and incarnation
 }
 
-func incarnation(t Target) Target { return Target{ID: t.ID, Born: t.Born} }
+func incarnation(t Target) Target { return Target{ID: t.ID, StartMillis: t.StartMillis} }
 
 // Reads, watches, updates of peers (late ones, too) and restores come in any order. A configuration
 // version never goes back, a target that a host has seen leaving is not used there again, and once
@@ -157,7 +157,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"register": func(t *rapid.T) {
 				store.lastBorn++
-				target := Target{ID: id(t), Born: store.lastBorn, Service: "s"}
+				target := Target{ID: id(t), StartMillis: store.lastBorn, Service: "s"}
 				store.live[target.ID] = target
 				store.write(target, false)
 			},
--- a/internal/discovery/lapse.go
+++ b/internal/discovery/lapse.go
@@ -75,7 +75,7 @@
 	}
 	for id, target := range s.missing {
 		if _, known := s.tombstones.byID[id]; !known && !target.inOutage {
-			s.addTombstone(id, s.targets[id].Born, true, s.registry.revision) // the copy may contain its registration, though it left
+			s.addTombstone(id, s.targets[id].StartMillis, true, s.registry.revision) // the copy may contain its registration, though it left
 		}
 	}
 	s.tombstones.activateOlder(era, at)
@@ -126,7 +126,7 @@
 		}
 		changes = append(changes, TargetChange{Target: s.targets[id], Gone: true})
 		if _, suppressed := s.tombstones.suppressed[id]; !suppressed { // otherwise the existing tombstone stays
-			s.addTombstone(id, s.targets[id].Born, true, s.registry.revision)
+			s.addTombstone(id, s.targets[id].StartMillis, true, s.registry.revision)
 		}
 		delete(s.missing, id)
 		delete(s.targets, id)
--- a/internal/discovery/livestore_test.go
+++ b/internal/discovery/livestore_test.go
@@ -61,7 +61,7 @@
 // launch starts a new incarnation of a target.
 func (s *liveStore) launch(i int) {
 	s.lastBorn++
-	t := Target{ID: targetNames[i], Born: s.lastBorn, Service: "s", Address: fmt.Sprintf("10.9.0.%d:80", i), Domain: fmt.Sprintf("domain-%d", i%3)}
+	t := Target{ID: targetNames[i], StartMillis: s.lastBorn, Service: "s", Address: fmt.Sprintf("10.9.0.%d:80", i), Domain: fmt.Sprintf("domain-%d", i%3)}
 	s.live[t.ID] = t
 	s.put(t, false)
 }
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -106,7 +106,7 @@
 func TestTombstoneOutlivesASecondRestore(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
@@ -126,7 +126,7 @@
 func TestTargetThatWentMissingBeforeARestoreIsKeptNoLonger(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	pass(s.lapseAfter + time.Second)
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -21,13 +21,13 @@
 // Target is one incarnation of a server of a service, as it registered itself. An incarnation is
 // identified by the target's id and its start time, as a target may restart under the same id.
 type Target struct {
-	ID       string
-	Born     int64 // start time in milliseconds of Unix time; 0: not reported, and each start has an id of its own
-	Service  string
-	Address  string // host:port
-	Domain   string // failure domain
-	Slots    int    // number of requests that it runs at once
-	Draining bool   // the target is leaving and must get no new work
+	ID          string
+	StartMillis int64 // start time in milliseconds of Unix time; 0: not reported, and each start has an id of its own
+	Service     string
+	Address     string // host:port
+	Domain      string // failure domain
+	Slots       int    // number of requests that it runs at once
+	Draining    bool   // the target is leaving and must get no new work
 	// Warmup is the remaining warm-up time at the time of the registration.
 	Warmup time.Duration
 	// ColdUntil is the latest time until which the target is cold, by the clock of the State that
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -300,7 +300,7 @@
 	delete(s.targets, id)
 	delete(s.missing, id)
 	if c.Problem == "" { // an unusable registration does not mean that the target is gone
-		s.addTombstone(id, known.Born, true, s.registry.revision)
+		s.addTombstone(id, known.StartMillis, true, s.registry.revision)
 	}
 	return TargetChange{Target: known, Gone: true}, true
 }
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -215,9 +215,9 @@
 func TestOldIncarnationDoesNotReplaceANewerOne(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	first := Target{ID: "a", Service: "s", Address: "h:1", Slots: 1, Born: 1000}
+	first := Target{ID: "a", Service: "s", Address: "h:1", Slots: 1, StartMillis: 1000}
 	again := first
-	again.Born = 2000
+	again.StartMillis = 2000
 	now := time.Now()
 	s.ApplyTargets(TargetList{Targets: []Target{first}, Revision: at(5)}, now)
 	s.ApplyChanges(TargetChanges{Changes: []TargetChange{{Target: again}}, Revision: at(9)}, now)
--- a/internal/discovery/tombstone.go
+++ b/internal/discovery/tombstone.go
@@ -70,7 +70,7 @@
 	if !ok || entry.revision.Era >= at.Era || !asOf.Before(entry.activeUntil) {
 		return tombstone{}, false
 	}
-	return entry, target.Born <= entry.born || entry.born == anyIncarnation // earlier incarnations are gone, too
+	return entry, target.StartMillis <= entry.born || entry.born == anyIncarnation // earlier incarnations are gone, too
 }
 
 // activateOlder activates all tombstones of eras before the given one.
@@ -147,7 +147,7 @@
 		}
 	case t.Draining:
 		s.tombstones.remove(t.ID)
-		s.addTombstone(t.ID, t.Born, false, at) // also if it is already treated as leaving
+		s.addTombstone(t.ID, t.StartMillis, false, at) // also if it is already treated as leaving
 	default:
 		s.tombstones.remove(t.ID)
 	}
@@ -170,7 +170,7 @@
 	switch _, suppressed := s.tombstones.suppressed[t.ID]; {
 	case suppressed:
 	case t.Draining:
-		s.addTombstone(t.ID, t.Born, false, s.registry.revision)
+		s.addTombstone(t.ID, t.StartMillis, false, s.registry.revision)
 	default:
 		s.tombstones.remove(t.ID)
 	}
@@ -179,7 +179,7 @@
 // suppress returns how to treat a registration in a list: a target with a tombstone is gone or
 // leaving. The caller holds the lock.
 func (s *State) suppress(t Target, at revision.Revision, asOf time.Time) (result Target, gone bool) {
-	if current, ok := s.targets[t.ID]; ok && t.Born > 0 && t.Born < current.Born {
+	if current, ok := s.targets[t.ID]; ok && t.StartMillis > 0 && t.StartMillis < current.StartMillis {
 		return current, false // the copy has an earlier incarnation; the cached one registers again or lapses
 	}
 	entry, ok := s.tombstones.match(t, at, asOf)
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -20,7 +20,7 @@
 	c, pass := clock.Virtual()
 	s := NewState()
 	s.SetClock(c)
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: inEra(1, 9)}, c.Now())
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 6)}, c.Now())
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -32,7 +32,7 @@
 		out.Targets = append(out.Targets, &peerpb.TargetInfo{
 			Id: c.Target.ID, Gone: c.Gone, Service: c.Target.Service, Address: c.Target.Address,
 			FailureDomain: c.Target.Domain, Slots: int64(c.Target.Slots), Draining: c.Target.Draining,
-			WarmupUs: max(c.Target.ColdUntil.Sub(now), 0).Microseconds(), BornMs: c.Target.Born,
+			WarmupUs: max(c.Target.ColdUntil.Sub(now), 0).Microseconds(), BornMs: c.Target.StartMillis,
 		})
 	}
 	return out
@@ -73,7 +73,7 @@
 	for _, t := range r.Targets {
 		u.Changes = append(u.Changes, TargetChange{Gone: t.Gone, Target: Target{
 			ID: t.Id, Service: t.Service, Address: t.Address, Domain: t.FailureDomain,
-			Slots: int(t.Slots), Draining: t.Draining, Warmup: time.Duration(t.WarmupUs) * time.Microsecond, Born: t.BornMs,
+			Slots: int(t.Slots), Draining: t.Draining, Warmup: time.Duration(t.WarmupUs) * time.Microsecond, StartMillis: t.BornMs,
 		}})
 	}
 	return u, nil
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -191,7 +191,7 @@
 		for i := range 40 {
 			s.sendConcurrently(6, "/one/x")
 			if i == 20 {
-				s.register(discovery.Target{ID: "s0-t0", Service: "s0", Address: "s0-t0:80", Domain: domain, Slots: 4, Born: 1, Warmup: coldDuration})
+				s.register(discovery.Target{ID: "s0-t0", Service: "s0", Address: "s0-t0:80", Domain: domain, Slots: 4, StartMillis: 1, Warmup: coldDuration})
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -23,7 +23,7 @@
 
 // registerBorn registers a target under its id with a start time.
 func (s *site) registerBorn(id string, born int64) {
-	s.register(discovery.Target{ID: id, Service: id[:len(id)-len("-t0")], Address: id + ":80", Domain: domain, Slots: 4, Born: born})
+	s.register(discovery.Target{ID: id, Service: id[:len(id)-len("-t0")], Address: id + ":80", Domain: domain, Slots: 4, StartMillis: born})
 }
 
 // onlySelf is a membership view with this host only.
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -79,7 +79,7 @@
 	s.targets = s.targets[:0:0]
 	for _, conf := range list {
 		t, ok := previous[conf.ID]
-		if !ok || t.info.Address != conf.Address || t.info.Born != conf.Born {
+		if !ok || t.info.Address != conf.Address || t.info.StartMillis != conf.StartMillis {
 			t = reg.newTarget(conf)
 			if ok {
 				t.cold.inherit(previous[conf.ID])
@@ -114,7 +114,7 @@
 func (t *target) retire(successor *target) {
 	t.draining = true
 	t.pool.Close()
-	if successor != nil && successor.info.Born != t.info.Born {
+	if successor != nil && successor.info.StartMillis != t.info.StartMillis {
 		t.replaced.Store(true)
 		t.pool.Abort()
 	}
