--- a/internal/discovery/findings.go
+++ b/internal/discovery/findings.go
@@ -8,14 +8,14 @@
 
 // Finding is one host's health verdict on a target.
 type Finding struct {
-	Target   string
-	Born     int64         // of the incarnation that was assessed; see Target
-	Bad      bool          // the target was set aside; otherwise it was readmitted
-	Ended    bool          // the target refused connections when it was set aside
-	Latency  time.Duration // scaled to a typical answer
-	Failures float64       // ratio of failed attempts, 0..1
-	Domain   string        // failure domain of the host that made the finding
-	Age      time.Duration // since the finding was made
+	Target      string
+	StartMillis int64         // of the incarnation that was assessed; see Target
+	Bad         bool          // the target was set aside; otherwise it was readmitted
+	Ended       bool          // the target refused connections when it was set aside
+	Latency     time.Duration // scaled to a typical answer
+	Failures    float64       // ratio of failed attempts, 0..1
+	Domain      string        // failure domain of the host that made the finding
+	Age         time.Duration // since the finding was made
 }
 
 // maxFindings is how many findings are kept for peers, which have no use for older ones.
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -113,7 +113,7 @@
 	out := make([]*peerpb.Finding, 0, len(all))
 	for _, f := range all {
 		out = append(out, &peerpb.Finding{
-			Target: f.Target, BornMs: f.Born, Bad: f.Bad, Ended: f.Ended, LatencyUs: f.Latency.Microseconds(), Failures: f.Failures,
+			Target: f.Target, BornMs: f.StartMillis, Bad: f.Bad, Ended: f.Ended, LatencyUs: f.Latency.Microseconds(), Failures: f.Failures,
 			FailureDomain: f.Domain, AgeUs: f.Age.Microseconds(),
 		})
 	}
@@ -124,7 +124,7 @@
 	var all []Finding
 	for _, f := range in {
 		all = append(all, Finding{
-			Target: f.Target, Born: f.BornMs, Bad: f.Bad, Ended: f.Ended, Latency: time.Duration(f.LatencyUs) * time.Microsecond, Failures: f.Failures,
+			Target: f.Target, StartMillis: f.BornMs, Bad: f.Bad, Ended: f.Ended, Latency: time.Duration(f.LatencyUs) * time.Microsecond, Failures: f.Failures,
 			Domain: f.FailureDomain, Age: time.Duration(f.AgeUs) * time.Microsecond,
 		})
 	}
--- a/internal/gateway/learn.go
+++ b/internal/gateway/learn.go
@@ -22,7 +22,7 @@
 	now := time.Now()
 	for _, f := range all {
 		s, t := g.registry.find(f.Target)
-		if t == nil || f.Born != t.info.StartMillis { // another incarnation
+		if t == nil || f.StartMillis != t.info.StartMillis { // another incarnation
 			continue
 		}
 		s.mu.Lock()
@@ -79,6 +79,6 @@
 		return
 	}
 	g.state.ReportFinding(discovery.Finding{
-		Target: t.info.ID, Born: t.info.StartMillis, Bad: bad, Ended: bad && t.unreachable, Latency: t.health.Latency(), Failures: t.health.FailureRatio(), Domain: g.self.FailureDomain,
+		Target: t.info.ID, StartMillis: t.info.StartMillis, Bad: bad, Ended: bad && t.unreachable, Latency: t.health.Latency(), Failures: t.health.FailureRatio(), Domain: g.self.FailureDomain,
 	})
 }
