--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -51,10 +51,10 @@
 }
 
 const (
-	// KeepPermits is how long a host keeps the permit of an unregistered target, which may return
+	// PermitRetention is how long a host keeps the permit of an unregistered target, which may return
 	// under its id. The store keeps it longer, so that no other permit is written while a host uses
 	// this one.
-	KeepPermits = 30 * time.Minute
+	PermitRetention = 30 * time.Minute
 	// permitEraMargin is the time between the end of the validity of all older permits and the
 	// first new one: requests sent under a permit count for a second.
 	permitEraMargin = 1100 * time.Millisecond
@@ -98,7 +98,7 @@
 	return all
 }
 
-// dropUnregistered drops the permits of targets that have been unregistered for KeepPermits.
+// dropUnregistered drops the permits of targets that have been unregistered for PermitRetention.
 func (p *permits) dropUnregistered(now time.Time, targets map[string]Target) {
 	if len(p.ordered) == 0 || now.Sub(p.reviewedAt) < permitReviewInterval {
 		return
@@ -112,7 +112,7 @@
 			if !wasMissing {
 				since = now
 			}
-			if now.Sub(since) >= KeepPermits {
+			if now.Sub(since) >= PermitRetention {
 				continue
 			}
 			unregistered[id] = since
--- a/internal/warmup/sweep.go
+++ b/internal/warmup/sweep.go
@@ -13,7 +13,7 @@
 	sweepInterval = 10 * time.Minute
 	// unregisteredRetention is how long the store keeps the permit of an unregistered target: longer than any
 	// host does, so that a target that registers again never gets a second permit.
-	unregisteredRetention = 2 * discovery.KeepPermits
+	unregisteredRetention = 2 * discovery.PermitRetention
 	// sweepKey identifies the sweep in Peers.TurnFor.
 	sweepKey = "sweep of permits"
 )
