--- a/internal/entry/merge.go
+++ b/internal/entry/merge.go
@@ -35,7 +35,7 @@
 }
 
 // newMerger returns a merger for the shards of the parts.
-func newMerger(snapshot uint64, parts []query.Part) *merger {
+func newMerger(snapshot uint64, parts []query.ServiceShards) *merger {
 	n := 0
 	for _, p := range parts {
 		n += len(p.Shards)
--- a/internal/entry/scope.go
+++ b/internal/entry/scope.go
@@ -61,8 +61,8 @@
 
 // parts returns every shard of the scope in the snapshot. Services and shards
 // come from the snapshot alone, so coverage is always relative to its map.
-func (s searchScope) parts(snap catalog.Snapshot) []query.Part {
-	var parts []query.Part
+func (s searchScope) parts(snap catalog.Snapshot) []query.ServiceShards {
+	var parts []query.ServiceShards
 	for name, m := range snap.Services {
 		if s.service != "" && s.service != name {
 			continue
@@ -71,9 +71,9 @@
 		for i := range shards {
 			shards[i] = uint32(i)
 		}
-		parts = append(parts, query.Part{Service: name, Shards: shards})
+		parts = append(parts, query.ServiceShards{Service: name, Shards: shards})
 	}
-	slices.SortFunc(parts, func(a, b query.Part) int {
+	slices.SortFunc(parts, func(a, b query.ServiceShards) int {
 		if a.Service < b.Service {
 			return -1
 		}
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -181,15 +181,15 @@
 }
 
 // groupByService groups shards by service, in order of first appearance.
-func groupByService(keys []query.ShardKey) []query.Part {
-	var parts []query.Part
+func groupByService(keys []query.ShardKey) []query.ServiceShards {
+	var parts []query.ServiceShards
 	index := make(map[string]int)
 	for _, k := range keys {
 		i, ok := index[k.Service]
 		if !ok {
 			i = len(parts)
 			index[k.Service] = i
-			parts = append(parts, query.Part{Service: k.Service})
+			parts = append(parts, query.ServiceShards{Service: k.Service})
 		}
 		parts[i].Shards = append(parts[i].Shards, k.Shard)
 	}
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -99,11 +99,11 @@
 	Text      string
 	Limit     int
 	Budget    time.Duration
-	Parts     []Part
+	Parts     []ServiceShards
 }
 
-// Part lists the requested shards of one service.
-type Part struct {
+// ServiceShards lists the requested shards of one service.
+type ServiceShards struct {
 	Service string
 	Shards  []uint32
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -207,7 +207,7 @@
 		n++
 		work.Go(func() {
 			q := query.Batch{RequestID: fmt.Sprint("r", n), Workload: "w", Snapshot: 7, Budget: 110 * time.Millisecond,
-				Urgency: query.Interactive, Parts: []query.Part{{Service: "s", Shards: []uint32{shard}}}}
+				Urgency: query.Interactive, Parts: []query.ServiceShards{{Service: "s", Shards: []uint32{shard}}}}
 			_ = f.relay.Search(b.Context(), q, func(r query.ShardResult) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/relay/fakes_test.go
+++ b/internal/relay/fakes_test.go
@@ -303,7 +303,7 @@
 
 func batch(shards int, budget time.Duration) query.Batch {
 	b := query.Batch{RequestID: "r1", Workload: "w", Snapshot: 7, Urgency: query.Interactive, Budget: budget,
-		Parts: []query.Part{{Service: "s"}}}
+		Parts: []query.ServiceShards{{Service: "s"}}}
 	for i := range shards {
 		b.Parts[0].Shards = append(b.Parts[0].Shards, uint32(i))
 	}
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -114,14 +114,14 @@
 	}
 }
 
-func (r *batchRun) refusePart(p query.Part, reason query.Reason) {
+func (r *batchRun) refusePart(p query.ServiceShards, reason query.Reason) {
 	for _, shard := range p.Shards {
 		r.tasks = append(r.tasks, task{key: query.ShardKey{Service: p.Service, Shard: shard}, reason: reason})
 		r.giveUp(&r.tasks[len(r.tasks)-1])
 	}
 }
 
-func (r *batchRun) preparePart(part query.Part) {
+func (r *batchRun) preparePart(part query.ServiceShards) {
 	p := r.relay.pool(part.Service)
 	if p == nil {
 		r.refusePart(part, query.ReasonUnknownService)
@@ -138,7 +138,7 @@
 	tries := make([]try, len(part.Shards))
 	for i, shard := range part.Shards {
 		if int(shard) >= len(pl.shards) {
-			r.refusePart(query.Part{Service: part.Service, Shards: []uint32{shard}}, query.ReasonBadRequest)
+			r.refusePart(query.ServiceShards{Service: part.Service, Shards: []uint32{shard}}, query.ReasonBadRequest)
 			continue
 		}
 		r.tasks = append(r.tasks, task{
--- a/internal/relayrpc/convert.go
+++ b/internal/relayrpc/convert.go
@@ -23,10 +23,10 @@
 	out := query.Batch{
 		RequestID: in.RequestId, Caller: in.Caller, Workload: in.Workload, Snapshot: in.Snapshot,
 		Urgency: query.Urgency(in.Urgency), Text: in.Text, Limit: int(in.Limit),
-		Budget: peer.Micros(in.BudgetUs), Parts: make([]query.Part, len(in.Parts)),
+		Budget: peer.Micros(in.BudgetUs), Parts: make([]query.ServiceShards, len(in.Parts)),
 	}
 	for i, p := range in.Parts {
-		out.Parts[i] = query.Part{Service: p.GetService(), Shards: p.GetShards()}
+		out.Parts[i] = query.ServiceShards{Service: p.GetService(), Shards: p.GetShards()}
 	}
 	return out
 }
--- a/internal/relayrpc/relayrpc_test.go
+++ b/internal/relayrpc/relayrpc_test.go
@@ -59,7 +59,7 @@
 
 func batch() query.Batch {
 	return query.Batch{RequestID: "r1", Workload: "w", Snapshot: 7, Urgency: query.Deferrable, Text: "q",
-		Limit: 3, Budget: 10 * time.Second, Parts: []query.Part{{Service: "s", Shards: []uint32{0, 1, 2}}}}
+		Limit: 3, Budget: 10 * time.Second, Parts: []query.ServiceShards{{Service: "s", Shards: []uint32{0, 1, 2}}}}
 }
 
 // testPair is a client and its server, connected over loopback.
