--- a/internal/objstore/client.go
+++ b/internal/objstore/client.go
@@ -261,7 +261,7 @@
 
 // openAndCache decodes the object of a record and caches its version and revision.
 func (c *Client) openAndCache(kind string, r Record) (Object, error) {
-	o, err := Open(kind, r)
+	o, err := Decode(kind, r)
 	if err != nil {
 		return Object{}, err
 	}
--- a/internal/objstore/envelope.go
+++ b/internal/objstore/envelope.go
@@ -19,9 +19,9 @@
 	Changed time.Time `json:"changed"` // by the platform's clock
 }
 
-// Open decodes the object of a record. A record that was not written by a
+// Decode decodes the object of a record. A record that was not written by a
 // Client, such as one written manually, has version 1 and no timestamps.
-func Open(kind string, r Record) (Object, error) {
+func Decode(kind string, r Record) (Object, error) {
 	o := Object{Kind: kind, Name: r.Name, Revision: r.Revision.Number, Era: r.Revision.Era, Deleted: r.Deleted}
 	if r.Problem != nil {
 		return o, Error.New("record %s/%s: %w", kind, r.Name, r.Problem)
--- a/internal/objstore/fuzz_test.go
+++ b/internal/objstore/fuzz_test.go
@@ -15,7 +15,7 @@
 		f.Add([]byte(spec), false)
 	}
 	f.Fuzz(func(t *testing.T, spec []byte, deleted bool) {
-		o, err := Open("kind", Record{Name: "n", Revision: revision.Revision{Era: 1, Number: 4}, Spec: spec, Deleted: deleted})
+		o, err := Decode("kind", Record{Name: "n", Revision: revision.Revision{Era: 1, Number: 4}, Spec: spec, Deleted: deleted})
 		if o.Name != "n" || o.Kind != "kind" || o.Revision != 4 {
 			t.Fatalf("opened %+v", o)
 		}
--- a/internal/standin/objectstore/store.go
+++ b/internal/standin/objectstore/store.go
@@ -127,7 +127,7 @@
 // decodeObject decodes a stored object. An object that cannot be decoded is returned without a
 // value.
 func decodeObject(kind string, o platform.Object) objstore.Object {
-	opened, err := objstore.Open(kind, objstore.Record{Name: o.Meta.Name, Revision: revision.Revision{Number: o.Meta.Revision}, Spec: o.Spec})
+	opened, err := objstore.Decode(kind, objstore.Record{Name: o.Meta.Name, Revision: revision.Revision{Number: o.Meta.Revision}, Spec: o.Spec})
 	if err != nil {
 		return objstore.Object{Kind: kind, Name: o.Meta.Name}
 	}
