--- a/internal/catalog/inforce.go
+++ b/internal/catalog/inforce.go
@@ -17,7 +17,7 @@
 // InForce reports on which hosts a revision is in force.
 type InForce struct {
 	Revision  uint64            `json:"revision"`
-	Of        int               `json:"of"`      // number of usable hosts
+	HostCount int               `json:"of"`      // number of usable hosts
 	On        int               `json:"on"`      // number of those that have the revision or a newer one
 	Missing   []string          `json:"missing"` // ids of the others, sorted; includes hosts that did not respond
 	Revisions map[string]uint64 `json:"told"`    // newest known revision of each usable host
@@ -29,7 +29,7 @@
 func (c *Catalog) InForce(ctx context.Context, revision uint64) InForce {
 	hosts := slices.DeleteFunc(slices.Clone(c.members.Hosts()), func(h member.Host) bool { return !h.Usable() })
 	revisions := c.revisionsOf(ctx, hosts, revision)
-	report := InForce{Revision: revision, Of: len(hosts), Missing: []string{}, Revisions: make(map[string]uint64, len(hosts))}
+	report := InForce{Revision: revision, HostCount: len(hosts), Missing: []string{}, Revisions: make(map[string]uint64, len(hosts))}
 	for i, h := range hosts {
 		report.Revisions[h.ID] = revisions[i]
 		if revisions[i] < revision {
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -189,7 +189,7 @@
 		is.Equal(f.countStale(), 1)
 		is.Equal(f.countInForce(revision), 11)
 		report := f.nodes[0].catalog.InForce(context.Background(), revision)
-		is.Equal(report.Of, 12)
+		is.Equal(report.HostCount, 12)
 		is.Equal(report.On, 11)
 		is.Equal(report.Missing, []string{alone.host.ID})
 		is.True(report.Revisions[alone.host.ID] < revision)
