--- a/internal/catalog/inforce.go
+++ b/internal/catalog/inforce.go
@@ -16,11 +16,11 @@
 
 // InForce reports on which hosts a revision is in force.
 type InForce struct {
-	Revision  uint64            `json:"revision"`
-	HostCount int               `json:"of"`      // number of usable hosts
-	On        int               `json:"on"`      // number of those that have the revision or a newer one
-	Missing   []string          `json:"missing"` // ids of the others, sorted; includes hosts that did not respond
-	Revisions map[string]uint64 `json:"told"`    // newest known revision of each usable host
+	Revision     uint64            `json:"revision"`
+	HostCount    int               `json:"of"`      // number of usable hosts
+	InForceCount int               `json:"on"`      // number of those that have the revision or a newer one
+	Missing      []string          `json:"missing"` // ids of the others, sorted; includes hosts that did not respond
+	Revisions    map[string]uint64 `json:"told"`    // newest known revision of each usable host
 }
 
 // InForce compares a revision with those of the usable hosts. The revisions in
@@ -36,7 +36,7 @@
 			report.Missing = append(report.Missing, h.ID)
 			continue
 		}
-		report.On++
+		report.InForceCount++
 	}
 	return report
 }
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -153,7 +153,7 @@
 		f.omitRevisions = true
 		revision := f.write(testService("a"))
 		f.advance(maxPropagationTime)
-		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).On, 12)
+		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).InForceCount, 12)
 		f.isolate(f.nodes[5].host.ID)
 		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).Missing, []string{f.nodes[5].host.ID})
 	})
@@ -190,7 +190,7 @@
 		is.Equal(f.countInForce(revision), 11)
 		report := f.nodes[0].catalog.InForce(context.Background(), revision)
 		is.Equal(report.HostCount, 12)
-		is.Equal(report.On, 11)
+		is.Equal(report.InForceCount, 11)
 		is.Equal(report.Missing, []string{alone.host.ID})
 		is.True(report.Revisions[alone.host.ID] < revision)
 
--- a/internal/operate/state.go
+++ b/internal/operate/state.go
@@ -174,7 +174,7 @@
 // describeInForce describes on how many hosts a revision is in force, and names
 // those on which it isn't.
 func describeInForce(inForce catalog.InForce) string {
-	text := fmt.Sprintf("revision %s is in force on %d of %d hosts", formatRevision(inForce.Revision), inForce.On, inForce.HostCount)
+	text := fmt.Sprintf("revision %s is in force on %d of %d hosts", formatRevision(inForce.Revision), inForce.InForceCount, inForce.HostCount)
 	if len(inForce.Missing) > 0 {
 		text += ", not yet on " + strings.Join(inForce.Missing, ", ")
 	}
