--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -247,7 +247,7 @@
 		is.Equal(lost.Lost.Version, uint64(2))
 		is.Equal(lost.Lost.Winner.ID, won.ChangeID)
 		is.Equal(lost.Lost.Winner.Operator, "winner")
-		is.Equal(lost.Lost.Differs, []FieldDiff{{Path: "rules.relays", Stands: "3", Wanted: "4"}})
+		is.Equal(lost.Lost.Differs, []FieldDiff{{Path: "rules.relays", Current: "3", Wanted: "4"}})
 	})
 }
 
--- a/internal/catalog/diff.go
+++ b/internal/catalog/diff.go
@@ -14,9 +14,9 @@
 // FieldDiff is one field in which the current and the wanted value of an object
 // differ. The text of a missing field is empty.
 type FieldDiff struct {
-	Path   string `json:"path"` // such as "rules.relays" or "targets[guest-01-t2].slots"
-	Stands string `json:"stands,omitempty"`
-	Wanted string `json:"wanted,omitempty"`
+	Path    string `json:"path"` // such as "rules.relays" or "targets[guest-01-t2].slots"
+	Current string `json:"stands,omitempty"`
+	Wanted  string `json:"wanted,omitempty"`
 }
 
 // diffJSON returns the fields in which two JSON values differ, sorted by path.
@@ -24,7 +24,7 @@
 func diffJSON(current, wanted []byte) []FieldDiff {
 	var a, b any
 	if decodeOptional(current, &a) != nil || decodeOptional(wanted, &b) != nil {
-		return []FieldDiff{{Stands: string(current), Wanted: string(wanted)}}
+		return []FieldDiff{{Current: string(current), Wanted: string(wanted)}}
 	}
 	for _, v := range []any{a, b} {
 		if fields, ok := v.(map[string]any); ok {
@@ -50,7 +50,7 @@
 	fieldsA, okA := fieldsOf(a)
 	fieldsB, okB := fieldsOf(b)
 	if !okA || !okB {
-		return []FieldDiff{{Path: path, Stands: jsonText(a), Wanted: jsonText(b)}}
+		return []FieldDiff{{Path: path, Current: jsonText(a), Wanted: jsonText(b)}}
 	}
 	names := sortedKeys(fieldsA)
 	for name := range fieldsB {
--- a/internal/operate/change.go
+++ b/internal/operate/change.go
@@ -126,7 +126,7 @@
 func dryRunTable(r catalog.Result) *Table {
 	t := newTable("field", "now", "then")
 	for _, d := range r.Changes {
-		t.addRow(d.Path, d.Stands, d.Wanted)
+		t.addRow(d.Path, d.Current, d.Wanted)
 	}
 	t.addNote("dry run: %s %s would be accepted, and nothing was written", r.Kind, r.Name)
 	return t
@@ -163,7 +163,7 @@
 	}
 	var differences []string
 	for _, d := range l.Differs {
-		differences = append(differences, fmt.Sprintf("%s stands at %s, this change wanted %s", d.Path, d.Stands, d.Wanted))
+		differences = append(differences, fmt.Sprintf("%s stands at %s, this change wanted %s", d.Path, d.Current, d.Wanted))
 	}
 	if len(differences) == 0 {
 		return winner + "; it differs in nothing from this change"
