--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -59,7 +59,7 @@
 	case "slow":
 		c.client.SetLatency(time.Duration(f.calls) * time.Second)
 	case "down":
-		c.client.Outage(true)
+		c.client.SetDown(true)
 	}
 }
 
@@ -68,7 +68,7 @@
 	c.client.LoseNextRequests(0)
 	c.client.DelayNextWrites(0)
 	c.client.SetLatency(0)
-	c.client.Outage(false)
+	c.client.SetDown(false)
 }
 
 // round is one request per operator, all made concurrently.
@@ -253,13 +253,13 @@
 
 func TestUnresponsivePlatformLeavesAChangeUnknown(t *testing.T) {
 	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
-		c.client.Outage(true)
+		c.client.SetDown(true)
 		is.Equal(c.editor.Change(ctx, alter(1, 3, "x")).Status, Refused) // it was not sent
-		c.client.Outage(false)
+		c.client.SetDown(false)
 
 		c.client.DelayNextWrites(1)
 		c.client.SetLatency(time.Second)
-		time.AfterFunc(2500*time.Millisecond, func() { c.client.Outage(true) })
+		time.AfterFunc(2500*time.Millisecond, func() { c.client.SetDown(true) })
 		start := time.Now()
 		r := c.editor.Change(ctx, alter(1, 3, "x"))
 		is.Equal(r.Status, Unknown)
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -90,7 +90,7 @@
 
 		for _, n := range f.allNodes() {
 			if watchRank(n.host, n.Hosts()) < DefaultConfig().WatchersPerDomain {
-				n.client.Outage(true) // the watchers still reach their peers
+				n.client.SetDown(true) // the watchers still reach their peers
 			}
 		}
 		f.advance(2 * DefaultConfig().TakeoverAfter.Std())
@@ -122,7 +122,7 @@
 func TestOutageOfThePlatform(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		cut := f.nodes[3]
-		cut.client.Outage(true) // it still reaches its peers
+		cut.client.SetDown(true) // it still reaches its peers
 		revision := f.write(testService("b"))
 		f.advance(maxPropagationTime)
 		is.Equal(f.countInForce(revision), 12)
@@ -182,7 +182,7 @@
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		alone := f.nodes[5]
 		f.isolate(alone.host.ID)
-		alone.client.Outage(true)
+		alone.client.SetDown(true)
 		revision := f.write(testService("a"))
 		f.advance(DefaultConfig().StaleAfter.Std() + time.Millisecond)
 		is.True(alone.catalog.Stale())
@@ -194,7 +194,7 @@
 		is.Equal(report.Missing, []string{alone.host.ID})
 		is.True(report.Revisions[alone.host.ID] < revision)
 
-		alone.client.Outage(false) // access to the platform alone is sufficient
+		alone.client.SetDown(false) // access to the platform alone is sufficient
 		f.advance(maxPropagationTime)
 		is.True(!alone.catalog.Stale())
 		is.Equal(f.countInForce(revision), 12)
@@ -391,7 +391,7 @@
 // connectPlatform connects all hosts to the platform, or disconnects them.
 func (f *fleet) connectPlatform(connected bool) {
 	for _, n := range f.allNodes() {
-		n.client.Outage(!connected)
+		n.client.SetDown(!connected)
 	}
 }
 
--- a/internal/claim/claims_test.go
+++ b/internal/claim/claims_test.go
@@ -102,7 +102,7 @@
 		r := newReservation()
 		pending := a.startBlockedReserve(r)
 		synctest.Wait()
-		a.client.Outage(true)
+		a.client.SetDown(true)
 		a.sendGate.set(false)
 		is.Equal((<-pending).Outcome, outcome.Done)
 		start := time.Now()
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -143,7 +143,7 @@
 	h.mu.Lock()
 	h.dead = true
 	h.mu.Unlock()
-	h.client.Outage(true)
+	h.client.SetDown(true)
 	h.claims.cancel()
 	h.gate.set(false)
 }
--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if killed {
-		h.client.Outage(true)
+		h.client.SetDown(true)
 		cancel()
 	}
 	_ = h.compactor.Stop(ctx)
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -83,7 +83,7 @@
 	case "up":
 		f.heal()
 	case "cut":
-		client.Outage(true)
+		client.SetDown(true)
 	case "lose":
 		client.LoseNextAnswers(n)
 	case "drop":
@@ -105,7 +105,7 @@
 func (f *fleet) heal() {
 	f.platform.Outage(false)
 	for _, h := range f.hosts {
-		h.client.Outage(false)
+		h.client.SetDown(false)
 	}
 }
 
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -26,8 +26,8 @@
 
 var _ objstore.Store = (*Client)(nil)
 
-// Outage disconnects this client from the platform, or reconnects it.
-func (c *Client) Outage(down bool) {
+// SetDown disconnects this client from the platform, or reconnects it.
+func (c *Client) SetDown(down bool) {
 	c.set(func() { c.down = down })
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
--- a/internal/objstore/objstoretest/objstoretest_test.go
+++ b/internal/objstore/objstoretest/objstoretest_test.go
@@ -41,7 +41,7 @@
 	is.True(errors.As(err, &conflict))
 	is.Equal(string(conflict.Current.Value), "late")
 
-	c.Outage(true)
+	c.SetDown(true)
 	_, err = c.Get(t.Context(), "k", "b")
 	is.True(errors.As(err, &unavailable))
 	_, err = p.Client().Get(t.Context(), "k", "b")
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -199,7 +199,7 @@
 
 		h.client.LoseNextAnswers(1)
 		h.client.SetLatency(time.Millisecond)
-		time.AfterFunc(2500*time.Microsecond, func() { h.client.Outage(true) }) // the outage begins after two reads, during the write
+		time.AfterFunc(2500*time.Microsecond, func() { h.client.SetDown(true) }) // the outage begins after two reads, during the write
 		r := h.mustRefuse("asha", "alter service guest-01 set relays = 3 at version 2")
 		is.Equal(r.Outcome, outcome.Unknown)
 		is.True(strings.Contains(r.Detail, "did not tell"))
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -131,8 +131,8 @@
 		"answer lost":  func(c *objstoretest.Client) { c.LoseNextAnswers(1) },
 		"request lost": func(c *objstoretest.Client) { c.LoseNextRequests(1) },
 		"store away": func(c *objstoretest.Client) {
-			c.Outage(true)
-			time.AfterFunc(time.Second, func() { c.Outage(false) })
+			c.SetDown(true)
+			time.AfterFunc(time.Second, func() { c.SetDown(false) })
 		},
 		"store slow": func(c *objstoretest.Client) { c.SetLatency(300 * time.Millisecond) },
 	} {
