--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -127,7 +127,7 @@
 		f.advance(maxPropagationTime)
 		is.Equal(f.countInForce(revision), 12)
 
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.advance(5 * time.Minute)
 		is.Equal(f.countStale(), 0) // the peers confirm each other
 		started := f.add("host-12", "domain-0")
@@ -137,7 +137,7 @@
 		_, ok := started.catalog.Service("b")
 		is.True(ok)
 
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		f.platform.Compact()
 		revision = f.write(testService("c"))
 		f.advance(maxPropagationTime)
@@ -206,7 +206,7 @@
 // connected again they recover without the platform; a minority does not.
 func TestNetworkFailureDuringOutage(t *testing.T) {
 	inFleet(t, 9, 3, func(is *is.I, f *fleet) {
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.isolateAll()
 		f.advance(settleTime)
 		is.Equal(f.countStale(), 9)
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -129,7 +129,7 @@
 	inFleet(t, 1, func(is *is.I, f *fleet) {
 		h := f.hosts[0]
 		_ = h.reserve(newReservation()) // sets the host's reading of the platform's clock
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		r := newReservation()
 		start := time.Now()
 		res := h.reserve(r)
@@ -138,7 +138,7 @@
 		is.Equal(res.Reason, query.ReasonPlatform)
 		is.True(res.RetryAfter > 0)
 		is.Equal(f.runs(r), 0)
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		is.Equal(h.reserve(r).Outcome, outcome.Done)
 	})
 }
@@ -151,13 +151,13 @@
 		a, b := f.hosts[0], f.hosts[1]
 		r := newReservation()
 		pending := a.startBlockedReserve(r)
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		a.sendGate.set(false)
 		first := <-pending
 		is.Equal(first.Outcome, outcome.Done)
 		is.Equal(a.reserve(r).Answer, first.Answer) // from memory
 		is.Equal(b.reserve(r).Outcome, outcome.NotSent)
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		is.Equal(b.reserve(r).Answer, first.Answer) // from host a
 		time.Sleep(time.Minute)
 		a.kill()
@@ -174,7 +174,7 @@
 		f.target.dropAnswers = 1
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		is.Equal(f.runs(r), 1)
 	})
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -107,7 +107,7 @@
 }
 
 func (m *machine) outage(t *rapid.T) {
-	m.platform.Outage(rapid.Bool().Draw(t, "down"))
+	m.platform.SetDown(rapid.Bool().Draw(t, "down"))
 	synctest.Wait()
 }
 
@@ -154,7 +154,7 @@
 
 // heal ends every fault and waits until all background work is done.
 func (m *machine) heal() {
-	m.platform.Outage(false)
+	m.platform.SetDown(false)
 	m.target.mu.Lock()
 	m.target.rejectAttempts, m.target.dropAnswers = 0, 0
 	m.target.mu.Unlock()
--- a/internal/delivery/aggregate_test.go
+++ b/internal/delivery/aggregate_test.go
@@ -82,12 +82,12 @@
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 1)
 		time.Sleep(time.Minute)
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.start("h1")
 		f.record(5)
 		time.Sleep(time.Minute)
 		f.leave("h1", true)
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		time.Sleep(time.Minute)
 		f.stopAll()
 		c := f.report(time.Hour).Completeness
@@ -104,7 +104,7 @@
 		cfg.MaxKeys, cfg.MaxExceptions = 100, 50
 		f := newFleet(t, cfg, 1)
 		h := f.hosts["h0"]
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		for i := range 3 * 360 {
 			d := delivery(h.key(), 0)
 			d.Caller, d.Reason = time.Duration(i).String(), "overload"
@@ -120,7 +120,7 @@
 			is.True(len(p.window.Rows.byKey) <= cfg.MaxKeys+cfg.MaxKeys/4+1)
 			is.True(len(p.window.Records.all()) <= cfg.MaxExceptions)
 		}
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		f.stopAll()
 		r := f.report(6 * time.Hour)
 		is.Equal(f.differences(r), nil) // no delivery is lost
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -16,7 +16,7 @@
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 3)
 		for minute := range 30 {
-			f.platform.Outage(minute >= 5 && minute < 15)
+			f.platform.SetDown(minute >= 5 && minute < 15)
 			if minute == 20 {
 				f.leave("h2", true)
 			}
@@ -79,7 +79,7 @@
 	n := rapid.IntRange(1, 3).Draw(t, "times")
 	switch rapid.SampledFrom([]string{"down", "up", "cut", "lose", "drop", "hold", "release", "kill", "stop", "none"}).Draw(t, "failure") {
 	case "down":
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 	case "up":
 		f.heal()
 	case "cut":
@@ -103,7 +103,7 @@
 
 // heal ends all outages.
 func (f *fleet) heal() {
-	f.platform.Outage(false)
+	f.platform.SetDown(false)
 	for _, h := range f.hosts {
 		h.client.SetDown(false)
 	}
--- a/internal/member/record_test.go
+++ b/internal/member/record_test.go
@@ -27,10 +27,10 @@
 func TestRecordIsWrittenAfterAnOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		store := objstoretest.New()
-		store.Outage(true)
+		store.SetDown(true)
 		net.start(store.Client(), 1)
 		time.Sleep(time.Hour)
-		store.Outage(false)
+		store.SetDown(false)
 		eventually(t, time.Minute, "written", func() bool { return len(store.Objects(objstore.KindMember)) == 1 })
 	})
 }
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -51,9 +51,9 @@
 // Client returns a new client of the platform, without faults.
 func (p *Platform) Client() *Client { return &Client{p: p} }
 
-// Outage takes the platform down for every client, or up again. During an
+// SetDown takes the platform down for every client, or up again. During an
 // outage calls fail with *objstore.Unavailable; pending watches fail with *objstore.Unanswered.
-func (p *Platform) Outage(down bool) {
+func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -123,7 +123,7 @@
 		is.Equal(h.mustRefuse("asha", "show hosts where zone = x").Reason, query.ReasonBadRequest)
 		is.Equal(h.mustRefuse("asha", "show hosts since 1h").Reason, query.ReasonBadRequest)
 
-		h.platform.Outage(true)
+		h.platform.SetDown(true)
 		s = h.mustRun("show services")
 		is.Equal(s.cell(0, "version"), "") // unknown, which the message says
 		is.True(strings.Contains(s.Message, "versions are not known"))
--- a/internal/operate/reports_test.go
+++ b/internal/operate/reports_test.go
@@ -65,7 +65,7 @@
 
 		is.Equal(h.mustRefuse("asha", "show answers by colour").Reason, query.ReasonBadRequest)
 		is.Equal(h.mustRefuse("asha", "show burn since 1h").Reason, query.ReasonBadRequest)
-		h.platform.Outage(true)
+		h.platform.SetDown(true)
 		is.Equal(h.mustRefuse("asha", "show answers").Reason, query.ReasonPlatform)
 	})
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -80,10 +80,10 @@
 func TestQuarantineIsWrittenOnceTheStoreIsBack(t *testing.T) {
 	runKeepers(t, 2, func(t *testing.T, store *objstoretest.Platform, all []storedTable) {
 		is := is.New(t)
-		store.Outage(true)
+		store.SetDown(true)
 		all[0].quarantine(testRequest("/x"), 1)
 		time.Sleep(time.Minute)
-		store.Outage(false)
+		store.SetDown(false)
 		time.Sleep(10 * time.Second)
 		is.NoErr(all[1].Read(t.Context()))
 		is.Equal(all[1].status(testRequest("/x")), Quarantined)
