--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -161,7 +161,7 @@
 	}
 	reported := map[string]uint64{}
 	for _, l := range r.Lines {
-		reported[l.Key.Service] = l.Sums.Count
+		reported[l.Key.Service] = l.Totals.Count
 	}
 	var differences []string
 	for _, run := range slices.Sorted(maps.Keys(f.recorded)) {
--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -53,8 +53,8 @@
 // Line contains the deliveries of one group. Only the key fields by which the
 // report is grouped are set.
 type Line struct {
-	Key  Key
-	Sums *Totals
+	Key    Key
+	Totals *Totals
 }
 
 // Report is the result of a Query. Lines are sorted by key.
@@ -68,7 +68,7 @@
 func (r Report) Total() uint64 {
 	var n uint64
 	for _, l := range r.Lines {
-		n += l.Sums.Count
+		n += l.Totals.Count
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 	}
 	report := Report{Query: q, Completeness: g.completeness}
 	for k, s := range lines {
-		report.Lines = append(report.Lines, Line{Key: k, Sums: s})
+		report.Lines = append(report.Lines, Line{Key: k, Totals: s})
 	}
 	slices.SortFunc(report.Lines, func(a, b Line) int { return a.Key.compare(b.Key) })
 	return report, nil
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -34,7 +34,7 @@
 		is.Equal(r.Completeness.Open[0].Host, "h2")
 		is.Equal(r.Completeness.Open[0].Reason, EndedUnwritten)
 		is.Equal(f.differences(r), nil)
-		is.True(f.recorded["h2/3"]-r.Lines[2].Sums.Count <= 6) // the deliveries of its last windows
+		is.True(f.recorded["h2/3"]-r.Lines[2].Totals.Count <= 6) // the deliveries of its last windows
 	})
 }
 
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -27,8 +27,8 @@
 	t := newTable(append(fieldNames(report.Query.By), "answers", "p50", "p99", "attempts_per_needed")...)
 	for _, l := range report.Lines {
 		t.addRow(append(keyCells(l.Key, report.Query.By),
-			formatUint(l.Sums.Count), formatMilliseconds(l.Sums.Quantile(0.5)), formatMilliseconds(l.Sums.Quantile(0.99)),
-			formatRatio(l.Sums.Attempts, l.Sums.Needed))...)
+			formatUint(l.Totals.Count), formatMilliseconds(l.Totals.Quantile(0.5)), formatMilliseconds(l.Totals.Quantile(0.99)),
+			formatRatio(l.Totals.Attempts, l.Totals.Needed))...)
 	}
 	t.limit(s.Limit)
 	t.noteCompleteness(report.Completeness)
@@ -78,7 +78,7 @@
 			counts[key] = map[delivery.Band]uint64{}
 			groups = append(groups, group)
 		}
-		counts[key][l.Key.Band] += l.Sums.Count
+		counts[key][l.Key.Band] += l.Totals.Count
 	}
 	for _, group := range groups {
 		t.addRow(append(group, bandCells(counts[groupKey(group)])...)...)
