--- a/internal/delivery/aggregate_test.go
+++ b/internal/delivery/aggregate_test.go
@@ -91,7 +91,7 @@
 		time.Sleep(time.Minute)
 		f.stopAll()
 		c := f.report(time.Hour).Completeness
-		is.Equal(c.Open, []IncompleteIncarnation{{Incarnation: Incarnation{Host: "h1", Number: 2}, Reason: NeverWrote}})
+		is.Equal(c.Incomplete, []IncompleteIncarnation{{Incarnation: Incarnation{Host: "h1", Number: 2}, Reason: NeverWrote}})
 	})
 }
 
--- a/internal/delivery/completeness.go
+++ b/internal/delivery/completeness.go
@@ -53,7 +53,7 @@
 	To         time.Time // the report has all windows of live hosts up to this time
 	Windows    uint64    // number of windows in the report
 	Missing    []Gap
-	Open       []IncompleteIncarnation // incarnations whose newest windows are missing
+	Incomplete []IncompleteIncarnation // incarnations whose newest windows are missing
 	Folded     uint64                  // deliveries that are counted without their caller or service
 	LeftOut    uint64                  // individual records that were not kept
 	Unreadable []string                // objects that could not be decoded
@@ -61,7 +61,7 @@
 
 // Complete reports whether the report contains every window up to To.
 func (c Completeness) Complete() bool {
-	return len(c.Missing) == 0 && len(c.Open) == 0 && len(c.Unreadable) == 0
+	return len(c.Missing) == 0 && len(c.Incomplete) == 0 && len(c.Unreadable) == 0
 }
 
 // hostEvidence is the input from which missing windows are determined: the
@@ -84,7 +84,7 @@
 		spans := byHost[i]
 		alive := slices.Contains(p.live, i)
 		if len(spans) == 0 {
-			c.Open = append(c.Open, IncompleteIncarnation{Incarnation: i, Reason: NeverWrote})
+			c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: i, Reason: NeverWrote})
 			continue
 		}
 		c.Missing = append(c.Missing, p.gaps(spans)...)
@@ -133,9 +133,9 @@
 	switch {
 	case last.Final:
 	case !alive:
-		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: EndedUnwritten, After: last.End})
+		c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: EndedUnwritten, After: last.End})
 	case last.End.Add(p.overdueAfter).Before(p.now):
-		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: WriteOverdue, After: last.End})
+		c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: WriteOverdue, After: last.End})
 	case last.End.Before(c.To):
 		c.To = last.End
 	}
--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -156,7 +156,7 @@
 	for _, gap := range r.Completeness.Missing {
 		markIncomplete(gap.Incarnation)
 	}
-	for _, open := range r.Completeness.Open {
+	for _, open := range r.Completeness.Incomplete {
 		markIncomplete(open.Incarnation)
 	}
 	reported := map[string]uint64{}
--- a/internal/delivery/gauge.go
+++ b/internal/delivery/gauge.go
@@ -57,7 +57,7 @@
 				o.Objective.Service, string(o.Objective.Aim), WindowLabel(b.Window))
 		}
 	}
-	missing := len(report.Completeness.Open) + len(report.Completeness.Missing)
+	missing := len(report.Completeness.Incomplete) + len(report.Completeness.Missing)
 	ch <- prometheus.MustNewConstMetric(g.missing, prometheus.GaugeValue, float64(missing))
 }
 
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -30,9 +30,9 @@
 
 		r := f.report(time.Hour)
 		is.Equal(len(r.Completeness.Missing), 0)
-		is.Equal(len(r.Completeness.Open), 1) // the killed host
-		is.Equal(r.Completeness.Open[0].Host, "h2")
-		is.Equal(r.Completeness.Open[0].Reason, EndedUnwritten)
+		is.Equal(len(r.Completeness.Incomplete), 1) // the killed host
+		is.Equal(r.Completeness.Incomplete[0].Host, "h2")
+		is.Equal(r.Completeness.Incomplete[0].Reason, EndedUnwritten)
 		is.Equal(f.differences(r), nil)
 		is.True(f.recorded["h2/3"]-r.Lines[2].Totals.Count <= 6) // the deliveries of its last windows
 	})
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -206,7 +206,7 @@
 	for _, g := range c.Missing {
 		t.addNote("missing: %s", g)
 	}
-	for _, o := range c.Open {
+	for _, o := range c.Incomplete {
 		t.addNote("missing: %s", o)
 	}
 	for _, name := range c.Unreadable {
