--- a/internal/delivery/convert.go
+++ b/internal/delivery/convert.go
@@ -84,7 +84,7 @@
 		messages = append(messages, &deliverypb.Record{
 			Request: r.Request, Reservation: r.Reservation, Caller: r.Caller, Service: r.Service,
 			Outcome: uint32(r.Outcome), Reason: string(r.Reason), Coverage: r.Coverage, Snapshot: r.Snapshot,
-			LatencyUs: r.Latency.Microseconds(), Attempts: int64(r.Attempts), Host: r.Host, UntilMs: millis(r.Until),
+			LatencyUs: r.Latency.Microseconds(), Attempts: int64(r.Attempts), Host: r.Host, UntilMs: millis(r.WindowEnd),
 		})
 	}
 	return messages
@@ -97,7 +97,7 @@
 			Request: m.GetRequest(), Reservation: m.GetReservation(), Caller: m.GetCaller(), Service: m.GetService(),
 			Outcome: outcome.Outcome(m.GetOutcome()), Reason: query.Reason(m.GetReason()), Coverage: m.GetCoverage(),
 			Snapshot: m.GetSnapshot(), Latency: time.Duration(m.GetLatencyUs()) * time.Microsecond,
-			Attempts: int(m.GetAttempts()), Host: m.GetHost(), Until: fromMillis(m.GetUntilMs()),
+			Attempts: int(m.GetAttempts()), Host: m.GetHost(), WindowEnd: fromMillis(m.GetUntilMs()),
 		})
 	}
 	return all
--- a/internal/delivery/gather.go
+++ b/internal/delivery/gather.go
@@ -154,7 +154,7 @@
 
 func (g *reportData) addRecords(records []Record) {
 	for _, rec := range records {
-		if rec.Until.After(g.completeness.From) {
+		if rec.WindowEnd.After(g.completeness.From) {
 			g.records = append(g.records, rec)
 		}
 	}
--- a/internal/delivery/record.go
+++ b/internal/delivery/record.go
@@ -22,7 +22,7 @@
 	Latency     time.Duration
 	Attempts    int
 	Host        string    // host that answered the request; set when read
-	Until       time.Time // end of the record's window; set when read
+	WindowEnd   time.Time // end of the record's window; set when read
 }
 
 func recordOf(d Delivery) Record {
--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -131,6 +131,6 @@
 		return nil, Completeness{}, err
 	}
 	kept := slices.DeleteFunc(g.records, func(rec Record) bool { return !keep(rec) })
-	slices.SortStableFunc(kept, func(a, b Record) int { return b.Until.Compare(a.Until) })
+	slices.SortStableFunc(kept, func(a, b Record) int { return b.WindowEnd.Compare(a.WindowEnd) })
 	return kept, g.completeness, nil
 }
--- a/internal/delivery/window.go
+++ b/internal/delivery/window.go
@@ -57,7 +57,7 @@
 func (w *Window) datedRecords(end time.Time) []Record {
 	all := w.Records.all()
 	for i := range all {
-		all[i].Host, all[i].Until = w.Host, end
+		all[i].Host, all[i].WindowEnd = w.Host, end
 	}
 	return all
 }
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -146,7 +146,7 @@
 	t := newTable(fieldRequest, "reservation", "caller", "service", "outcome", "reason", "coverage", "snapshot", "latency", "host", "until")
 	for _, r := range records {
 		t.addRow(r.Request, r.Reservation, r.Caller, r.Service, r.Outcome.String(), string(r.Reason), formatFraction(r.Coverage),
-			formatUint(r.Snapshot), formatMilliseconds(r.Latency), r.Host, r.Until.UTC().Format(time.RFC3339))
+			formatUint(r.Snapshot), formatMilliseconds(r.Latency), r.Host, r.WindowEnd.UTC().Format(time.RFC3339))
 	}
 	if err := t.filter(s.Where); err != nil {
 		return nil, err
