--- a/internal/delivery/bench_test.go
+++ b/internal/delivery/bench_test.go
@@ -224,7 +224,7 @@
 		r := NewReporter(s.cfg, s.platform.Client(), view{f: &fleet{}}, event.Discard())
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := r.Report(b.Context(), Query{By: []Field{FieldCaller}}); err != nil {
+				if _, err := r.Report(b.Context(), Query{GroupBy: []Field{FieldCaller}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -140,7 +140,7 @@
 // report returns the report on the last since, grouped by host and incarnation.
 func (f *fleet) report(since time.Duration) Report {
 	f.t.Helper()
-	r, err := f.reporter().Report(context.Background(), Query{Since: since, By: []Field{FieldService}})
+	r, err := f.reporter().Report(context.Background(), Query{Since: since, GroupBy: []Field{FieldService}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -24,9 +24,9 @@
 
 // Query specifies a report.
 type Query struct {
-	Since time.Duration // length of the reported period, which ends now; 0: an hour
-	Where []Filter      // all must match
-	By    []Field       // fields to group by; none: one line for all deliveries
+	Since   time.Duration // length of the reported period, which ends now; 0: an hour
+	Where   []Filter      // all must match
+	GroupBy []Field       // fields to group by; none: one line for all deliveries
 }
 
 const defaultReportPeriod = time.Hour
@@ -38,7 +38,7 @@
 			return Error.New("no field %q, want one of %v", f.Field, Fields)
 		}
 	}
-	for _, f := range q.By {
+	for _, f := range q.GroupBy {
 		if !isField(f) {
 			return Error.New("no field %q, want one of %v", f, Fields)
 		}
@@ -115,7 +115,7 @@
 		if !q.matches(k) {
 			return
 		}
-		group := k.project(q.By)
+		group := k.project(q.GroupBy)
 		if lines[group] == nil {
 			lines[group] = newTotals()
 		}
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -24,9 +24,9 @@
 	if err != nil {
 		return nil, err
 	}
-	t := newTable(append(fieldNames(report.Query.By), "answers", "p50", "p99", "attempts_per_needed")...)
+	t := newTable(append(fieldNames(report.Query.GroupBy), "answers", "p50", "p99", "attempts_per_needed")...)
 	for _, l := range report.Lines {
-		t.addRow(append(keyCells(l.Key, report.Query.By),
+		t.addRow(append(keyCells(l.Key, report.Query.GroupBy),
 			formatUint(l.Totals.Count), formatMilliseconds(l.Totals.Quantile(0.5)), formatMilliseconds(l.Totals.Quantile(0.99)),
 			formatRatio(l.Totals.Attempts, l.Totals.Needed))...)
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := coverageTable(report, report.Query.By[:groups])
+	t := coverageTable(report, report.Query.GroupBy[:groups])
 	t.limit(s.Limit)
 	t.noteCompleteness(report.Completeness)
 	return t, nil
@@ -101,12 +101,12 @@
 // queryReport runs the delivery query of a show statement; by are the groups
 // where the statement names none.
 func (e *Executor) queryReport(ctx context.Context, s lang.Show, by ...delivery.Field) (delivery.Report, error) {
-	q := delivery.Query{Since: s.Since, By: by}
+	q := delivery.Query{Since: s.Since, GroupBy: by}
 	if len(s.By) > 0 {
-		q.By = nil
+		q.GroupBy = nil
 	}
 	for _, f := range s.By {
-		q.By = append(q.By, delivery.Field(f))
+		q.GroupBy = append(q.GroupBy, delivery.Field(f))
 	}
 	for _, c := range s.Where {
 		q.Where = append(q.Where, delivery.Filter{Field: delivery.Field(c.Field), Not: c.Not, Value: c.Value})
