--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -25,7 +25,7 @@
 // Query specifies a report.
 type Query struct {
 	Since   time.Duration // length of the reported period, which ends now; 0: an hour
-	Where   []Filter      // all must match
+	Filters []Filter      // all must match
 	GroupBy []Field       // fields to group by; none: one line for all deliveries
 }
 
@@ -33,7 +33,7 @@
 
 // Validate returns an error if the query names an unknown field.
 func (q Query) Validate() error {
-	for _, f := range q.Where {
+	for _, f := range q.Filters {
 		if !isField(f.Field) {
 			return Error.New("no field %q, want one of %v", f.Field, Fields)
 		}
@@ -47,7 +47,7 @@
 }
 
 func (q Query) matches(k Key) bool {
-	return !slices.ContainsFunc(q.Where, func(f Filter) bool { return !f.matches(k) })
+	return !slices.ContainsFunc(q.Filters, func(f Filter) bool { return !f.matches(k) })
 }
 
 // Line contains the deliveries of one group. Only the key fields by which the
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -109,7 +109,7 @@
 		q.GroupBy = append(q.GroupBy, delivery.Field(f))
 	}
 	for _, c := range s.Where {
-		q.Where = append(q.Where, delivery.Filter{Field: delivery.Field(c.Field), Not: c.Not, Value: c.Value})
+		q.Filters = append(q.Filters, delivery.Filter{Field: delivery.Field(c.Field), Not: c.Not, Value: c.Value})
 	}
 	if err := q.Validate(); err != nil {
 		return delivery.Report{}, badRequestFrom(err)
