--- a/internal/delivery/aggregate_test.go
+++ b/internal/delivery/aggregate_test.go
@@ -125,7 +125,7 @@
 		r := f.report(6 * time.Hour)
 		is.Equal(f.differences(r), nil) // no delivery is lost
 		is.True(r.Completeness.Folded > 0)
-		is.True(r.Completeness.LeftOut > 0)
+		is.True(r.Completeness.DroppedRecords > 0)
 	})
 }
 
--- a/internal/delivery/gather.go
+++ b/internal/delivery/gather.go
@@ -105,7 +105,7 @@
 	c := &g.completeness
 	c.Windows += from.completeness.Windows
 	c.Folded += from.completeness.Folded
-	c.LeftOut += from.completeness.LeftOut
+	c.DroppedRecords += from.completeness.DroppedRecords
 	c.Unreadable = append(c.Unreadable, from.completeness.Unreadable...)
 }
 
@@ -143,7 +143,7 @@
 	g.seen = append(g.seen, x.Seen...)
 	g.completeness.Windows += x.Windows
 	g.completeness.Folded += x.Folded
-	g.completeness.LeftOut += x.LeftOut
+	g.completeness.DroppedRecords += x.LeftOut
 }
 
 func (g *reportData) addRows(p timedRows) {
@@ -178,7 +178,7 @@
 	}
 	g.completeness.Windows++
 	g.completeness.Folded += w.Rows.folded
-	g.completeness.LeftOut += w.Records.leftOut()
+	g.completeness.DroppedRecords += w.Records.leftOut()
 	g.addRows(timedRows{end: end, rows: rows})
 	g.addRecords(w.datedRecords(end))
 }
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	t.limit(s.Limit)
-	t.addNote("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.LeftOut)
+	t.addNote("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.DroppedRecords)
 	t.noteCompleteness(completeness)
 	return t, nil
 }
