--- a/internal/delivery/aggregate_test.go
+++ b/internal/delivery/aggregate_test.go
@@ -124,7 +124,7 @@
 		f.stopAll()
 		r := f.report(6 * time.Hour)
 		is.Equal(f.differences(r), nil) // no delivery is lost
-		is.True(r.Completeness.Folded > 0)
+		is.True(r.Completeness.FoldedDeliveries > 0)
 		is.True(r.Completeness.DroppedRecords > 0)
 	})
 }
--- a/internal/delivery/completeness.go
+++ b/internal/delivery/completeness.go
@@ -49,14 +49,14 @@
 
 // Completeness states which data a report contains and which it lacks.
 type Completeness struct {
-	From           time.Time // by the platform's clock
-	To             time.Time // the report has all windows of live hosts up to this time
-	Windows        uint64    // number of windows in the report
-	Missing        []Gap
-	Incomplete     []IncompleteIncarnation // incarnations whose newest windows are missing
-	Folded         uint64                  // deliveries that are counted without their caller or service
-	DroppedRecords uint64                  // individual records that were not kept
-	Unreadable     []string                // objects that could not be decoded
+	From             time.Time // by the platform's clock
+	To               time.Time // the report has all windows of live hosts up to this time
+	Windows          uint64    // number of windows in the report
+	Missing          []Gap
+	Incomplete       []IncompleteIncarnation // incarnations whose newest windows are missing
+	FoldedDeliveries uint64                  // deliveries that are counted without their caller or service
+	DroppedRecords   uint64                  // individual records that were not kept
+	Unreadable       []string                // objects that could not be decoded
 }
 
 // Complete reports whether the report contains every window up to To.
--- a/internal/delivery/gather.go
+++ b/internal/delivery/gather.go
@@ -104,7 +104,7 @@
 	g.seen = append(g.seen, from.seen...)
 	c := &g.completeness
 	c.Windows += from.completeness.Windows
-	c.Folded += from.completeness.Folded
+	c.FoldedDeliveries += from.completeness.FoldedDeliveries
 	c.DroppedRecords += from.completeness.DroppedRecords
 	c.Unreadable = append(c.Unreadable, from.completeness.Unreadable...)
 }
@@ -142,7 +142,7 @@
 	g.spans = append(g.spans, x.Spans...)
 	g.seen = append(g.seen, x.Seen...)
 	g.completeness.Windows += x.Windows
-	g.completeness.Folded += x.Folded
+	g.completeness.FoldedDeliveries += x.Folded
 	g.completeness.DroppedRecords += x.LeftOut
 }
 
@@ -177,7 +177,7 @@
 		return
 	}
 	g.completeness.Windows++
-	g.completeness.Folded += w.Rows.folded
+	g.completeness.FoldedDeliveries += w.Rows.folded
 	g.completeness.DroppedRecords += w.Records.leftOut()
 	g.addRows(timedRows{end: end, rows: rows})
 	g.addRecords(w.datedRecords(end))
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -200,8 +200,8 @@
 // missing from it.
 func (t *Table) noteCompleteness(c delivery.Completeness) {
 	t.addNote("from %s to %s, %d windows", formatTime(c.From), formatTime(c.To), c.Windows)
-	if c.Folded > 0 {
-		t.addNote("%d answers are summed under %s", c.Folded, delivery.Other)
+	if c.FoldedDeliveries > 0 {
+		t.addNote("%d answers are summed under %s", c.FoldedDeliveries, delivery.Other)
 	}
 	for _, g := range c.Missing {
 		t.addNote("missing: %s", g)
