--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -26,8 +26,8 @@
 	Era    uint64 // store era in which it was written
 }
 
-// Of returns how many requests a host may send in any second.
-func (p Permit) Of(host string) int {
+// LimitFor returns how many requests a host may send in any second.
+func (p Permit) LimitFor(host string) int {
 	for _, h := range p.Hosts {
 		if h == host {
 			return p.Each
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -70,7 +70,7 @@
 		c.extend(now.Add(ended.Sub(v.Now) + limit.duration))
 	}
 	c.permit = v.Permits[conf.ID]
-	c.maxPerSecond = c.permit.Of(reg.hostID)
+	c.maxPerSecond = c.permit.LimitFor(reg.hostID)
 }
 
 // cold reports whether a target counts as cold. The caller holds the lock.
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -99,8 +99,8 @@
 		is := is.New(t)
 		k := startKeepers(t, []gateway.ColdTarget{coldTarget("i-1", "a", "b")}, 0, 1, -1)
 		time.Sleep(writerStagger / 2)
-		is.Equal(k.permit(0, "i-1").Of("a"), 10)
-		is.Equal(k.permit(0, "i-1").Of("b"), 10)
+		is.Equal(k.permit(0, "i-1").LimitFor("a"), 10)
+		is.Equal(k.permit(0, "i-1").LimitFor("b"), 10)
 		is.Equal(k.peers[0].sent, []discovery.Permit{k.permit(0, "i-1")})
 		is.Equal(k.permit(1, "i-1"), discovery.Permit{})
 		time.Sleep(writerStagger)
@@ -147,7 +147,7 @@
 				t.Cleanup(func() { _ = keeper.Stop(context.Background()) })
 				targets.becameCold <- struct{}{}
 				time.Sleep(3 * time.Second)
-				is.Equal(k.permit(0, "i-1").Of("a"), 21)
+				is.Equal(k.permit(0, "i-1").LimitFor("a"), 21)
 			})
 		})
 	}
@@ -173,7 +173,7 @@
 		is.Equal(k.permit(0, "i-1"), discovery.Permit{})
 		is.Equal(len(peers.sent), 0)
 		time.Sleep(2 * time.Second)
-		is.Equal(k.permit(0, "i-1").Of("a"), 21)
+		is.Equal(k.permit(0, "i-1").LimitFor("a"), 21)
 		is.True(len(peers.sent) > 0)
 	})
 }
