--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -36,7 +36,7 @@
 	return &query.Answer{RequestID: q.RequestID, Snapshot: 7, Coverage: query.Coverage{Shards: 2, Answered: 1, Missing: []query.ShardKey{{Service: "s", Shard: 1}}}}, nil
 }
 
-func (f *fakeEntry) Reserve(_ context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (f *fakeEntry) Reserve(_ context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	f.calls++
 	return query.Reservation{RequestID: r.RequestID, ReservationID: r.ReservationID, Outcome: outcome.Done}, nil
 }
--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -12,7 +12,7 @@
 // Entry runs the requests of callers.
 type Entry interface {
 	Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal)
-	Reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal)
+	Reserve(ctx context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal)
 }
 
 // queryService implements the goa service "query" over an Entry.
@@ -38,7 +38,7 @@
 
 // Reserve runs the reservation of the payload and encodes its answer or refusal.
 func (s queryService) Reserve(ctx context.Context, p *genquery.ReservePayload) (*genquery.ReservationAnswer, error) {
-	r, refusal := s.entry.Reserve(ctx, query.Reserve{
+	r, refusal := s.entry.Reserve(ctx, query.ReserveRequest{
 		RequestID:     requestID(ctx),
 		Caller:        stringOrEmpty(p.Caller),
 		ReservationID: p.ReservationID,
--- a/internal/claim/claims.go
+++ b/internal/claim/claims.go
@@ -116,14 +116,14 @@
 
 // Reserve runs the reservation, or returns the earlier result if the request is
 // a repeat. It returns within the request's budget.
-func (c *Claims) Reserve(ctx context.Context, r query.Reserve) query.Reservation {
+func (c *Claims) Reserve(ctx context.Context, r query.ReserveRequest) query.Reservation {
 	res := c.reserve(ctx, r)
 	res.RequestID, res.ReservationID = r.RequestID, r.ReservationID
 	c.metrics.countReply(res)
 	return res
 }
 
-func (c *Claims) reserve(ctx context.Context, r query.Reserve) query.Reservation {
+func (c *Claims) reserve(ctx context.Context, r query.ReserveRequest) query.Reservation {
 	id, err := parseID(r.ReservationID)
 	if err != nil {
 		return refuse(query.ReasonBadRequest, 0)
@@ -142,7 +142,7 @@
 // joinOrRun runs the reservation, or joins the flight that is already running
 // it. retry is true if the joined flight ended because its own, shorter budget
 // ran out.
-func (c *Claims) joinOrRun(ctx context.Context, id reservationID, r query.Reserve) (res query.Reservation, retry bool) {
+func (c *Claims) joinOrRun(ctx context.Context, id reservationID, r query.ReserveRequest) (res query.Reservation, retry bool) {
 	if res, ok := c.replyFromMemory(id, r); ok {
 		return res, false
 	}
@@ -169,7 +169,7 @@
 
 // awaitFlight waits for a flight that another request started and returns its
 // result. retry is as in joinOrRun.
-func (c *Claims) awaitFlight(ctx context.Context, f *flight, r query.Reserve) (res query.Reservation, retry bool) {
+func (c *Claims) awaitFlight(ctx context.Context, f *flight, r query.ReserveRequest) (res query.Reservation, retry bool) {
 	if f.req.Service != r.Service || f.req.Item != r.Item || f.req.Caller != r.Caller {
 		return refuse(query.ReasonBadRequest, 0), false
 	}
@@ -185,7 +185,7 @@
 
 // replyFromMemory answers a repeat from this host's memory. It needs no
 // platform call, so it also works during a platform outage.
-func (c *Claims) replyFromMemory(id reservationID, r query.Reserve) (query.Reservation, bool) {
+func (c *Claims) replyFromMemory(id reservationID, r query.ReserveRequest) (query.Reservation, bool) {
 	a := c.mem.lastSent(id.String())
 	if a == nil || !a.hasEnded() || a.reply.Outcome == outcome.Unknown {
 		return query.Reservation{}, false
@@ -200,7 +200,7 @@
 
 // checkNotRun replaces a "not run" result by an unsettled one if an earlier
 // attempt of the same reservation may have run.
-func (c *Claims) checkNotRun(id reservationID, r query.Reserve, res query.Reservation) query.Reservation {
+func (c *Claims) checkNotRun(id reservationID, r query.ReserveRequest, res query.Reservation) query.Reservation {
 	if !res.Outcome.NotRun() || res.Reason == query.ReasonBadRequest {
 		return res
 	}
@@ -214,7 +214,7 @@
 }
 
 // run runs one flight. It ends responseMargin before the deadline.
-func (c *Claims) run(id reservationID, r query.Reserve, deadline time.Time) query.Reservation {
+func (c *Claims) run(id reservationID, r query.ReserveRequest, deadline time.Time) query.Reservation {
 	ctx, cancel := context.WithDeadline(c.ctx, deadline.Add(-responseMargin))
 	defer cancel()
 	rn := runner{c: c, ctx: ctx, id: id, req: r}
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -16,7 +16,7 @@
 const allCalls = 1 << 20 // fault count that covers all calls from now on
 
 // startReserve runs a reservation concurrently with the test.
-func (h *host) startReserve(r query.Reserve) <-chan query.Reservation {
+func (h *host) startReserve(r query.ReserveRequest) <-chan query.Reservation {
 	c := make(chan query.Reservation, 1)
 	go func() { c <- h.reserve(r) }()
 	synctest.Wait()
@@ -26,7 +26,7 @@
 // startBlockedReserve runs a reservation concurrently with the test, up to the
 // point at which the target would receive it. Opening sendGate lets it
 // continue.
-func (h *host) startBlockedReserve(r query.Reserve) <-chan query.Reservation {
+func (h *host) startBlockedReserve(r query.ReserveRequest) <-chan query.Reservation {
 	h.sendGate.set(true)
 	return h.startReserve(r)
 }
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -39,14 +39,14 @@
 // target runs reservations and records each execution.
 type target struct {
 	mu             sync.Mutex
-	runs           map[string][]query.Reserve // executions, by reservation id
+	runs           map[string][]query.ReserveRequest // executions, by reservation id
 	ran            map[string]query.Reservation
 	refused        map[string]bool
 	rejectAttempts int // number of attempts still to reject
 	dropAnswers    int // number of answers still to drop after running
 }
 
-func (t *target) send(r query.Reserve, id, attempt string) query.Reservation {
+func (t *target) send(r query.ReserveRequest, id, attempt string) query.Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.refused[attempt] || t.rejectAttempts > 0 {
@@ -148,7 +148,7 @@
 	h.gate.set(false)
 }
 
-func (h *host) Pick(_ query.Reserve, exclude []string) (string, *query.Refusal) {
+func (h *host) Pick(_ query.ReserveRequest, exclude []string) (string, *query.Refusal) {
 	for _, t := range []string{"t0", "t1"} {
 		if len(exclude) == 0 || (len(exclude) == 1 && exclude[0] != t) {
 			return t, nil
@@ -157,7 +157,7 @@
 	return "", &query.Refusal{Reason: query.ReasonNoTarget}
 }
 
-func (h *host) Send(ctx context.Context, r query.Reserve, _, attempt string) query.Reservation {
+func (h *host) Send(ctx context.Context, r query.ReserveRequest, _, attempt string) query.Reservation {
 	h.gate.pass()
 	if (ctx.Err() != nil && !h.ignoreContext) || h.isDead() {
 		return query.Reservation{Outcome: outcome.NotSent, Reason: query.ReasonBudget}
@@ -256,7 +256,7 @@
 func newFleet(hosts int) *fleet {
 	f := &fleet{
 		platform: objstoretest.New(), seenDead: map[string]bool{},
-		target: &target{runs: map[string][]query.Reserve{}, ran: map[string]query.Reservation{}, refused: map[string]bool{}},
+		target: &target{runs: map[string][]query.ReserveRequest{}, ran: map[string]query.Reservation{}, refused: map[string]bool{}},
 	}
 	for range hosts {
 		f.add()
@@ -265,7 +265,7 @@
 }
 
 // runs returns how often the target ran the reservation.
-func (f *fleet) runs(r query.Reserve) int {
+func (f *fleet) runs(r query.ReserveRequest) int {
 	f.target.mu.Lock()
 	defer f.target.mu.Unlock()
 	return len(f.target.runs[r.ReservationID])
@@ -287,12 +287,12 @@
 func newID(at time.Time) string { return ulid.MustNew(ulid.Timestamp(at), rand.Reader).String() }
 
 // newReservation returns a request with a new reservation id.
-func newReservation() query.Reserve { return reservation(newID(time.Now())) }
+func newReservation() query.ReserveRequest { return reservation(newID(time.Now())) }
 
-func reservation(id string) query.Reserve {
-	return query.Reserve{RequestID: rand.Text(), Caller: "c", ReservationID: id, Service: "s", Item: "pan", Budget: time.Second}
+func reservation(id string) query.ReserveRequest {
+	return query.ReserveRequest{RequestID: rand.Text(), Caller: "c", ReservationID: id, Service: "s", Item: "pan", Budget: time.Second}
 }
 
-func (h *host) reserve(r query.Reserve) query.Reservation {
+func (h *host) reserve(r query.ReserveRequest) query.Reservation {
 	return h.claims.Reserve(context.Background(), r)
 }
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -18,7 +18,7 @@
 // observation is the result of one request. lost is set if its host was killed
 // before it returned.
 type observation struct {
-	req  query.Reserve
+	req  query.ReserveRequest
 	res  query.Reservation
 	lost bool
 }
--- a/internal/claim/measure_test.go
+++ b/internal/claim/measure_test.go
@@ -39,7 +39,7 @@
 			a, b := f.hosts[0], f.hosts[1]
 			ask := (*host).reserve
 			if withoutRecord {
-				ask = func(h *host, r query.Reserve) query.Reservation {
+				ask = func(h *host, r query.ReserveRequest) query.Reservation {
 					return h.Send(context.Background(), r, "t0", r.RequestID)
 				}
 			}
--- a/internal/claim/memory.go
+++ b/internal/claim/memory.go
@@ -23,7 +23,7 @@
 // flight is one run of a reservation on this host. Repeats that arrive
 // meanwhile join it.
 type flight struct {
-	req   query.Reserve
+	req   query.ReserveRequest
 	ended chan struct{}
 	res   query.Reservation // valid once ended
 }
@@ -49,7 +49,7 @@
 
 // join returns the flight of the reservation. If isNew is true the flight was
 // created by this call, and the caller must run it.
-func (m *memory) join(reservation string, r query.Reserve) (f *flight, isNew bool) {
+func (m *memory) join(reservation string, r query.ReserveRequest) (f *flight, isNew bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if f, ok := m.flights[reservation]; ok {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -48,7 +48,7 @@
 
 // sameRequest reports whether the record belongs to the request r, and not to
 // another reservation with the same id.
-func (rec Record) sameRequest(r query.Reserve) bool {
+func (rec Record) sameRequest(r query.ReserveRequest) bool {
 	return rec.Service == r.Service && rec.Caller == r.Caller && rec.ItemDigest == digest(r.Item)
 }
 
--- a/internal/claim/runner.go
+++ b/internal/claim/runner.go
@@ -17,7 +17,7 @@
 	c             *Claims
 	ctx           context.Context // ends responseMargin before the caller's deadline
 	id            reservationID
-	req           query.Reserve
+	req           query.ReserveRequest
 	exclude       []string          // targets that did not run an attempt
 	lastRejection query.Reservation // result of the newest attempt that did not run
 	rejected      *attempt          // own attempt that the record names and that did not run
@@ -181,7 +181,7 @@
 }
 
 // remaining returns the request with its remaining budget.
-func (r *runner) remaining() query.Reserve {
+func (r *runner) remaining() query.ReserveRequest {
 	req := r.req
 	if deadline, ok := r.ctx.Deadline(); ok {
 		req.Budget = time.Until(deadline)
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -26,7 +26,7 @@
 // requests.
 type fakeHost struct {
 	search      query.Search
-	reserve     query.Reserve
+	reserve     query.ReserveRequest
 	statement   string
 	dryRun      bool
 	answer      *query.Answer
@@ -42,7 +42,7 @@
 	return f.answer, f.refusal
 }
 
-func (f *fakeHost) Reserve(_ context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (f *fakeHost) Reserve(_ context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	f.calls++
 	f.reserve = r
 	f.reservation.ReservationID = r.ReservationID
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -140,7 +140,7 @@
 	return r
 }
 
-func (f *fakeRelay) Reserve(ctx context.Context, r query.Reserve) query.Reservation {
+func (f *fakeRelay) Reserve(ctx context.Context, r query.ReserveRequest) query.Reservation {
 	if f.frozen {
 		<-ctx.Done()
 		return query.Reservation{Outcome: outcome.Unknown, Reason: query.ReasonConnection}
--- a/internal/entry/reserve.go
+++ b/internal/entry/reserve.go
@@ -18,7 +18,7 @@
 // claim record of the reservation id prevents a second execution, so another
 // relay may be tried after one was lost; the outcome then includes what the
 // lost relay may have done.
-func (e *Entry) Reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (e *Entry) Reserve(ctx context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	start := time.Now()
 	result, refusal := e.reserve(ctx, r)
 	result.RequestID, result.ReservationID = r.RequestID, r.ReservationID
@@ -45,7 +45,7 @@
 	return refusal
 }
 
-func (e *Entry) reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (e *Entry) reserve(ctx context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	service, ok := e.catalog.Service(r.Service)
 	if !ok {
 		return query.Reservation{}, e.refuse(query.ReasonUnknownService, outcome.NotSent, "no service "+r.Service)
@@ -79,7 +79,7 @@
 // relay should be tried. A remote relay that is not the last try gets only the
 // HedgeRelayAfter fraction of the time, so that some is left for another relay
 // if it does not respond.
-func (e *Entry) reserveOnRelay(ctx context.Context, h member.Host, r query.Reserve, lastTry bool) (query.Reservation, bool) {
+func (e *Entry) reserveOnRelay(ctx context.Context, h member.Host, r query.ReserveRequest, lastTry bool) (query.Reservation, bool) {
 	r.Budget = remaining(ctx)
 	if allowance := e.cfg.HopAllowance.Std(); r.Budget > 2*allowance {
 		r.Budget -= allowance
@@ -121,7 +121,7 @@
 // chooseReserveRelay returns the next relay to try. Repeats of one reservation id
 // go to the same relay, which joins them. Avoided relays come last, followed
 // by the successors of those tried.
-func (e *Entry) chooseReserveRelay(r query.Reserve, tried []string) (member.Host, bool) {
+func (e *Entry) chooseReserveRelay(r query.ReserveRequest, tried []string) (member.Host, bool) {
 	now := time.Now()
 	for _, hosts := range [][]member.Host{e.router.candidates(r.Service), e.router.successors(r.Service, tried)} {
 		untried := slices.DeleteFunc(slices.Clone(hosts), func(h member.Host) bool { return slices.Contains(tried, h.ID) })
--- a/internal/entry/reserve_test.go
+++ b/internal/entry/reserve_test.go
@@ -16,7 +16,7 @@
 
 func counterValue(c prometheus.Counter) float64 { return testutil.ToFloat64(c) }
 
-var testReservation = query.Reserve{RequestID: "r1", Caller: "guest", ReservationID: "01J", Service: "guest-portal-00", Item: "pressure cooker"}
+var testReservation = query.ReserveRequest{RequestID: "r1", Caller: "guest", ReservationID: "01J", Service: "guest-portal-00", Item: "pressure cooker"}
 
 // TestReserveOverTwoRelays runs every pair of outcomes of a first relay that was
 // lost and a second one. If the first may have run the reservation, a later
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -121,9 +121,9 @@
 	Attempts   int
 }
 
-// Reserve is a request for one non-idempotent reservation. ReservationID is a
+// ReserveRequest is a request for one non-idempotent reservation. ReservationID is a
 // ULID chosen by the caller and so contains its creation time.
-type Reserve struct {
+type ReserveRequest struct {
 	RequestID     string
 	Caller        string
 	ReservationID string
--- a/internal/relay/faults_test.go
+++ b/internal/relay/faults_test.go
@@ -150,8 +150,8 @@
 	})
 }
 
-func reserve(budget time.Duration) query.Reserve {
-	return query.Reserve{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: budget}
+func reserve(budget time.Duration) query.ReserveRequest {
+	return query.ReserveRequest{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: budget}
 }
 
 // Whatever the fault, a reservation reaches one target exactly once and its
--- a/internal/relay/reserve.go
+++ b/internal/relay/reserve.go
@@ -24,7 +24,7 @@
 
 // Pick implements claim.Sender. It refuses a reservation whose expected wait
 // exceeds the budget, so that no claim is made for one that cannot succeed.
-func (r *Relay) Pick(q query.Reserve, exclude []string) (string, *query.Refusal) {
+func (r *Relay) Pick(q query.ReserveRequest, exclude []string) (string, *query.Refusal) {
 	p := r.pool(q.Service)
 	if p == nil {
 		return "", refuse(q, query.ReasonUnknownService, 0)
@@ -36,7 +36,7 @@
 	return p.pick(q, set, exclude)
 }
 
-func refuse(q query.Reserve, reason query.Reason, after time.Duration) *query.Refusal {
+func refuse(q query.ReserveRequest, reason query.Reason, after time.Duration) *query.Refusal {
 	return &query.Refusal{RequestID: q.RequestID, Reason: reason, Outcome: outcome.NotSent, RetryAfter: after}
 }
 
@@ -70,7 +70,7 @@
 	return true
 }
 
-func (p *pool) pick(q query.Reserve, set *replicaSet, exclude []string) (string, *query.Refusal) {
+func (p *pool) pick(q query.ReserveRequest, set *replicaSet, exclude []string) (string, *query.Refusal) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // Send implements claim.Sender.
-func (r *Relay) Send(ctx context.Context, q query.Reserve, targetID, attemptID string) query.Reservation {
+func (r *Relay) Send(ctx context.Context, q query.ReserveRequest, targetID, attemptID string) query.Reservation {
 	deadline := time.Now().Add(q.Budget)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
@@ -159,7 +159,7 @@
 	return reservation(q, targetID, s.run(t))
 }
 
-func reservation(q query.Reserve, targetID string, a attemptResult) query.Reservation {
+func reservation(q query.ReserveRequest, targetID string, a attemptResult) query.Reservation {
 	out := query.Reservation{
 		RequestID: q.RequestID, ReservationID: q.ReservationID, Target: targetID,
 		Outcome: a.outcome, Reason: a.reason, RetryAfter: a.retryAfter,
--- a/internal/relay/standin_test.go
+++ b/internal/relay/standin_test.go
@@ -68,7 +68,7 @@
 }
 
 func checkReservation(t *rapid.T, f *fixture, targets []*standintarget.Target, i int) {
-	q := query.Reserve{RequestID: "q" + strconv.Itoa(i), ReservationID: fmt.Sprintf("v%d", i), Service: "s",
+	q := query.ReserveRequest{RequestID: "q" + strconv.Itoa(i), ReservationID: fmt.Sprintf("v%d", i), Service: "s",
 		Item: strconv.Itoa(i), Budget: 10 * time.Second}
 	target, refusal := f.relay.Pick(q, nil)
 	if refusal != nil {
@@ -133,7 +133,7 @@
 	got, err = f.relay.Settle(t.Context(), "s", "t0", "never")
 	is.NoErr(err)
 	is.True(!got.Ran)
-	late := f.relay.Send(t.Context(), query.Reserve{RequestID: "r2", ReservationID: "v2", Service: "s", Item: "j",
+	late := f.relay.Send(t.Context(), query.ReserveRequest{RequestID: "r2", ReservationID: "v2", Service: "s", Item: "j",
 		Budget: time.Minute}, "t0", "never")
 	is.Equal(late.Outcome, outcome.Rejected)
 	is.Equal(late.Reason, query.ReasonUnsettled)
--- a/internal/relayrpc/client.go
+++ b/internal/relayrpc/client.go
@@ -96,7 +96,7 @@
 
 // Reserve implements claim.Reserver. A lost call has the outcome Unknown;
 // NotSent requires that the other host certainly did not receive it.
-func (c *Client) Reserve(ctx context.Context, r query.Reserve) query.Reservation {
+func (c *Client) Reserve(ctx context.Context, r query.ReserveRequest) query.Reservation {
 	failed := query.Reservation{
 		RequestID: r.RequestID, ReservationID: r.ReservationID,
 		Outcome: outcome.NotSent, Reason: query.ReasonNoRelay,
--- a/internal/relayrpc/relayrpc_test.go
+++ b/internal/relayrpc/relayrpc_test.go
@@ -33,13 +33,13 @@
 // stub is a relay and reserver made of functions.
 type stub struct {
 	search  func(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error
-	reserve func(ctx context.Context, r query.Reserve) query.Reservation
+	reserve func(ctx context.Context, r query.ReserveRequest) query.Reservation
 }
 
 func (s *stub) Search(ctx context.Context, b query.Batch, emit func(query.ShardResult)) error {
 	return s.search(ctx, b, emit)
 }
-func (s *stub) Reserve(ctx context.Context, r query.Reserve) query.Reservation {
+func (s *stub) Reserve(ctx context.Context, r query.ReserveRequest) query.Reservation {
 	return s.reserve(ctx, r)
 }
 
@@ -219,12 +219,12 @@
 }
 
 func TestReserveOutcomes(t *testing.T) {
-	request := query.Reserve{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: 10 * time.Second}
+	request := query.ReserveRequest{RequestID: "r1", ReservationID: "v1", Service: "s", Item: "i", Budget: 10 * time.Second}
 	done := query.Reservation{RequestID: "r1", ReservationID: "v1", Outcome: outcome.Done, Granted: true, Answer: "kept", Target: "t1"}
 
 	t.Run("answered", func(t *testing.T) {
 		is := is.New(t)
-		r := newTestPair(t, NewServer(nil, &stub{reserve: func(context.Context, query.Reserve) query.Reservation { return done }}))
+		r := newTestPair(t, NewServer(nil, &stub{reserve: func(context.Context, query.ReserveRequest) query.Reservation { return done }}))
 		is.Equal(r.client.Reserve(t.Context(), request), done)
 	})
 	t.Run("nobody listens", func(t *testing.T) {
@@ -243,7 +243,7 @@
 	t.Run("call lost", func(t *testing.T) {
 		is := is.New(t)
 		var r *testPair
-		r = newTestPair(t, NewServer(nil, &stub{reserve: func(ctx context.Context, _ query.Reserve) query.Reservation {
+		r = newTestPair(t, NewServer(nil, &stub{reserve: func(ctx context.Context, _ query.ReserveRequest) query.Reservation {
 			go r.cut()
 			<-ctx.Done()
 			return done
@@ -285,7 +285,7 @@
 		is.Equal(x.Reason, query.ReasonDraining)
 		is.True(x.RetryAfter > 0)
 	}
-	reply := r.client.Reserve(t.Context(), query.Reserve{RequestID: "r2", ReservationID: "v", Budget: 10 * time.Second})
+	reply := r.client.Reserve(t.Context(), query.ReserveRequest{RequestID: "r2", ReservationID: "v", Budget: 10 * time.Second})
 	is.Equal(reply.Outcome, outcome.NotSent)
 	is.Equal(reply.Reason, query.ReasonDraining)
 	close(finish)
--- a/internal/relayrpc/server.go
+++ b/internal/relayrpc/server.go
@@ -135,7 +135,7 @@
 
 // Reserve implements the drpc service.
 func (s *Server) Reserve(ctx context.Context, in *peerpb.ReserveRequest) (*peerpb.ReserveReply, error) {
-	r := query.Reserve{
+	r := query.ReserveRequest{
 		RequestID: in.RequestId, Caller: in.Caller, ReservationID: in.ReservationId,
 		Service: in.Service, Item: in.Item, Budget: peer.Micros(in.BudgetUs),
 	}
