--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -23,8 +23,8 @@
 	"rhubarbwood.example/rhubarbwood/internal/relay"
 )
 
-// Relays returns clients for the relay on a host, including this one.
-type Relays interface {
+// RelayClients returns clients for the relay on a host, including this one.
+type RelayClients interface {
 	Searcher(h member.Host) relay.Searcher
 	Reserver(h member.Host) claim.Reserver
 }
@@ -40,7 +40,7 @@
 	cfg           Config
 	catalog       catalog.View
 	members       member.View
-	relays        Relays
+	relays        RelayClients
 	freshness     Freshness
 	recorder      delivery.Recorder
 	router        *router
@@ -50,7 +50,7 @@
 }
 
 // New returns an entry that uses the given catalog, membership and relays.
-func New(cfg Config, cat catalog.View, members member.View, relays Relays, freshness Freshness,
+func New(cfg Config, cat catalog.View, members member.View, relays RelayClients, freshness Freshness,
 	recorder delivery.Recorder, reg prometheus.Registerer) *Entry {
 	return &Entry{
 		cfg:           cfg,
--- a/internal/host/relays.go
+++ b/internal/host/relays.go
@@ -8,7 +8,7 @@
 	"rhubarbwood.example/rhubarbwood/internal/relayrpc"
 )
 
-// relayClients implements entry.Relays: it calls the host's own relay in process
+// relayClients implements entry.RelayClients: it calls the host's own relay in process
 // and those of other hosts over DRPC.
 type relayClients struct {
 	self     string
--- a/internal/load/relayloss_host.go
+++ b/internal/load/relayloss_host.go
@@ -54,14 +54,14 @@
 	}
 }
 
-// lossSiteRelays implements entry.Relays for one host. Relays on other hosts are
+// lossSiteRelays implements entry.RelayClients for one host. Relays on other hosts are
 // a round trip away and may have faults.
 type lossSiteRelays struct {
 	site *lossSite
 	self string
 }
 
-// Searcher implements entry.Relays.
+// Searcher implements entry.RelayClients.
 func (a *lossSiteRelays) Searcher(h member.Host) relay.Searcher {
 	host := a.site.host(h.ID)
 	if h.ID == a.self {
@@ -70,7 +70,7 @@
 	return &faultyRelay{remoteRelay{host.relay}, host}
 }
 
-// Reserver implements entry.Relays. It is unused, as the runs reserve nothing.
+// Reserver implements entry.RelayClients. It is unused, as the runs reserve nothing.
 func (a *lossSiteRelays) Reserver(member.Host) claim.Reserver { return nil }
 
 // faultyRelay is the relay on another host, subject to the fault of that host.
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -242,7 +242,7 @@
 	}
 }
 
-// siteRelays implements entry.Relays for one host. Relays on other hosts are a
+// siteRelays implements entry.RelayClients for one host. Relays on other hosts are a
 // round trip away.
 type siteRelays struct {
 	site   *site
@@ -250,7 +250,7 @@
 	direct bool
 }
 
-// Searcher implements entry.Relays. With direct, a host always uses its own
+// Searcher implements entry.RelayClients. With direct, a host always uses its own
 // searcher.
 func (a *siteRelays) Searcher(h member.Host) relay.Searcher {
 	if a.direct {
@@ -262,7 +262,7 @@
 	return &remoteRelay{a.site.searchers[h.ID]}
 }
 
-// Reserver implements entry.Relays. It is unused, as the runs reserve nothing.
+// Reserver implements entry.RelayClients. It is unused, as the runs reserve nothing.
 func (a *siteRelays) Reserver(member.Host) claim.Reserver { return nil }
 
 // remoteRelay is a relay on another host. It sleeps for the whole round trip
