--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -149,12 +149,12 @@
 // recordLocked appends the current state to the history from which the status is reported.
 func (t *Target) recordLocked() {
 	s := targetapi.Status{
-		ID:          t.cfg.ID,
-		State:       targetapi.StateReady,
-		Incarnation: t.incarnation,
-		Slots:       t.cfg.Slots,
-		Snapshots:   map[string][]uint64{},
-		Settles:     t.cfg.Settles,
+		ID:             t.cfg.ID,
+		State:          targetapi.StateReady,
+		Incarnation:    t.incarnation,
+		Slots:          t.cfg.Slots,
+		Snapshots:      map[string][]uint64{},
+		SupportsSettle: t.cfg.Settles,
 	}
 	if !t.drainBegan.IsZero() {
 		s.State = targetapi.StateDraining
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -88,13 +88,13 @@
 // Status is the response body of PathStatus. Incarnation increases with each
 // start of the target.
 type Status struct {
-	ID          string              `json:"id"`
-	State       string              `json:"state"`
-	Incarnation uint64              `json:"incarnation"`
-	Load        float64             `json:"load"` // running requests divided by slots
-	Slots       int                 `json:"slots"`
-	Snapshots   map[string][]uint64 `json:"snapshots"` // snapshots held, by service
-	Settles     bool                `json:"settles"`   // the target implements PathSettle
+	ID             string              `json:"id"`
+	State          string              `json:"state"`
+	Incarnation    uint64              `json:"incarnation"`
+	Load           float64             `json:"load"` // running requests divided by slots
+	Slots          int                 `json:"slots"`
+	Snapshots      map[string][]uint64 `json:"snapshots"` // snapshots held, by service
+	SupportsSettle bool                `json:"settles"`   // the target implements PathSettle
 }
 
 // Settlement is the response body of PathSettle: whether an attempt ran. If it did
