--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -68,7 +68,7 @@
 		TotalRows: a.TotalRows,
 		Coverage:  encodeCoverage(a.Coverage),
 		Attempts:  a.Attempts,
-		Needed:    a.Needed,
+		Needed:    a.NeededAnswers,
 		ElapsedMs: float64(a.Elapsed) / float64(time.Millisecond),
 	}
 }
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -98,7 +98,7 @@
 		RequestID: "r1", Workload: "guest-portal", Snapshot: 7, TotalRows: 9,
 		Rows:     []query.Row{{Service: "guest-portal-01", Shard: 2, Key: "k", Value: "pressure cooker", Score: 0.5}},
 		Coverage: query.Coverage{Shards: 3, Answered: 2, Missing: []query.ShardKey{{Service: "guest-portal-02", Shard: 1}}},
-		Attempts: 4, Needed: 3, Elapsed: 1500 * time.Microsecond,
+		Attempts: 4, NeededAnswers: 3, Elapsed: 1500 * time.Microsecond,
 	}
 }
 
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -28,7 +28,7 @@
 	} else {
 		answer.Elapsed = elapsed
 		d.Outcome, d.Coverage, d.Snapshot = outcome.Done, answer.Coverage.Fraction(), answer.Snapshot
-		d.Attempts, d.Needed = answer.Attempts, answer.Needed
+		d.Attempts, d.Needed = answer.Attempts, answer.NeededAnswers
 	}
 	e.record(d)
 	return answer, refusal
@@ -103,14 +103,14 @@
 		return nil, r
 	}
 	return &query.Answer{
-		RequestID: q.RequestID,
-		Workload:  s.workload,
-		Snapshot:  s.snapshot,
-		Rows:      s.merger.rows(q.Limit),
-		TotalRows: s.merger.totalRows,
-		Coverage:  c,
-		Attempts:  runs.attempts,
-		Needed:    c.Shards,
+		RequestID:     q.RequestID,
+		Workload:      s.workload,
+		Snapshot:      s.snapshot,
+		Rows:          s.merger.rows(q.Limit),
+		TotalRows:     s.merger.totalRows,
+		Coverage:      c,
+		Attempts:      runs.attempts,
+		NeededAnswers: c.Shards,
 	}, nil
 }
 
--- a/internal/load/relayloss_run.go
+++ b/internal/load/relayloss_run.go
@@ -119,7 +119,7 @@
 		answered: true,
 		coverage: answer.Coverage.Fraction(),
 		attempts: answer.Attempts,
-		needed:   answer.Needed,
+		needed:   answer.NeededAnswers,
 	}
 	return r, s.checkCoverage(answer, services, began)
 }
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -237,7 +237,7 @@
 			answered: true,
 			coverage: answer.Coverage.Fraction(),
 			attempts: answer.Attempts,
-			needed:   answer.Needed,
+			needed:   answer.NeededAnswers,
 		}
 	}
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -77,15 +77,15 @@
 
 // Answer is the merged answer to a Search. All rows are of one snapshot.
 type Answer struct {
-	RequestID string
-	Workload  string
-	Snapshot  uint64
-	Rows      []Row
-	TotalRows int // rows found by the answered shards, before the limit
-	Coverage  Coverage
-	Attempts  int // shard attempts sent to targets, including hedges and retries
-	Needed    int // shard answers needed for a complete answer
-	Elapsed   time.Duration
+	RequestID     string
+	Workload      string
+	Snapshot      uint64
+	Rows          []Row
+	TotalRows     int // rows found by the answered shards, before the limit
+	Coverage      Coverage
+	Attempts      int // shard attempts sent to targets, including hedges and retries
+	NeededAnswers int // shard answers needed for a complete answer
+	Elapsed       time.Duration
 }
 
 // Batch is the request of an entry to one relay for one search: the shards of
