--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -26,8 +26,8 @@
 	Known []quarantine.Record
 }
 
-// Missing limits the parts of a query that may be lost.
-type Missing struct {
+// LossLimits limits the parts of a query that may be lost.
+type LossLimits struct {
 	Most   int // of the whole query; once more are lost it is abandoned
 	Untold int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
@@ -62,7 +62,7 @@
 // earlier once more shards are lost than need not be reported. It returns when all shards have ended,
 // when more are lost than the whole answer may lack, at the deadline, or when ctx is done.
 // otherHostAttempts is how often other hosts may have sent the query to each shard.
-func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits Missing, otherHostAttempts int, report func(Gathered)) Gathered {
+func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits LossLimits, otherHostAttempts int, report func(Gathered)) Gathered {
 	collector := newPartCollector(route)
 	runs := g.newRuns(r, route, otherHostAttempts)
 	parts := make(chan part, len(runs))
--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -28,7 +28,7 @@
 	Header    http.Header
 	Body      []byte
 	Route     routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
-	May       Missing
+	May       LossLimits
 	Objective time.Duration // latency within which the answer counts as in time
 	AnswerIn  time.Duration // time until the answer is sent without the missing parts
 	Budget    time.Duration // time until the caller's deadline
@@ -216,7 +216,7 @@
 	route      *routing.Route // with only the shards of the cell
 	gatherers  *gatherers
 	plan       plannedCell
-	lossLimits Missing
+	lossLimits LossLimits
 	report     func(Gathered)
 }
 
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -174,7 +174,7 @@
 			Name: in.Route, Host: in.Host, Idempotent: true, Shards: in.Shards, TopK: int(in.TopK),
 			MaxAttempts: int(in.MaxAttempts), Rank: int(in.Rank), Homes: in.Homes,
 		},
-		May: gateway.Missing{Most: int(in.MostMissing), Untold: int(in.UntoldMissing)}, Objective: peer.Micros(in.ObjectiveUs),
+		May: gateway.LossLimits{Most: int(in.MostMissing), Untold: int(in.UntoldMissing)}, Objective: peer.Micros(in.ObjectiveUs),
 		AnswerIn: peer.Micros(in.AnswerUs), Budget: peer.Micros(in.BudgetUs), Late: in.Late, Asked: int(in.Asked),
 	}
 }
