--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -28,8 +28,8 @@
 
 // LossLimits limits the parts of a query that may be lost.
 type LossLimits struct {
-	Most   int // of the whole query; once more are lost it is abandoned
-	Untold int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
+	Most          int // of the whole query; once more are lost it is abandoned
+	MaxUnreported int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
 
 // part is the final result of one shard.
@@ -86,7 +86,7 @@
 		select {
 		case p := <-parts:
 			collector.add(p)
-			if !collector.ended() && (late || !p.ok && collector.failed > lossLimits.Untold) {
+			if !collector.ended() && (late || !p.ok && collector.failed > lossLimits.MaxUnreported) {
 				report(result())
 			}
 		case <-answerTimer.C:
