--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -190,10 +190,10 @@
 			out.Attempts += p.gathered.Attempts // attempts of this host are counted when they are made
 		}
 		out.PartBytes += p.gathered.PartBytes
-		lacking, reasons = appendText(lacking, p.gathered.Lacking), appendText(reasons, p.gathered.Reason)
+		lacking, reasons = appendText(lacking, p.gathered.MissingShards), appendText(reasons, p.gathered.Reason)
 		helpers = appendText(helpers, p.gathered.Helper)
 	}
-	out.Lacking, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
+	out.MissingShards, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
 	if len(out.Signatures) >= q.minParts {
 		out.Outcome, out.Records = outcome.Done, top.joined()
 		return out
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -12,16 +12,16 @@
 
 // Gathered is the result of gathering some shards of a query, complete or partial.
 type Gathered struct {
-	Signatures []string // of the parts received
-	Records    []byte   // greatest records of the parts, in descending order
-	Outcome    outcome.Outcome
-	Lacking    string // some of the missing shards with the targets tried, for the log
-	Reason     string // why there is no answer
-	Attempts   int    // attempts at targets
-	Cut        bool   // the answer became due before all parts were there
-	PartBytes  int    // total size of the parts
-	Failed     int    // shards that can't be answered any more
-	Helper     string // host that gathered the shards; empty: this one
+	Signatures    []string // of the parts received
+	Records       []byte   // greatest records of the parts, in descending order
+	Outcome       outcome.Outcome
+	MissingShards string // some of the missing shards with the targets tried, for the log
+	Reason        string // why there is no answer
+	Attempts      int    // attempts at targets
+	Cut           bool   // the answer became due before all parts were there
+	PartBytes     int    // total size of the parts
+	Failed        int    // shards that can't be answered any more
+	Helper        string // host that gathered the shards; empty: this one
 	// Known is the helper's quarantine records of the request, if targets ended under it.
 	Known []quarantine.Record
 }
@@ -141,7 +141,7 @@
 func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
 		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
-		Outcome: c.combined, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
+		Outcome: c.combined, MissingShards: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
 	}
 	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
--- a/internal/gateway/scatter.go
+++ b/internal/gateway/scatter.go
@@ -14,7 +14,7 @@
 	got := g.gather(ctx, r, route)
 	r.stats.observeBytes(got.PartBytes, len(got.Signatures))
 	r.attempts.Add(int32(got.Attempts))
-	w.triedTargets, w.helper = got.Lacking, got.Helper
+	w.triedTargets, w.helper = got.MissingShards, got.Helper
 	stance, left := g.quarantineMode(r)
 	switch {
 	case r.ctx.Err() != nil:
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -83,7 +83,7 @@
 	g := newGatherer()
 	g.needsGoOn = true
 	g.result = gateway.Gathered{
-		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, Lacking: "s(t)", Reason: "r",
+		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, MissingShards: "s(t)", Reason: "r",
 		Attempts: 4, Cut: true, PartBytes: 99, Failed: 2,
 	}
 	client, host := serve(t, g)
