--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -22,8 +22,8 @@
 	PartBytes     int    // total size of the parts
 	Failed        int    // shards that can't be answered any more
 	Helper        string // host that gathered the shards; empty: this one
-	// Known is the helper's quarantine records of the request, if targets ended under it.
-	Known []quarantine.Record
+	// QuarantineRecords is the helper's quarantine records of the request, if targets ended under it.
+	QuarantineRecords []quarantine.Record
 }
 
 // LossLimits limits the parts of a query that may be lost.
--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -366,10 +366,10 @@
 	stop := context.AfterFunc(enough, done)
 	defer stop()
 	if g.quarantined(r) {
-		return Gathered{Outcome: outcome.NotSent, Reason: quarantine.ErrQuarantined.Error(), Known: g.quarantineRecords(r)}
+		return Gathered{Outcome: outcome.NotSent, Reason: quarantine.ErrQuarantined.Error(), QuarantineRecords: g.quarantineRecords(r)}
 	}
 	got := g.gatherLocally(ctx, r, &q.Route, q.May, q.Asked, p.Partial)
-	got.Known = g.quarantineRecords(r)
+	got.QuarantineRecords = g.quarantineRecords(r)
 	return got
 }
 
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -127,8 +127,8 @@
 
 // mergeQuarantineRecords merges the quarantine records that came with the result of a helper.
 func (g *Gateway) mergeQuarantineRecords(got Gathered) {
-	if len(got.Known) > 0 && !g.cfg.disabled(Quarantine) {
-		g.quarantineTable.Merge(got.Known)
+	if len(got.QuarantineRecords) > 0 && !g.cfg.disabled(Quarantine) {
+		g.quarantineTable.Merge(got.QuarantineRecords)
 	}
 }
 
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -183,7 +183,7 @@
 	return &peerpb.GatherReply{
 		Signatures: g.Signatures, Records: g.Records, Outcome: g.Outcome.String(), Lacking: g.MissingShards, Reason: g.Reason,
 		Attempts: uint32(g.Attempts), Cut: g.Cut, PartBytes: uint64(g.PartBytes), Failed: uint32(g.Failed),
-		Known: quarantine.AllToWire(g.Known, now),
+		Known: quarantine.AllToWire(g.QuarantineRecords, now),
 	}
 }
 
@@ -195,6 +195,6 @@
 	return gateway.Gathered{
 		Signatures: m.Signatures, Records: m.Records, Outcome: o, MissingShards: m.Lacking, Reason: m.Reason,
 		Attempts: int(m.Attempts), Cut: m.Cut, PartBytes: int(m.PartBytes), Failed: int(m.Failed),
-		Known: quarantine.AllFromWire(m.Known, now),
+		QuarantineRecords: quarantine.AllFromWire(m.Known, now),
 	}, nil
 }
