--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -38,10 +38,10 @@
 
 // Progress has the callbacks through which a gathering host reports its progress.
 type Progress struct {
-	// Taken is called once the host has accepted the query, with the number of queries that it
-	// gathers for others. If Taken returns true the host gets the go-ahead, before which it makes
+	// Accepted is called once the host has accepted the query, with the number of queries that it
+	// gathers for others. If Accepted returns true the host gets the go-ahead, before which it makes
 	// at most one attempt per shard.
-	Taken func(load int) bool
+	Accepted func(load int) bool
 	// Partial is called with the partial result when the answer is due, and again with each part
 	// that arrives later.
 	Partial func(Gathered)
@@ -316,7 +316,7 @@
 	q := r.query(req, left-returnTime, otherHostAttempts)
 	var partial *Gathered
 	got, err = h.client.Gather(call, enough, host, q, Progress{
-		Taken: func(load int) bool {
+		Accepted: func(load int) bool {
 			goAhead = acceptTimer.Stop()
 			h.noteAccepted(host.ID, time.Since(began), load)
 			return goAhead
@@ -355,7 +355,7 @@
 func (g *Gateway) GatherFor(ctx, enough context.Context, q Query, p Progress, goAhead *atomic.Bool) Gathered {
 	load := g.queriesForOthers.Add(1)
 	defer g.queriesForOthers.Add(-1)
-	if !p.Taken(int(load)) {
+	if !p.Accepted(int(load)) {
 		return Gathered{Outcome: outcome.NotSent, Reason: "the other host has gone"}
 	}
 	r := g.requestFromQuery(q)
--- a/internal/gateway/helper_test.go
+++ b/internal/gateway/helper_test.go
@@ -74,15 +74,15 @@
 	case helperRefuses:
 		return gateway.Gathered{}, errHelper
 	case helperFreezes:
-		p.Taken(1)
+		p.Accepted(1)
 		<-ctx.Done()
 		return gateway.Gathered{}, ctx.Err()
 	case helperEmpty:
-		p.Taken(1)
+		p.Accepted(1)
 		return gateway.Gathered{Outcome: outcome.NotSent, Reason: "no target"}, nil
 	}
 	if f.fault == helperMute {
-		silent := gateway.Progress{Taken: func(int) bool { return true }, Partial: func(gateway.Gathered) {}}
+		silent := gateway.Progress{Accepted: func(int) bool { return true }, Partial: func(gateway.Gathered) {}}
 		go f.gateway.GatherFor(context.WithoutCancel(ctx), context.Background(), q, silent, new(atomic.Bool))
 		<-ctx.Done()
 		return gateway.Gathered{}, ctx.Err()
@@ -91,8 +91,8 @@
 	ctx, die := context.WithCancel(ctx)
 	defer die()
 	got := f.gateway.GatherFor(ctx, enough, q, gateway.Progress{
-		Taken: func(load int) bool {
-			time.AfterFunc(hopDelay, func() { goAhead.Store(p.Taken(load)) })
+		Accepted: func(load int) bool {
+			time.AfterFunc(hopDelay, func() { goAhead.Store(p.Accepted(load)) })
 			return true
 		},
 		Partial: func(got gateway.Gathered) {
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	progress := gateway.Progress{
-		Taken: func(load int) bool {
+		Accepted: func(load int) bool {
 			if !send(&peerpb.GatherReply{Taken: true, Load: uint32(load)}) {
 				return false
 			}
@@ -132,7 +132,7 @@
 		}
 		switch {
 		case m.Taken:
-			if !p.Taken(int(m.Load)) {
+			if !p.Accepted(int(m.Load)) {
 				return gateway.Gathered{}, Error.New("%s accepted the query too late", host.ID)
 			}
 			if err := stream.Send(&peerpb.GatherRequest{GoOn: true}); err != nil && enough.Err() == nil {
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -35,7 +35,7 @@
 }
 
 func (g *fakeGatherer) GatherFor(ctx, enough context.Context, q gateway.Query, p gateway.Progress, goOn *atomic.Bool) gateway.Gathered {
-	p.Taken(3)
+	p.Accepted(3)
 	g.received <- q
 	for g.needsGoOn && !goOn.Load() {
 		time.Sleep(time.Millisecond)
@@ -55,7 +55,7 @@
 
 // progressReplying returns a Progress whose Taken returns on.
 func progressReplying(on bool) gateway.Progress {
-	return gateway.Progress{Taken: func(int) bool { return on }}
+	return gateway.Progress{Accepted: func(int) bool { return on }}
 }
 
 func newGatherer() *fakeGatherer {
@@ -99,7 +99,7 @@
 		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, Late: true,
 	}
 	load := 0
-	got, err := client.Gather(t.Context(), t.Context(), host, q, gateway.Progress{Taken: func(n int) bool {
+	got, err := client.Gather(t.Context(), t.Context(), host, q, gateway.Progress{Accepted: func(n int) bool {
 		load = n
 		return true
 	}})
@@ -166,7 +166,7 @@
 	enough, hasEnough := context.WithCancel(t.Context())
 	var partial gateway.Gathered
 	got, err := client.Gather(t.Context(), enough, host, gateway.Query{}, gateway.Progress{
-		Taken: func(int) bool { return true },
+		Accepted: func(int) bool { return true },
 		Partial: func(got gateway.Gathered) {
 			partial = got
 			hasEnough()
