--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -70,8 +70,8 @@
 	helping policy.Helping
 }
 
-// HelpWith enables the delegation of queries to other hosts. It must be called before Start.
-func (g *Gateway) HelpWith(client Helpers, hosts func() []member.Host) {
+// EnableHelpers enables the delegation of queries to other hosts. It must be called before Start.
+func (g *Gateway) EnableHelpers(client Helpers, hosts func() []member.Host) {
 	g.registry.gatherers = newGathererIndex(g.self, hosts)
 	g.helpers = &helperPool{
 		self: g.self, client: client, byHost: map[string]*policy.Helper{},
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -133,7 +133,7 @@
 	s.regions, s.changeTarget = o.regions, o.changeTarget
 	g := s.gateway(member.Host{ID: "h", FailureDomain: domain, LinkMbps: o.link}, o.without...)
 	if o.helpers != nil {
-		g.HelpWith(o.helpers(s), func() []member.Host { return o.hosts })
+		g.EnableHelpers(o.helpers(s), func() []member.Host { return o.hosts })
 	}
 	s.life.Advance(kernel.Ready)
 	s.serve(callersAddress, g)
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -298,7 +298,7 @@
 	if h.system.Dial != nil {
 		h.gateway.DialWith(h.system.Dial)
 	}
-	h.gateway.HelpWith(gatherrpc.NewClient(pool, h.system.Clock), members.Hosts)
+	h.gateway.EnableHelpers(gatherrpc.NewClient(pool, h.system.Clock), members.Hosts)
 	return h.gateway, gatherrpc.NewServer(h.gateway, h.system.Clock).Register(server)
 }
 
