--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -204,7 +204,7 @@
 func (g *Gateway) evaluate(t *target, a targetconn.Answer) result {
 	v := g.messages.Answer(a.Status, a.Header)
 	res := result{verdict: v, answer: a}
-	if v.Spoilt {
+	if v.MalformedReport {
 		g.metrics.unreadableReports.Inc()
 	}
 	switch v.Kind {
--- a/internal/gateway/messages.go
+++ b/internal/gateway/messages.go
@@ -38,9 +38,9 @@
 	Load      *Load  // reported by the target; nil: not reported
 	// Warmup is the remaining warm-up time that the target reported; 0: not reported.
 	Warmup time.Duration
-	// Spoilt is set if the load or warm-up time in the response is malformed. The response is used
+	// MalformedReport is set if the load or warm-up time in the response is malformed. The response is used
 	// nevertheless.
-	Spoilt bool
+	MalformedReport bool
 }
 
 // Load is the load that a target reports.
