--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -192,9 +192,9 @@
 
 // ColdTarget is a cold target without a permit.
 type ColdTarget struct {
-	ID    string
-	Bound float64  // requests per second that it can take
-	Hosts []string // hosts that send requests to it
+	ID           string
+	MaxPerSecond float64  // requests per second that it can take
+	Hosts        []string // hosts that send requests to it
 }
 
 // signalCold notifies the permit writer of a cold target without a permit. The caller holds the
@@ -228,7 +228,7 @@
 		bound := s.coldLimit.perSecond
 		s.mu.Unlock()
 		for _, t := range cold {
-			all = append(all, ColdTarget{ID: t.info.ID, Bound: bound, Hosts: reg.hostsServing(s.name, t.info.Domain)})
+			all = append(all, ColdTarget{ID: t.info.ID, MaxPerSecond: bound, Hosts: reg.hostsServing(s.name, t.info.Domain)})
 		}
 	}
 	return all
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -236,7 +236,7 @@
 		coldSite(s, "s0-t1")
 		g := s.gateways[0]
 		<-g.BecameCold()
-		is.Equal(g.ColdTargets(), []gateway.ColdTarget{{ID: "s0-t0", Bound: 10, Hosts: []string{"h"}}})
+		is.Equal(g.ColdTargets(), []gateway.ColdTarget{{ID: "s0-t0", MaxPerSecond: 10, Hosts: []string{"h"}}})
 		time.Sleep(coldDuration)
 		is.Equal(len(g.ColdTargets()), 0)
 		is.True(!strings.Contains(log.String(), "error"))
--- a/internal/warmup/keeper.go
+++ b/internal/warmup/keeper.go
@@ -177,7 +177,7 @@
 
 // write writes the permit of a target in an era, or reads the existing one.
 func (k *Keeper) write(ctx context.Context, t gateway.ColdTarget, era uint64) (discovery.Permit, error) {
-	hosts, each := policy.DivideCold(t.Bound, t.ID, t.Hosts)
+	hosts, each := policy.DivideCold(t.MaxPerSecond, t.ID, t.Hosts)
 	if each == 0 {
 		return discovery.Permit{}, Error.Wrap(errBoundTooLow)
 	}
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -90,7 +90,7 @@
 }
 
 func coldTarget(id string, hosts ...string) gateway.ColdTarget {
-	return gateway.ColdTarget{ID: id, Bound: 23, Hosts: hosts}
+	return gateway.ColdTarget{ID: id, MaxPerSecond: 23, Hosts: hosts}
 }
 
 // The first host in turn writes the permit and sends it; a host that does not watch the store writes none.
