--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -57,7 +57,7 @@
 	target          *target
 	outcome         outcome.Outcome
 	verdict         Verdict
-	answer          targetconn.Answer
+	answer          targetconn.Response
 	err             error
 	latency         time.Duration
 	shed            bool // the target rejected the request as overloaded
@@ -201,7 +201,7 @@
 }
 
 // evaluate returns the result of an attempt by the target's response.
-func (g *Gateway) evaluate(t *target, a targetconn.Answer) result {
+func (g *Gateway) evaluate(t *target, a targetconn.Response) result {
 	v := g.messages.Answer(a.Status, a.Header)
 	res := result{verdict: v, answer: a}
 	if v.MalformedReport {
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -29,8 +29,8 @@
 	Limit int64
 }
 
-// Answer is the complete response of a target.
-type Answer struct {
+// Response is the complete response of a target.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -124,7 +124,7 @@
 // ctx is done. sent is false only if no byte of the request was written. The
 // connection returns to its pool if it can carry another request, and is closed
 // otherwise.
-func (c *Conn) Exchange(ctx context.Context, deadline time.Time, r *Request) (a Answer, sent bool, err error) {
+func (c *Conn) Exchange(ctx context.Context, deadline time.Time, r *Request) (a Response, sent bool, err error) {
 	stopWatch := context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(pastDeadline) })
 	defer stopWatch()
 	if err := c.net.SetDeadline(deadline); err != nil {
@@ -223,7 +223,7 @@
 
 // read reads the response, skipping responses to other requests. reusable reports
 // whether the connection may carry another request.
-func (c *Conn) read(r *Request) (a Answer, reusable bool, err error) {
+func (c *Conn) read(r *Request) (a Response, reusable bool, err error) {
 	for skipped := 0; ; skipped++ {
 		a, reusable, err := c.readResponse(r)
 		if err != nil {
@@ -240,7 +240,7 @@
 }
 
 // readResponse reads the next response on the connection.
-func (c *Conn) readResponse(r *Request) (a Answer, reusable bool, err error) {
+func (c *Conn) readResponse(r *Request) (a Response, reusable bool, err error) {
 	resp, err := c.readHeader(r)
 	if err != nil {
 		return a, false, err
@@ -250,7 +250,7 @@
 	if err != nil {
 		return a, false, err
 	}
-	a = Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
+	a = Response{Status: resp.StatusCode, Header: resp.Header, Body: body}
 	c.expires = time.Now().Add(keepAliveTime(resp.Header))
 	return a, !resp.Close && c.reader.Buffered() == 0, nil
 }
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -82,12 +82,12 @@
 	}
 }
 
-func exchange(t *testing.T, p *Pool, r *Request) (Answer, bool, error) {
+func exchange(t *testing.T, p *Pool, r *Request) (Response, bool, error) {
 	t.Helper()
 	return exchangeUntil(t, p, r, time.Now().Add(testTimeout))
 }
 
-func exchangeUntil(t *testing.T, p *Pool, r *Request, deadline time.Time) (Answer, bool, error) {
+func exchangeUntil(t *testing.T, p *Pool, r *Request, deadline time.Time) (Response, bool, error) {
 	t.Helper()
 	p.Reserve()
 	c, err := p.Get(t.Context(), time.Now().Add(time.Minute))
