--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -99,7 +99,7 @@
 	}
 	answer, _, err := conn.Exchange(ctx, deadline, &targetconn.Request{
 		Method: http.MethodGet, Head: head, Limit: maxHealthAnswerBytes,
-		Mine: func(h http.Header) bool { return g.messages.Answer(http.StatusOK, h).RequestID == "" },
+		Matches: func(h http.Header) bool { return g.messages.Answer(http.StatusOK, h).RequestID == "" },
 	})
 	if err != nil {
 		return Verdict{}, Error.New("query the target's health: %w", err)
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -21,10 +21,10 @@
 	Head   []byte      // request line and shared headers, as NewHead returns them
 	Header http.Header // in addition to the headers of Head
 	Body   []byte
-	// Mine reports whether a response with this header belongs to the request;
+	// Matches reports whether a response with this header belongs to the request;
 	// nil accepts every response. A target may send a response twice, and the
 	// duplicate is then read as the response to the next request.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 	// Limit is the maximum length of the response body, in bytes.
 	Limit int64
 }
@@ -229,7 +229,7 @@
 		if err != nil {
 			return a, false, err
 		}
-		if r.Mine == nil || r.Mine(a.Header) {
+		if r.Matches == nil || r.Matches(a.Header) {
 			// A target that sent a surplus response may send more of them.
 			return a, reusable && skipped == 0, nil
 		}
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -78,7 +78,7 @@
 	}
 	return &Request{
 		Method: method, Head: head, Header: http.Header{"X-Id": {id}}, Body: body, Limit: 1 << 20,
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
