--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -169,7 +169,7 @@
 		if t.replaced.Load() && !late {
 			return result{outcome: outcome.Unknown, err: Error.Wrap(errTargetRestarted), targetRestarted: true}
 		}
-		return result{outcome: outcome.Unknown, err: err, abandoned: late, connectionLost: !late && targetconn.BrokeOff(err)}
+		return result{outcome: outcome.Unknown, err: err, abandoned: late, connectionLost: !late && targetconn.ConnectionLost(err)}
 	}
 	res := g.evaluate(t, answer)
 	res.targetTimedOut = timeout < left && res.outcome != outcome.Done && time.Since(began) > timeout-targetTimeoutMargin
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -42,9 +42,9 @@
 // errForeignResponse means that only responses to other requests were received.
 var errForeignResponse = errors.New("the response belongs to another request")
 
-// BrokeOff reports whether an exchange failed because the connection was closed or reset
+// ConnectionLost reports whether an exchange failed because the connection was closed or reset
 // before the response was complete.
-func BrokeOff(err error) bool {
+func ConnectionLost(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
@@ -156,7 +156,7 @@
 // fail closes the connection after a failed exchange. If the target ended the
 // connection, it notes that the target may have restarted.
 func (c *Conn) fail(err error) {
-	if BrokeOff(err) {
+	if ConnectionLost(err) {
 		c.pool.restarted.Store(true)
 	}
 	c.Discard()
