--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -149,7 +149,7 @@
 	if s.coldLimit.perSecond <= 0 {
 		return 0, false
 	}
-	if t.pool.TakeRestarted() {
+	if t.pool.TakeMayHaveRestarted() {
 		w.restartSigns++
 	}
 	if w.restartSigns > w.handledSigns && s.checkPath == "" {
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -52,7 +52,7 @@
 	dial        netdial.Func
 	dialTimeout time.Duration
 
-	restarted atomic.Bool // the target may have restarted; see TakeRestarted
+	restarted atomic.Bool // the target may have restarted; see TakeMayHaveRestarted
 
 	mu          sync.Mutex
 	limit       int
@@ -123,9 +123,9 @@
 	p.reserved--
 }
 
-// TakeRestarted reports whether the target may have restarted since the last call, and resets the flag: the target has
+// TakeMayHaveRestarted reports whether the target may have restarted since the last call, and resets the flag: the target has
 // closed a connection early, or a connection was opened while the pool had no other that a restart would have closed.
-func (p *Pool) TakeRestarted() bool { return p.restarted.Swap(false) }
+func (p *Pool) TakeMayHaveRestarted() bool { return p.restarted.Swap(false) }
 
 // Dialed returns the number of connections opened so far.
 func (p *Pool) Dialed() uint64 {
