--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -155,11 +155,11 @@
 	for _, t := range s.targets {
 		if t.preferred {
 			t.pool.SetLimit(min(limits.preferred, max(t.info.Slots, 1)))
-			t.pool.SetKeep(0)
+			t.pool.SetMaxIdleTime(0)
 			continue
 		}
 		t.pool.SetLimit(limits.other)
-		t.pool.SetKeep(limits.idleTimeout)
+		t.pool.SetMaxIdleTime(limits.idleTimeout)
 	}
 }
 
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -79,9 +79,9 @@
 	p.limit = limit
 }
 
-// SetKeep changes the maximum time that an idle connection is kept; 0 keeps it as
+// SetMaxIdleTime changes the maximum time that an idle connection is kept; 0 keeps it as
 // long as the target's Keep-Alive timeout allows.
-func (p *Pool) SetKeep(keep time.Duration) {
+func (p *Pool) SetMaxIdleTime(keep time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdleTime = keep
