--- a/internal/gateway/registry.go
+++ b/internal/gateway/registry.go
@@ -232,7 +232,7 @@
 		targets := s.targets
 		s.mu.Unlock()
 		for _, t := range targets {
-			t.pool.Trim(now)
+			t.pool.CloseExpired(now)
 		}
 	}
 }
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -241,7 +241,7 @@
 	is.NoErr(err)
 	is.True(p.idle[0].usable(time.Now().Add(4 * time.Second)))
 	is.True(!p.idle[0].usable(time.Now().Add(5*time.Second - idleMargin + time.Millisecond)))
-	p.Trim(time.Now().Add(time.Minute))
+	p.CloseExpired(time.Now().Add(time.Minute))
 	is.Equal(len(p.idle), 0)
 	is.Equal(p.openCount, 0)
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -242,9 +242,9 @@
 	delete(p.conns, c)
 }
 
-// Trim closes the idle connections whose idle time is over, so that new ones can be
+// CloseExpired closes the idle connections whose idle time is over, so that new ones can be
 // opened in their place.
-func (p *Pool) Trim(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var expired []*Conn
 	remaining := p.idle[:0]
