--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -98,7 +98,7 @@
 		return Verdict{}, Error.Wrap(err)
 	}
 	answer, _, err := conn.Exchange(ctx, deadline, &targetconn.Request{
-		Method: http.MethodGet, Head: head, Limit: maxHealthAnswerBytes,
+		Method: http.MethodGet, Head: head, MaxBodyBytes: maxHealthAnswerBytes,
 		Matches: func(h http.Header) bool { return g.messages.Answer(http.StatusOK, h).RequestID == "" },
 	})
 	if err != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -158,8 +158,8 @@
 	began := time.Now()
 	answer, sent, err := conn.Exchange(ctx, r.deadline, &targetconn.Request{
 		Method: r.method, Head: head, Header: own, Body: r.body,
-		Matches: func(h http.Header) bool { return g.answersRequest(h, r) },
-		Limit:   g.cfg.MaxAnswer,
+		Matches:      func(h http.Header) bool { return g.answersRequest(h, r) },
+		MaxBodyBytes: g.cfg.MaxAnswer,
 	})
 	if err != nil {
 		late := ctx.Err() != nil || !time.Now().Before(r.deadline)
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -25,8 +25,8 @@
 	// nil accepts every response. A target may send a response twice, and the
 	// duplicate is then read as the response to the next request.
 	Matches func(http.Header) bool
-	// Limit is the maximum length of the response body, in bytes.
-	Limit int64
+	// MaxBodyBytes is the maximum length of the response body, in bytes.
+	MaxBodyBytes int64
 }
 
 // Response is the complete response of a target.
@@ -246,7 +246,7 @@
 		return a, false, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := readBody(resp, r.Limit)
+	body, err := readBody(resp, r.MaxBodyBytes)
 	if err != nil {
 		return a, false, err
 	}
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -77,7 +77,7 @@
 		panic(err) // every argument is valid
 	}
 	return &Request{
-		Method: method, Head: head, Header: http.Header{"X-Id": {id}}, Body: body, Limit: 1 << 20,
+		Method: method, Head: head, Header: http.Header{"X-Id": {id}}, Body: body, MaxBodyBytes: 1 << 20,
 		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
--- a/internal/targetconn/fuzz_test.go
+++ b/internal/targetconn/fuzz_test.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, sent, err := conn.Exchange(t.Context(), time.Now().Add(time.Minute), &Request{Method: "GET", Head: []byte("GET / HTTP/1.1\r\n"), Limit: limit})
+		a, sent, err := conn.Exchange(t.Context(), time.Now().Add(time.Minute), &Request{Method: "GET", Head: []byte("GET / HTTP/1.1\r\n"), MaxBodyBytes: limit})
 		if !sent {
 			t.Fatal("the request was sent")
 		}
