--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -108,7 +108,7 @@
 func (g *Gateway) attempt(ctx context.Context, s *service, t *target, r *request, sends *sendTracker, alone bool) result {
 	head, err := g.head(r)
 	if err != nil {
-		t.pool.Unreserve()
+		t.pool.CancelReservation()
 		return result{outcome: outcome.NotSent, err: err}
 	}
 	conn, err := t.pool.Get(ctx, r.deadline)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.inFlight--
-	t.pool.Unreserve()
+	t.pool.CancelReservation()
 	t.unreserveSend()
 	t.health.Unsent(time.Now())
 	s.wake()
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -173,7 +173,7 @@
 	t.pool.Reserve() // before the query releases its connection, which other requests wait for
 	v, err := g.queryHealth(ctx, deadline, conn, s, r)
 	if err != nil {
-		t.pool.Unreserve()
+		t.pool.CancelReservation()
 		return nil, err
 	}
 	s.mu.Lock()
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -361,6 +361,6 @@
 	is.True(p.Free())
 	p.Reserve()
 	is.True(!p.Free())
-	p.Unreserve()
+	p.CancelReservation()
 	is.True(p.Free())
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -116,8 +116,8 @@
 	p.reserved++
 }
 
-// Unreserve cancels a reservation for which Get is not called.
-func (p *Pool) Unreserve() {
+// CancelReservation cancels a reservation for which Get is not called.
+func (p *Pool) CancelReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reserved--
