--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		c.usable = true
-		if !t.pool.Free() {
+		if !t.pool.HasFree() {
 			c.busy = true
 			continue
 		}
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -274,7 +274,7 @@
 	p.Reserve()
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
 	is.True(err != nil)
-	is.True(p.Free()) // the failed dial doesn't count as an open connection
+	is.True(p.HasFree()) // the failed dial doesn't count as an open connection
 }
 
 func TestLimitOfConnections(t *testing.T) {
@@ -288,7 +288,7 @@
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
 	is.True(errors.Is(err, ErrLimit))
 	c.Discard()
-	is.True(p.Free())
+	is.True(p.HasFree())
 	p.Close()
 	p.Reserve()
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
@@ -358,9 +358,9 @@
 	is := is.New(t)
 	p := NewPool("target:80", 2, time.Second, (&net.Dialer{}).DialContext)
 	p.Reserve()
-	is.True(p.Free())
+	is.True(p.HasFree())
 	p.Reserve()
-	is.True(!p.Free())
+	is.True(!p.HasFree())
 	p.CancelReservation()
-	is.True(p.Free())
+	is.True(p.HasFree())
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -87,8 +87,8 @@
 	p.maxIdleTime = keep
 }
 
-// Free reports whether a connection can be reserved.
-func (p *Pool) Free() bool {
+// HasFree reports whether a connection can be reserved.
+func (p *Pool) HasFree() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.free()
