--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -72,7 +72,7 @@
 func (g *Gateway) refusesConnections(ctx context.Context, s *service, t *target) bool {
 	ctx, cancel := context.WithTimeout(ctx, reconnectCheckTimeout)
 	defer cancel()
-	refused := targetconn.Refused(t.pool.Check(ctx))
+	refused := targetconn.Refused(t.pool.ProbeConnection(ctx))
 	if refused {
 		s.mu.Lock()
 		t.noteUnreachable()
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -201,9 +201,9 @@
 // sent its Keep-Alive timeout yet.
 const unusedIdleTime = 2 * time.Second
 
-// Check opens a connection to find out whether the target accepts any, and keeps it for the next
+// ProbeConnection opens a connection to find out whether the target accepts any, and keeps it for the next
 // request if the limit allows. It returns the dial error.
-func (p *Pool) Check(ctx context.Context) error {
+func (p *Pool) ProbeConnection(ctx context.Context) error {
 	p.mu.Lock()
 	closed := p.closed
 	p.openCount++
