--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -116,7 +116,7 @@
 	t.pool.Close()
 	if successor != nil && successor.info.StartMillis != t.info.StartMillis {
 		t.replaced.Store(true)
-		t.pool.Abort()
+		t.pool.AbortExchanges()
 	}
 }
 
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// Abort ends the exchanges in flight, since their target no longer exists.
-func (p *Pool) Abort() {
+// AbortExchanges ends the exchanges in flight, since their target no longer exists.
+func (p *Pool) AbortExchanges() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
