--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -508,7 +508,7 @@
 		return platform.NewObjectsOver(p.network.Dial, c.Addresses...)
 	}
 	var err error
-	p.Host, err = NewOn(System{Listen: p.network.Listen, Dial: p.network.Dial}, s, onPlatform, event.Discard())
+	p.Host, err = NewWithSystem(System{Listen: p.network.Listen, Dial: p.network.Dial}, s, onPlatform, event.Discard())
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -79,14 +79,14 @@
 // New returns a host with every module built and every listener open, but
 // no module started. It fails if an address is in use.
 func New(s Settings, p Platform, log *event.Log) (*Host, error) {
-	return NewOn(OwnSystem(), s, p, log)
+	return NewWithSystem(OwnSystem(), s, p, log)
 }
 
 // OwnSystem returns the network and the clock of the operating system.
 func OwnSystem() System { return System{Listen: net.Listen, Clock: clock.New()} }
 
-// NewOn is New with the given network and clock instead of those of the operating system.
-func NewOn(system System, s Settings, p Platform, log *event.Log) (*Host, error) {
+// NewWithSystem is New with the given network and clock instead of those of the operating system.
+func NewWithSystem(system System, s Settings, p Platform, log *event.Log) (*Host, error) {
 	opened, err := listenAll(system, s.Addresses)
 	if err != nil {
 		return nil, err
