--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -51,7 +51,7 @@
 
 // system returns the clock and the other system services of the host.
 func (c *gatewayCommand) system() gatewayhost.System {
-	system := gatewayhost.OwnSystem()
+	system := gatewayhost.LocalSystem()
 	if c.SuspendedFile != "" {
 		system.Clock = system.Clock.Plus(func() time.Duration { return readDuration(c.SuspendedFile) })
 	}
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -79,11 +79,11 @@
 // New returns a host with every module built and every listener open, but
 // no module started. It fails if an address is in use.
 func New(s Settings, p Platform, log *event.Log) (*Host, error) {
-	return NewWithSystem(OwnSystem(), s, p, log)
+	return NewWithSystem(LocalSystem(), s, p, log)
 }
 
-// OwnSystem returns the network and the clock of the operating system.
-func OwnSystem() System { return System{Listen: net.Listen, Clock: clock.New()} }
+// LocalSystem returns the network and the clock of the operating system.
+func LocalSystem() System { return System{Listen: net.Listen, Clock: clock.New()} }
 
 // NewWithSystem is New with the given network and clock instead of those of the operating system.
 func NewWithSystem(system System, s Settings, p Platform, log *event.Log) (*Host, error) {
