--- a/internal/cli/evacuations.go
+++ b/internal/cli/evacuations.go
@@ -21,7 +21,7 @@
 		return usageError(err)
 	}
 	return withRecords(s, func(ctx context.Context, records objstore.Records) error {
-		read, err := gatewayhost.OnPlatform().Source(records).Evacuations(ctx)
+		read, err := gatewayhost.UserPlatform().Source(records).Evacuations(ctx)
 		if err != nil {
 			return exitErrorf(ExitFailed, "%s", err)
 		}
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -34,7 +34,7 @@
 	logQueue := event.NewQueue(c.env.Out)
 	defer func() { _ = logQueue.Close() }() // flushes the queue; if the log can't be written, there is nowhere to report it
 	log := event.NewQueued(logQueue, s.Log.Plog(), s.ID)
-	h, err := gatewayhost.NewWithSystem(c.system(), s, gatewayhost.OnPlatform(), log)
+	h, err := gatewayhost.NewWithSystem(c.system(), s, gatewayhost.UserPlatform(), log)
 	if err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -43,7 +43,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	table, err := runReport(ctx, s, gatewayhost.OnPlatform(), statement)
+	table, err := runReport(ctx, s, gatewayhost.UserPlatform(), statement)
 	if err != nil {
 		return exitErrorf(ExitFailed, "%s", err)
 	}
--- a/internal/cli/report_test.go
+++ b/internal/cli/report_test.go
@@ -77,7 +77,7 @@
 	gs.Addresses = gatewayhost.Addresses{Callers: freePort, Readiness: freePort, Metrics: freePort, Peers: freePort}
 	gs.Platform.Addresses = []string{store}
 	gs.Stop.BalancerLag = 0
-	h, err := gatewayhost.New(gs, gatewayhost.OnPlatform(), event.Discard())
+	h, err := gatewayhost.New(gs, gatewayhost.UserPlatform(), event.Discard())
 	is.NoErr(err)
 	is.NoErr(h.Start(t.Context()))
 	is.NoErr(h.WaitReady(t.Context()))
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -135,7 +135,7 @@
 	gs.Addresses = gatewayhost.Addresses{Callers: freePort, Readiness: freePort, Metrics: freePort, Peers: freePort}
 	gs.Platform.Addresses = []string{address}
 	gs.Stop.BalancerLag = 0 // there is no load balancer to wait for
-	h, err := gatewayhost.New(gs, gatewayhost.OnPlatform(), o.Log(gs.ID))
+	h, err := gatewayhost.New(gs, gatewayhost.UserPlatform(), o.Log(gs.ID))
 	if err != nil {
 		return err
 	}
--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -503,7 +503,7 @@
 		f.settings(&s)
 	}
 	p := &fleetHostProcess{network: &hostNetwork{network: f.network, fleet: f}}
-	onPlatform := OnPlatform()
+	onPlatform := UserPlatform()
 	onPlatform.Records = func(c objstore.Config) objstore.Records {
 		return platform.NewObjectsOver(p.network.Dial, c.Addresses...)
 	}
--- a/internal/gatewayhost/host_test.go
+++ b/internal/gatewayhost/host_test.go
@@ -64,7 +64,7 @@
 	gs.Platform.Addresses = []string{s.address}
 	gs.Member.Seeds = seeds
 	gs.Stop.BalancerLag = unit.Duration(time.Second)
-	h, err := New(gs, OnPlatform(), event.Discard())
+	h, err := New(gs, UserPlatform(), event.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatewayhost/platform.go
+++ b/internal/gatewayhost/platform.go
@@ -16,8 +16,8 @@
 	Messages gateway.Messages // names and formats of the HTTP headers
 }
 
-// OnPlatform returns the adapter to the users' platform.
-func OnPlatform() Platform {
+// UserPlatform returns the adapter to the users' platform.
+func UserPlatform() Platform {
 	return Platform{
 		Records: func(c objstore.Config) objstore.Records {
 			return platform.NewObjects(c.Timeout.Std(), c.Addresses...)
