--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -41,7 +41,7 @@
 	if err := h.Start(context.Background()); err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
-	h.WatchDrops(logQueue.Dropped)
+	h.LogDroppedLines(logQueue.Dropped)
 	c.waitForStop(h)
 	if err := h.Stop(context.Background()); err != nil {
 		return exitErrorf(ExitForcedStop, "stop: %s", err)
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -367,8 +367,8 @@
 // dropCheckInterval is the interval at which the number of dropped log lines is checked.
 const dropCheckInterval = time.Second
 
-// WatchDrops logs the number of dropped log lines whenever it has grown, until the host begins to stop.
-func (h *Host) WatchDrops(dropped func() uint64) {
+// LogDroppedLines logs the number of dropped log lines whenever it has grown, until the host begins to stop.
+func (h *Host) LogDroppedLines(dropped func() uint64) {
 	go func() {
 		reported := uint64(0)
 		tick := time.NewTicker(dropCheckInterval)
