--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -71,7 +71,7 @@
 			return nil
 		case s := <-c.env.Signals:
 			if isStop(s) {
-				h.StopRepeated()
+				h.LogRepeatedStop()
 			}
 		}
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -131,5 +131,5 @@
 	h.modules.relayRPC.Drain()
 }
 
-// StopRepeated logs that a stop was requested while one was already running.
-func (h *Host) StopRepeated() { h.log.Event(evStopRepeated).Msg("") }
+// LogRepeatedStop logs that a stop was requested while one was already running.
+func (h *Host) LogRepeatedStop() { h.log.Event(evStopRepeated).Msg("") }
