--- a/internal/cli/exec.go
+++ b/internal/cli/exec.go
@@ -109,7 +109,7 @@
 }
 
 func (c *execCommand) operate(ctx context.Context, client *client, s lang.Statement) error {
-	statement, dryRun := lang.Unwrap(s)
+	statement, dryRun := lang.TrimDryRun(s)
 	_, mutates := statement.(lang.Change)
 	result, err := client.statement(ctx, &operate.StatementPayload{
 		Authorization: optional(bearer(c.Token)),
--- a/internal/lang/statement.go
+++ b/internal/lang/statement.go
@@ -132,9 +132,9 @@
 func (PublishSnapshot) change() {}
 func (RetireSnapshot) change()  {}
 
-// Unwrap returns the statement without its "dry run" prefix and reports whether
+// TrimDryRun returns the statement without its "dry run" prefix and reports whether
 // it had one.
-func Unwrap(s Statement) (Statement, bool) {
+func TrimDryRun(s Statement) (Statement, bool) {
 	if d, ok := s.(DryRun); ok {
 		return d.Change, true
 	}
--- a/internal/operate/execute.go
+++ b/internal/operate/execute.go
@@ -84,7 +84,7 @@
 // one too. The error is a *query.Refusal: its outcome says whether the change was
 // applied, and is Unknown if the platform did not answer.
 func (e *Executor) Execute(ctx context.Context, operator string, stmt lang.Statement, dryRun bool) (Table, error) {
-	stmt, dryRunPrefix := lang.Unwrap(stmt)
+	stmt, dryRunPrefix := lang.TrimDryRun(stmt)
 	_, changes := stmt.(lang.Change)
 	if dryRun && !changes {
 		return Table{}, badRequest("a dry run is of a change, and %q changes nothing", stmt)
