--- a/internal/cli/exec.go
+++ b/internal/cli/exec.go
@@ -79,7 +79,7 @@
 		}
 		return string(text), nil
 	case arguments == "-":
-		text, err := io.ReadAll(io.LimitReader(c.env.In, lang.MaxText+1))
+		text, err := io.ReadAll(io.LimitReader(c.env.In, lang.MaxTextBytes+1))
 		if err != nil {
 			return "", exitErrorf(ExitUsage, "read statements: %s", err)
 		}
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -9,9 +9,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxText is the maximum length of a text that Parse and ParseAll accept, in
+// MaxTextBytes is the maximum length of a text that Parse and ParseAll accept, in
 // bytes.
-const MaxText = 1 << 20
+const MaxTextBytes = 1 << 20
 
 // usageByVerb holds the syntax of each statement, by its first word.
 var usageByVerb = map[string]string{
@@ -48,7 +48,7 @@
 // begin with "--" and extend to the end of the line. If any statement is not
 // valid, ParseAll returns an error and no statements.
 func ParseAll(text string) ([]Statement, error) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		return nil, &Error{Line: 1, Column: 1, Unexpected: "a text over 1 MiB", Expected: "at most 1 MiB"}
 	}
 	if !utf8.ValidString(text) {
