--- a/internal/lang/parse_test.go
+++ b/internal/lang/parse_test.go
@@ -93,6 +93,6 @@
 	} {
 		s, err := Parse("alter service x set k = " + text + " at version 1")
 		is.NoErr(err)
-		is.Equal(string(s.(AlterService).Set[0].Value.Raw()), want)
+		is.Equal(string(s.(AlterService).Set[0].Value.RawJSON()), want)
 	}
 }
--- a/internal/lang/value.go
+++ b/internal/lang/value.go
@@ -24,9 +24,9 @@
 	Text string // without its quotes
 }
 
-// Raw returns the value as JSON: a duration as a string with a unit, the words
+// RawJSON returns the value as JSON: a duration as a string with a unit, the words
 // true, false and null as JSON literals, and other words as strings.
-func (v Value) Raw() json.RawMessage {
+func (v Value) RawJSON() json.RawMessage {
 	switch {
 	case v.Kind == Number, v.Kind == JSON:
 		return json.RawMessage(v.Text)
--- a/internal/operate/fields.go
+++ b/internal/operate/fields.go
@@ -50,9 +50,9 @@
 		rule := strings.TrimPrefix(a.Key, rulesPrefix)
 		switch {
 		case slices.Contains(serviceFields, a.Key):
-			setField(fields, a.Key, a.Value.Raw())
+			setField(fields, a.Key, a.Value.RawJSON())
 		case slices.Contains(ruleFields, rule):
-			setField(rules, rule, a.Value.Raw())
+			setField(rules, rule, a.Value.RawJSON())
 		default:
 			return s, badRequest("no field %q, want one of %s", a.Key, strings.Join(slices.Concat(serviceFields, ruleFields), ", "))
 		}
