--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -67,5 +67,5 @@
 	if err != nil {
 		return "", err
 	}
-	return settings.Effective(loaded)
+	return settings.EffectiveJSON(loaded)
 }
--- a/internal/host/settings_test.go
+++ b/internal/host/settings_test.go
@@ -72,7 +72,7 @@
 func TestEffectiveHidesSecrets(t *testing.T) {
 	is := is.New(t)
 	h, _ := loadSettings(t, validSettings)
-	text, err := settings.Effective(h)
+	text, err := settings.EffectiveJSON(h)
 	is.NoErr(err)
 	is.True(strings.Contains(text, `"hard_limit": "46s"`))
 	is.True(strings.Contains(text, `"balancer_lag": "5s"`))
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -41,7 +41,7 @@
 // The output of Effective parses to the same settings.
 func TestEffectiveReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text, err := Effective(drawFleet(t))
+		text, err := EffectiveJSON(drawFleet(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Effective(read)
+		again, err := EffectiveJSON(read)
 		if err != nil || again != text {
 			t.Fatalf("parsed and encoded again: got %s, error %v", again, err)
 		}
@@ -60,7 +60,7 @@
 // positions are inside the file.
 func TestEveryProblemHasAPlaceInTheFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text, err := Effective(drawFleet(t))
+		text, err := EffectiveJSON(drawFleet(t))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -22,8 +22,8 @@
 // Reveal returns the secret in clear text.
 func (s Secret) Reveal() string { return string(s) }
 
-// Effective returns the settings s as indented JSON, with secrets redacted.
-func Effective(s any) (string, error) {
+// EffectiveJSON returns the settings s as indented JSON, with secrets redacted.
+func EffectiveJSON(s any) (string, error) {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return "", Error.New("encode settings as JSON: %w", err)
