--- a/internal/event/queue.go
+++ b/internal/event/queue.go
@@ -43,8 +43,8 @@
 // Close writes the queued lines and stops the goroutine.
 func (q *Queue) Close() error { return q.async.Close() }
 
-// NewQueued returns a log like New that writes through q.
-func NewQueued(q *Queue, level plog.Level, host string) *Log {
+// NewWithQueue returns a log like New that writes through q.
+func NewWithQueue(q *Queue, level plog.Level, host string) *Log {
 	l := New(io.Discard, level, host)
 	l.logger.Writer = q
 	return l
--- a/internal/event/queue_test.go
+++ b/internal/event/queue_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	w := &stuckWriter{release: make(chan struct{})}
 	q := NewQueue(w)
-	l := NewQueued(q, plog.InfoLevel, "h")
+	l := NewWithQueue(q, plog.InfoLevel, "h")
 	e := Event{Number: 1, Name: "x", Level: plog.InfoLevel}
 	const lines = maxQueuedLines + 100
 	for range lines {
