--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -33,7 +33,7 @@
 	debug.SetGCPercent(gcPercent)
 	logQueue := event.NewQueue(c.env.Out)
 	defer func() { _ = logQueue.Close() }() // flushes the queue; if the log can't be written, there is nowhere to report it
-	log := event.NewWithQueue(logQueue, s.Log.Plog(), s.ID)
+	log := event.NewWithQueue(logQueue, s.Log.ParsedLevel(), s.ID)
 	h, err := gatewayhost.NewWithSystem(c.system(), s, gatewayhost.UserPlatform(), log)
 	if err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return usageError(err)
 	}
-	log := event.New(c.env.Err, s.Log.Plog(), s.ID)
+	log := event.New(c.env.Err, s.Log.ParsedLevel(), s.ID)
 	h, err := host.New(s, log)
 	if err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -394,7 +394,7 @@
 		h.log.Event(evReloadRefused).Err(err).Msg("")
 		return
 	}
-	h.log.SetLevel(s.Log.Plog())
+	h.log.SetLevel(s.Log.ParsedLevel())
 	h.log.Event(evReloaded).Str("level", s.Log.Level).Bool("restart_needed", h.needsRestart(s)).Msg("")
 }
 
--- a/internal/host/reload.go
+++ b/internal/host/reload.go
@@ -21,7 +21,7 @@
 		h.log.Event(evReloadRefused).Err(err).Msg("")
 		return
 	}
-	h.log.SetLevel(s.Log.Plog())
+	h.log.SetLevel(s.Log.ParsedLevel())
 	restart := strings.Join(changedFields(h.settings, s), ",")
 	h.log.Event(evReloaded).Str("level", s.Log.Level).Str("restart_needed", restart).Msg("")
 }
--- a/internal/host/settings.go
+++ b/internal/host/settings.go
@@ -167,8 +167,8 @@
 	return fmt.Errorf("level %q: want debug, info, warn or error", l.Level)
 }
 
-// Plog returns the level as a level of the log library.
-func (l Log) Plog() plog.Level { return plog.ParseLevel(l.Level) }
+// ParsedLevel returns the level as a level of the log library.
+func (l Log) ParsedLevel() plog.Level { return plog.ParseLevel(l.Level) }
 
 // Validate checks that the durations are in range.
 func (s Stop) Validate() error {
