--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		h := &socketHost{server: peer.NewServer(""), pool: peer.NewPool(), state: NewState()}
-		h.server.On(ln)
+		h.server.UseListener(ln)
 		h.host = member.Host{
 			ID: string(rune('a' + i)), FailureDomain: "salt-lake", Peer: ln.Addr().String(), State: member.Alive,
 		}
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -196,7 +196,7 @@
 
 func (h *Host) newPeers(kernel.Finder) (kernel.Module, error) {
 	s := peer.NewServer(h.settings.Addresses.Peers, peer.WithMetrics(h.peerMetrics))
-	s.On(h.listeners.peers)
+	s.UseListener(h.listeners.peers)
 	return s, nil
 }
 
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	h.server.On(ln)
+	h.server.UseListener(ln)
 	cfg := DefaultConfig()
 	if seed != "" {
 		cfg.Seeds = []string{seed}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -251,7 +251,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	s := NewServer("")
-	s.On(ln)
+	s.UseListener(ln)
 	is.NoErr(s.Stop(t.Context()))
 	_, err = net.Dial("tcp", ln.Addr().String())
 	is.True(err != nil)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -47,9 +47,9 @@
 // require.
 func (s *Server) Register(srv any, desc drpc.Description) error { return s.mux.Register(srv, desc) }
 
-// On sets a listener that is already open, so that its address can be known
+// UseListener sets a listener that is already open, so that its address can be known
 // before Start. Stop closes it.
-func (s *Server) On(ln net.Listener) { s.ln = ln }
+func (s *Server) UseListener(ln net.Listener) { s.ln = ln }
 
 // Start serves in the background until Stop. It opens a listener unless On has
 // set one.
