--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -53,7 +53,7 @@
 func (c *gatewayCommand) system() gatewayhost.System {
 	system := gatewayhost.LocalSystem()
 	if c.SuspendedFile != "" {
-		system.Clock = system.Clock.Plus(func() time.Duration { return readDuration(c.SuspendedFile) })
+		system.Clock = system.Clock.WithOffset(func() time.Duration { return readDuration(c.SuspendedFile) })
 	}
 	return system
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,13 +34,13 @@
 // Virtual returns a clock for tests, and a function that simulates a suspension of the machine.
 func Virtual() (c *Clock, suspend func(time.Duration)) {
 	var suspended atomic.Int64
-	c = (*Clock)(nil).Plus(func() time.Duration { return time.Duration(suspended.Load()) })
+	c = (*Clock)(nil).WithOffset(func() time.Duration { return time.Duration(suspended.Load()) })
 	return c, func(d time.Duration) { suspended.Add(int64(d)) }
 }
 
-// Plus returns a clock that is ahead of c by what suspended returns, as if the machine had been
+// WithOffset returns a clock that is ahead of c by what suspended returns, as if the machine had been
 // suspended for that much longer.
-func (c *Clock) Plus(suspended func() time.Duration) *Clock {
+func (c *Clock) WithOffset(suspended func() time.Duration) *Clock {
 	return &Clock{now: func() time.Time { return c.Now().Add(suspended()) }}
 }
 
