--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -103,7 +103,7 @@
 		return nil, l.Err
 	}
 	c := catalog.New(h.settings.Catalog, store, members, catalog.NewPeerPuller(pool), members, h.log, h.metrics)
-	members.Follow(c)
+	members.SetRevisionSource(c)
 	c.SetClock(h.clock)
 	h.modules.catalog = c
 	return c, peerpb.DRPCRegisterConfiguration(server, c)
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -92,10 +92,10 @@
 	return m
 }
 
-// Follow sets the source of the revision that probes carry. It is called before
+// SetRevisionSource sets the source of the revision that probes carry. It is called before
 // Start; it is not a parameter of New because the configuration needs the
 // membership, too.
-func (m *Members) Follow(r RevisionSource) {
+func (m *Members) SetRevisionSource(r RevisionSource) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.revisions = r
--- a/internal/member/members_test.go
+++ b/internal/member/members_test.go
@@ -254,7 +254,7 @@
 
 func TestRevisionReachesAllWithinASecond(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
-		all := startAll(t, net, 60, func(m *Members) { m.Follow(&revisions{net: net, self: m}) })
+		all := startAll(t, net, 60, func(m *Members) { m.SetRevisionSource(&revisions{net: net, self: m}) })
 		all[17].revisions.(*revisions).set(42)
 		eventually(t, time.Second, "in force everywhere", func() bool {
 			return holdsForAll(all, func(m *Members) bool { return m.Self().Revision == 42 })
