--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -164,7 +164,7 @@
 // to a request that it sent after it resumed.
 func TestHostThatWasSuspendedIsStaleAndRecovers(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		f.hostClock = machine
 		resumed := f.add("host-12", "domain-0")
 		f.hostClock = nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -31,8 +31,8 @@
 	return time.Duration(t.Nano())
 }
 
-// Virtual returns a clock for tests, and a function that simulates a suspension of the machine.
-func Virtual() (c *Clock, suspend func(time.Duration)) {
+// NewVirtual returns a clock for tests, and a function that simulates a suspension of the machine.
+func NewVirtual() (c *Clock, suspend func(time.Duration)) {
 	var suspended atomic.Int64
 	c = (*Clock)(nil).WithOffset(func() time.Duration { return time.Duration(suspended.Load()) })
 	return c, func(d time.Duration) { suspended.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,7 +12,7 @@
 func TestSuspensionCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, suspend := Virtual()
+		c, suspend := NewVirtual()
 		began := c.Now()
 		time.Sleep(time.Second)
 		is.Equal(c.Since(began), time.Second)
@@ -47,7 +47,7 @@
 func TestWatchReportsEachSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, suspend := Virtual()
+		c, suspend := NewVirtual()
 		ctx, cancel := context.WithCancel(t.Context())
 		var reported []time.Duration
 		go c.Watch(ctx, func(d time.Duration) { reported = append(reported, d) })
--- a/internal/discovery/eras_history_test.go
+++ b/internal/discovery/eras_history_test.go
@@ -119,7 +119,7 @@
 // everything is written again every host has what the store holds.
 func TestStateOverRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, pass := clock.Virtual()
+		c, pass := clock.NewVirtual()
 		store := &restorableStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}}
 		start := func() *historyHost {
 			s := NewState()
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -95,7 +95,7 @@
 
 // virtualState returns an empty state, its clock, and a function that lets time pass.
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
-	c, pass = clock.Virtual()
+	c, pass = clock.NewVirtual()
 	s = NewState()
 	s.SetClock(c)
 	return s, c, pass
--- a/internal/discovery/suspend_test.go
+++ b/internal/discovery/suspend_test.go
@@ -22,7 +22,7 @@
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
 		state.SetClock(machine)
 		peers := &fakePeers{watcher: watcher}
@@ -47,7 +47,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
 		state.SetClock(machine)
 		f := NewFollower(cfg, nil, nil, state, event.Discard(), nil)
@@ -64,7 +64,7 @@
 func TestSuspendedHostReportsTheAgeOfItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
 		state.SetClock(machine)
 		state.ApplyConfig(ConfigRead{Config: configVersion(1), Found: true, Revision: at(1)}, machine.Now())
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -17,7 +17,7 @@
 // registry has been confirmed to still contain it.
 func TestTombstoneOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
-	c, pass := clock.Virtual()
+	c, pass := clock.NewVirtual()
 	s := NewState()
 	s.SetClock(c)
 	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
@@ -39,7 +39,7 @@
 // The same for an evacuation that is missing in an older copy of the store.
 func TestKeptEvacuationOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
-	c, pass := clock.Virtual()
+	c, pass := clock.NewVirtual()
 	s := NewState()
 	s.SetClock(c)
 	s.evacuations.enabled, s.evacuations.retention = true, 4*time.Second
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -125,7 +125,7 @@
 	if o.log != nil {
 		s.log = event.New(o.log, plog.InfoLevel, "h")
 	}
-	machine, suspend := clock.Virtual()
+	machine, suspend := clock.NewVirtual()
 	s.state.SetClock(machine)
 	s.suspend = suspend
 	s.requests = quarantine.NewTable(quarantine.DefaultConfig(), s.log)
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/governed_test.go
@@ -215,7 +215,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := govern(newFake())
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		g.SetClock(machine)
 		_, err := g.List(t.Context(), "k", "")
 		is.NoErr(err)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -316,7 +316,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		table.GoBy(machine)
 		for i := range uint64(quarantineStrikes) {
 			table.Ended(request, i, "s")
