--- a/internal/gatewayhost/servers.go
+++ b/internal/gatewayhost/servers.go
@@ -29,7 +29,7 @@
 type listeners struct{ callers, readiness, metrics, peers net.Listener }
 
 func listenAll(s System, a Addresses) (listeners, error) {
-	opened, err := listen.AllOn(s.Listen,
+	opened, err := listen.AllWith(s.Listen,
 		listen.Address{Name: "callers", Address: a.Callers},
 		listen.Address{Name: "readiness", Address: a.Readiness},
 		listen.Address{Name: "metrics", Address: a.Metrics},
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -25,10 +25,10 @@
 
 // All listens on every address, or on none: the error names each one that
 // failed.
-func All(addresses ...Address) ([]net.Listener, error) { return AllOn(net.Listen, addresses...) }
+func All(addresses ...Address) ([]net.Listener, error) { return AllWith(net.Listen, addresses...) }
 
-// AllOn is All with listen in place of net.Listen.
-func AllOn(listen Func, addresses ...Address) ([]net.Listener, error) {
+// AllWith is All with listen in place of net.Listen.
+func AllWith(listen Func, addresses ...Address) ([]net.Listener, error) {
 	all := make([]net.Listener, len(addresses))
 	var problems []error
 	for i, a := range addresses {
