--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -213,7 +213,7 @@
 		Peer: h.Addresses().Peers, API: h.Addresses().Callers,
 		LinkMbps: uint32(math.Round(h.settings.LinkMbps)),
 	}
-	h.members = member.New(h.settings.Member, self, store, member.DRPC{Dialer: pool}, h.log, h.metrics)
+	h.members = member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
 	return h.members, h.members.Register(server)
 }
 
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -88,7 +88,7 @@
 		Peer:          h.Addresses().Peers,
 		API:           h.Addresses().Callers,
 	}
-	m := member.New(h.settings.Member, self, store, member.DRPC{Dialer: pool}, h.log, h.metrics)
+	m := member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
 	h.modules.members = m
 	return m, m.Register(server)
 }
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -36,7 +36,7 @@
 		cfg.Seeds = []string{seed}
 	}
 	self := Host{ID: fmt.Sprintf("kolkata-entry-%03d", i), FailureDomain: "park-circus", Peer: h.server.Addr(), API: h.server.Addr()}
-	h.members = New(cfg, self, downStore{}, DRPC{h.pool}, event.Discard(), reg)
+	h.members = New(cfg, self, downStore{}, DRPCProber{h.pool}, event.Discard(), reg)
 	err = errors.Join(h.members.Register(h.server), h.server.Start(context.Background()), h.members.Start(context.Background()))
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/member/drpc.go
+++ b/internal/member/drpc.go
@@ -7,11 +7,11 @@
 	"rhubarbwood.example/rhubarbwood/internal/peer/peerpb"
 )
 
-// DRPC is the Prober that sends probes over drpc.
-type DRPC struct{ Dialer peer.Dialer }
+// DRPCProber is the Prober that sends probes over drpc.
+type DRPCProber struct{ Dialer peer.Dialer }
 
 // Probe calls the Members service of the host that listens on address.
-func (d DRPC) Probe(ctx context.Context, address string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
+func (d DRPCProber) Probe(ctx context.Context, address string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
 	return peerpb.NewDRPCMembersClient(d.Dialer.Conn(ctx, address)).Probe(ctx, req)
 }
 
