--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -220,7 +220,7 @@
 		g.scatter(ctx, w, r, route)
 		return
 	}
-	service := route.Choose(rand.Float64())
+	service := route.ChooseService(rand.Float64())
 	if service == "" {
 		w.refuse(refusalNoTarget)
 		return
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -139,10 +139,10 @@
 	return all
 }
 
-// Choose returns the service that a request is sent to. draw is a random number
+// ChooseService returns the service that a request is sent to. draw is a random number
 // in [0, 1); each service is chosen in proportion to its weight. It returns ""
 // if no service has a weight.
-func (r *Route) Choose(draw float64) string {
+func (r *Route) ChooseService(draw float64) string {
 	total := 0.0
 	for _, d := range r.Destinations {
 		total += max(d.Weight, 0)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -62,7 +62,7 @@
 		const draws = 2000
 		got := map[string]int{}
 		for i := range draws {
-			got[r.Choose((float64(i)+0.5)/draws)]++
+			got[r.ChooseService((float64(i)+0.5)/draws)]++
 		}
 		for i, w := range weights {
 			want := 0.0
@@ -80,5 +80,5 @@
 func TestRouteWithoutWeightsHasNoDestination(t *testing.T) {
 	is := is.New(t)
 	r := Route{Destinations: []Destination{{Service: "a"}, {Service: "b", Weight: -1}}}
-	is.Equal(r.Choose(0.5), "")
+	is.Equal(r.ChooseService(0.5), "")
 }
