--- a/internal/catalog/fakes_test.go
+++ b/internal/catalog/fakes_test.go
@@ -62,7 +62,7 @@
 // add starts a host in the failure domain.
 func (f *fleet) add(id string, domain string) *node {
 	n := &node{fleet: f, client: f.platform.Client()}
-	n.host = member.Host{ID: id, FailureDomain: domain, Peer: id, Incarnation: 1, State: member.Alive}
+	n.host = member.Host{ID: id, FailureDomain: domain, PeerAddress: id, Incarnation: 1, State: member.Alive}
 	n.catalog = New(DefaultConfig(), n.client, n, n, n, event.Discard(), prometheus.NewRegistry())
 	n.catalog.SetClock(f.hostClock)
 	f.mu.Lock()
@@ -158,7 +158,7 @@
 	self.Revision = n.catalog.Revision()
 	peers := n.catalog.randomPeers(3)
 	for _, p := range peers {
-		if other := n.reachableNode(p.Peer); other != nil {
+		if other := n.reachableNode(p.PeerAddress); other != nil {
 			other.catalog.Hint(self)
 		}
 	}
--- a/internal/catalog/pull.go
+++ b/internal/catalog/pull.go
@@ -139,7 +139,7 @@
 func (c *Catalog) pullPage(ctx context.Context, from member.Host, in *peerpb.PullRequest) (*peerpb.PullReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.PullTimeout.Std())
 	defer cancel()
-	out, err := c.puller.Pull(ctx, from.Peer, in)
+	out, err := c.puller.Pull(ctx, from.PeerAddress, in)
 	if err != nil {
 		return nil, Error.New("pull from %s: %w", from.ID, err)
 	}
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -427,7 +427,7 @@
 	defer func() { _ = errors.Join(pool.Stop(context.Background()), server.Stop(context.Background())) }()
 
 	puller := New(DefaultConfig(), n.fleet.platform.Client(), n, NewPeerPuller(pool), n, event.Discard(), nil)
-	puller.pull(t.Context(), member.Host{ID: "answering", Peer: server.Addr()})
+	puller.pull(t.Context(), member.Host{ID: "answering", PeerAddress: server.Addr()})
 	is.Equal(puller.Revision(), uint64(5))
 	is.True(puller.Stale()) // the responding host is stale itself
 }
--- a/internal/claim/attemptclient.go
+++ b/internal/claim/attemptclient.go
@@ -39,7 +39,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		q.BudgetUs = (time.Until(deadline) - responseMargin).Microseconds()
 	}
-	st, err := peerpb.NewDRPCClaimsClient(p.dialer.Conn(ctx, host.Peer)).Ask(ctx, q)
+	st, err := peerpb.NewDRPCClaimsClient(p.dialer.Conn(ctx, host.PeerAddress)).Ask(ctx, q)
 	if err != nil {
 		return AttemptState{}, Error.New("query attempt on host %s: %w", host.ID, err)
 	}
--- a/internal/claim/attemptclient_test.go
+++ b/internal/claim/attemptclient_test.go
@@ -26,7 +26,7 @@
 	pool := peer.NewPool()
 	defer func() { _ = pool.Stop(context.Background()) }()
 	asker := NewPeerAttemptClient(pool)
-	to := member.Host{ID: "a", Peer: srv.Addr()}
+	to := member.Host{ID: "a", PeerAddress: srv.Addr()}
 
 	id := mustID(newID(time.Now())).String()
 	a := c.mem.add(id, Record{Attempt: "attempt"})
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -88,7 +88,7 @@
 func call[In, Out proto.Message](ctx context.Context, name string, from *simHost, address string, in In, serve func(context.Context, *simHost, In) (Out, error)) (Out, error) {
 	var none Out
 	to := from.net.host(address)
-	if to == nil || from.net.host(from.self.Peer) != from { // a killed host can no longer send
+	if to == nil || from.net.host(from.self.PeerAddress) != from { // a killed host can no longer send
 		time.Sleep(networkDelay)
 		return none, errNoHost
 	}
@@ -209,7 +209,7 @@
 	t.Helper()
 	h := &simHost{net: net, state: NewState(), self: member.Host{
 		ID: fmt.Sprintf("host-%03d", i), FailureDomain: fmt.Sprintf("domain-%d", i%fleetDomains),
-		Peer: simAddress(i), API: simAddress(i), LinkMbps: 22,
+		PeerAddress: simAddress(i), API: simAddress(i), LinkMbps: 22,
 	}}
 	if i%20 < fleetDomains {
 		h.self.LinkMbps = 200
@@ -229,7 +229,7 @@
 	h.cut = cut
 	h.follower = NewFollower(cfg, way, h.spread, h.state, event.Discard(), nil)
 	net.mu.Lock()
-	net.hosts[h.self.Peer] = h
+	net.hosts[h.self.PeerAddress] = h
 	net.mu.Unlock()
 	if err := errors.Join(h.members.Start(t.Context()), h.follower.Start(t.Context())); err != nil {
 		t.Error(err)
@@ -338,8 +338,8 @@
 		time.Sleep(10 * time.Second)
 		watcher := all[0].spread.ownGroup().watchers()[0]
 		net.mu.Lock()
-		dead := net.hosts[watcher.Peer]
-		delete(net.hosts, watcher.Peer)
+		dead := net.hosts[watcher.PeerAddress]
+		delete(net.hosts, watcher.PeerAddress)
 		net.mu.Unlock()
 		_ = dead.follower.Stop(context.Background())
 		_ = dead.members.Stop(context.Background())
@@ -386,7 +386,7 @@
 		downStore := newFakeStore()
 		downStore.unavailable = true
 		for _, w := range all[0].spread.ownGroup().watchers() {
-			net.host(w.Peer).follower.source = pagedStore{downStore}
+			net.host(w.PeerAddress).follower.source = pagedStore{downStore}
 		}
 		time.Sleep(10 * time.Second)
 		calls := store.callCount()
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -129,7 +129,7 @@
 		RequestEpoch: watcherCursor.requests.Epoch, RequestNumber: watcherCursor.requests.Number,
 	}
 	encodeRequestRevisions(cursor, req)
-	reply, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, watcher.Peer)).Follow(ctx, req)
+	reply, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, watcher.PeerAddress)).Follow(ctx, req)
 	if err != nil {
 		s.noteReply(watcher.ID, nil)
 		return Update{}, Error.New("poll %s for updates: %w", watcher.ID, err)
@@ -167,10 +167,10 @@
 	})
 	addresses := []string{}
 	for _, h := range hosts {
-		addresses = append(addresses, h.Peer)
+		addresses = append(addresses, h.PeerAddress)
 	}
 	for _, seed := range s.seeds {
-		if seed != self.Peer && !slices.Contains(addresses, seed) {
+		if seed != self.PeerAddress && !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
 	}
@@ -321,7 +321,7 @@
 		}
 		// A watching host that misses them detects the problem itself, as the hosts that poll it
 		// do.
-		_, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, &peerpb.Findings{Findings: encodeFindings(findings)})
+		_, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.PeerAddress)).Tell(ctx, &peerpb.Findings{Findings: encodeFindings(findings)})
 	}
 }
 
--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -177,7 +177,7 @@
 	in := &peerpb.Findings{Permits: encodePermits(all)}
 	var calls sync.WaitGroup
 	for _, w := range usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID) {
-		calls.Go(func() { _, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, in) })
+		calls.Go(func() { _, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.PeerAddress)).Tell(ctx, in) })
 	}
 	calls.Wait()
 }
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -110,7 +110,7 @@
 	watchers := usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID)
 	for _, w := range watchers {
 		go func() {
-			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, findings)
+			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.PeerAddress)).Tell(ctx, findings)
 			results <- err
 		}()
 	}
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -135,8 +135,8 @@
 func (h *simHost) kill(t *testing.T) {
 	t.Helper()
 	h.net.mu.Lock()
-	if h.net.hosts[h.self.Peer] == h {
-		delete(h.net.hosts, h.self.Peer)
+	if h.net.hosts[h.self.PeerAddress] == h {
+		delete(h.net.hosts, h.self.PeerAddress)
 	}
 	h.net.mu.Unlock()
 	if err := errors.Join(h.follower.Stop(context.Background()), h.members.Stop(context.Background())); err != nil {
@@ -208,7 +208,7 @@
 	t.Helper()
 	withRegistry(t, &cfg, 7, additionsOf("leaves", "stays"), func(net *simNet, store *loggedStore, all []*simHost) {
 		watcher := all[0].spread.ownGroup().watchers()[0]
-		net.host(watcher.Peer).cut()
+		net.host(watcher.PeerAddress).cut()
 		store.write(removalOf("leaves")...)
 		time.Sleep(cfg.LeaveWithin.Std())
 		for _, h := range all {
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -50,7 +50,7 @@
 		h := &socketHost{server: peer.NewServer(""), pool: peer.NewPool(), state: NewState()}
 		h.server.UseListener(ln)
 		h.host = member.Host{
-			ID: string(rune('a' + i)), FailureDomain: "salt-lake", Peer: ln.Addr().String(), State: member.Alive,
+			ID: string(rune('a' + i)), FailureDomain: "salt-lake", PeerAddress: ln.Addr().String(), State: member.Alive,
 		}
 		all, hosts = append(all, h), append(hosts, h.host)
 	}
@@ -202,7 +202,7 @@
 	is := is.New(t)
 	now := time.Now()
 	started := func(id, domain string, ago time.Duration) member.Host {
-		return member.Host{ID: id, FailureDomain: domain, Peer: id, State: member.Alive, Incarnation: uint64(now.Add(-ago).UnixNano())}
+		return member.Host{ID: id, FailureDomain: domain, PeerAddress: id, State: member.Alive, Incarnation: uint64(now.Add(-ago).UnixNano())}
 	}
 	self := started("self", "a", 0)
 	members := fixedMembers{self: self, hosts: []member.Host{self, started("elder", "b", time.Hour)}}
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -115,7 +115,7 @@
 
 // Gather implements gateway.Helpers.
 func (c *Client) Gather(ctx, enough context.Context, host member.Host, q gateway.Query, p gateway.Progress) (gateway.Gathered, error) {
-	stream, err := peerpb.NewDRPCGatherClient(c.dialer.Conn(ctx, host.Peer)).Gather(ctx)
+	stream, err := peerpb.NewDRPCGatherClient(c.dialer.Conn(ctx, host.PeerAddress)).Gather(ctx)
 	if err != nil {
 		return gateway.Gathered{}, Error.New("open stream to %s: %w", host.ID, err)
 	}
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -75,7 +75,7 @@
 	t.Cleanup(func() { _ = s.Stop(context.Background()) })
 	pool := peer.NewPool()
 	t.Cleanup(func() { _ = pool.Stop(context.Background()) })
-	return NewClient(pool, nil), member.Host{ID: "w", Peer: s.Addr()}
+	return NewClient(pool, nil), member.Host{ID: "w", PeerAddress: s.Addr()}
 }
 
 func TestQueryAndAnswerArriveWhole(t *testing.T) {
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	g := newGatherer()
 	client, host := serve(t, g)
-	host.Peer = "127.0.0.1:1" // no process listens on it
+	host.PeerAddress = "127.0.0.1:1" // no process listens on it
 	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, progressReplying(true))
 	is.True(client.NotRun(err))
 }
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -85,7 +85,7 @@
 	self := member.Host{
 		ID:            h.settings.ID,
 		FailureDomain: h.settings.FailureDomain,
-		Peer:          h.Addresses().Peers,
+		PeerAddress:   h.Addresses().Peers,
 		API:           h.Addresses().Callers,
 	}
 	m := member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
--- a/internal/host/relays.go
+++ b/internal/host/relays.go
@@ -22,7 +22,7 @@
 	if h.ID == r.self {
 		return r.searcher
 	}
-	return relayrpc.NewClient(r.dialer, h.Peer, r.self)
+	return relayrpc.NewClient(r.dialer, h.PeerAddress, r.self)
 }
 
 // Reserver returns the reserver of host h.
@@ -30,5 +30,5 @@
 	if h.ID == r.self {
 		return r.reserver
 	}
-	return relayrpc.NewClient(r.dialer, h.Peer, r.self)
+	return relayrpc.NewClient(r.dialer, h.PeerAddress, r.self)
 }
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -42,7 +42,7 @@
 	if !known {
 		return false
 	}
-	return m.exchange(ctx, kindIndirect, h.Peer, &peerpb.ProbeRequest{TargetId: id}) == nil
+	return m.exchange(ctx, kindIndirect, h.PeerAddress, &peerpb.ProbeRequest{TargetId: id}) == nil
 }
 
 // hasStopped reports whether this host has announced its end.
@@ -183,5 +183,5 @@
 	m.self.Incarnation = other.Incarnation + 1
 	m.self.Version = 0
 	m.table.viewChanged = true
-	m.log.Event(evIncarnationRaised).Uint64("incarnation", m.self.Incarnation).Str("peer_address", other.Peer).Msg("")
+	m.log.Event(evIncarnationRaised).Uint64("incarnation", m.self.Incarnation).Str("peer_address", other.PeerAddress).Msg("")
 }
--- a/internal/member/join.go
+++ b/internal/member/join.go
@@ -61,12 +61,12 @@
 func (m *Members) joinAddresses() []string {
 	var addresses []string
 	for _, h := range m.sampleLive(maxJoinHosts) {
-		addresses = append(addresses, h.Peer)
+		addresses = append(addresses, h.PeerAddress)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.reconnectTargets() {
-		addresses = append(addresses, h.Peer)
+		addresses = append(addresses, h.PeerAddress)
 	}
 	m.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses
@@ -139,7 +139,7 @@
 			return
 		}
 		if peer, ok := m.startupSyncPeer(after >= crossDomainSyncOffset); ok {
-			m.syncWith(ctx, peer.Peer)
+			m.syncWith(ctx, peer.PeerAddress)
 		}
 	}
 }
--- a/internal/member/members_test.go
+++ b/internal/member/members_test.go
@@ -240,7 +240,7 @@
 func (r *revisions) Hint(peer Host) {
 	r.self.goroutines.Go(func() {
 		time.Sleep(2 * oneWayLatency) // the pull
-		r.set(r.net.host(peer.Peer).revisions.Revision())
+		r.set(r.net.host(peer.PeerAddress).revisions.Revision())
 	})
 }
 
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -101,7 +101,7 @@
 // suspect if all fail.
 func (m *Members) probe(ctx context.Context, target update) {
 	began := time.Now()
-	err := m.exchange(ctx, kindDirect, target.Peer, &peerpb.ProbeRequest{TargetId: target.ID})
+	err := m.exchange(ctx, kindDirect, target.PeerAddress, &peerpb.ProbeRequest{TargetId: target.ID})
 	if err == nil || m.probeIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
@@ -144,7 +144,7 @@
 // reached it.
 func (m *Members) requestIndirectProbe(ctx context.Context, helper, target update) bool {
 	req := &peerpb.ProbeRequest{TargetId: target.ID, Indirect: true}
-	reply, err := m.call(ctx, 2*m.cfg.ProbeTimeout.Std(), helper.Peer, req) // the helper's own probe may take a whole timeout
+	reply, err := m.call(ctx, 2*m.cfg.ProbeTimeout.Std(), helper.PeerAddress, req) // the helper's own probe may take a whole timeout
 	return err == nil && reply.Reached
 }
 
@@ -159,23 +159,23 @@
 	}
 	t := targets[m.rng.IntN(len(targets))]
 	m.mu.Unlock()
-	_ = m.exchange(ctx, kindReconnect, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // usually fails: the host is dead
+	_ = m.exchange(ctx, kindReconnect, t.PeerAddress, &peerpb.ProbeRequest{TargetId: t.ID}) // usually fails: the host is dead
 }
 
 // reconnectTargets returns the dead hosts, and the seeds whose address no
 // listed host has; of the latter only Peer is set. m.mu is held.
 func (m *Members) reconnectTargets() []Host {
 	var targets []Host
-	known := map[string]bool{m.self.Peer: true}
+	known := map[string]bool{m.self.PeerAddress: true}
 	for _, r := range m.table.rows {
 		if r.State == Dead {
 			targets = append(targets, r.Host)
 		}
-		known[r.Peer] = true
+		known[r.PeerAddress] = true
 	}
 	for _, s := range m.cfg.Seeds {
 		if !known[s] {
-			targets = append(targets, Host{Peer: s})
+			targets = append(targets, Host{PeerAddress: s})
 		}
 	}
 	return targets
@@ -201,7 +201,7 @@
 		}
 		for _, t := range m.sampleLive(announceFanout) {
 			m.goroutines.Go(func() {
-				_ = m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID}) // the probes detect a host that is down
+				_ = m.exchange(ctx, kindAnnounce, t.PeerAddress, &peerpb.ProbeRequest{TargetId: t.ID}) // the probes detect a host that is down
 			})
 		}
 		if !await.Sleep(ctx, minAnnounceInterval) {
@@ -217,7 +217,7 @@
 	results := make(chan error, len(targets))
 	for _, t := range targets {
 		go func() {
-			results <- m.exchange(ctx, kindAnnounce, t.Peer, &peerpb.ProbeRequest{TargetId: t.ID})
+			results <- m.exchange(ctx, kindAnnounce, t.PeerAddress, &peerpb.ProbeRequest{TargetId: t.ID})
 		}()
 	}
 	accepted := 0
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -115,7 +115,7 @@
 // host has been dead for long and this host is responsible for the removal.
 func (m *Members) mergeRecord(ctx context.Context, o objstore.Object) {
 	var h Host
-	if json.Unmarshal(o.Value, &h) != nil || h.ID != o.Name || h.Peer == "" {
+	if json.Unmarshal(o.Value, &h) != nil || h.ID != o.Name || h.PeerAddress == "" {
 		return // malformed, or written by another system
 	}
 	m.mu.Lock()
@@ -183,7 +183,7 @@
 func (m *Members) ensureIncarnationAbove(recorded Host) Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sameStart := recorded.Incarnation == m.self.Incarnation && recorded.Peer == m.self.Peer
+	sameStart := recorded.Incarnation == m.self.Incarnation && recorded.PeerAddress == m.self.PeerAddress
 	if recorded.Incarnation >= m.self.Incarnation && !sameStart {
 		m.raiseIncarnation(recorded)
 		m.publish()
--- a/internal/member/sync_test.go
+++ b/internal/member/sync_test.go
@@ -21,7 +21,7 @@
 }
 
 func (v *domainProber) Probe(_ context.Context, address string, req *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	if address == v.sameDomain.Peer {
+	if address == v.sameDomain.PeerAddress {
 		return &peerpb.ProbeReply{Self: toInfo(update{Host: v.sameDomain}), Digest: req.Digest}, nil
 	}
 	if req.All {
@@ -36,13 +36,13 @@
 func TestHostThatAgreesWithItsDomainTakesTheListOfAnother(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
 		peers := &domainProber{
-			sameDomain:  Host{ID: name(1), FailureDomain: "domain-0", Peer: address(1), State: Alive, Incarnation: 1},
-			otherDomain: Host{ID: name(2), FailureDomain: "domain-1", Peer: address(2), State: Alive, Incarnation: 1},
+			sameDomain:  Host{ID: name(1), FailureDomain: "domain-0", PeerAddress: address(1), State: Alive, Incarnation: 1},
+			otherDomain: Host{ID: name(2), FailureDomain: "domain-1", PeerAddress: address(2), State: Alive, Incarnation: 1},
 		}
-		self := Host{ID: name(0), FailureDomain: "domain-0", Peer: address(0)}
+		self := Host{ID: name(0), FailureDomain: "domain-0", PeerAddress: address(0)}
 		m := New(DefaultConfig(), self, downStore{}, peers, event.Discard(), nil)
 		m.rng = fixedRand()
-		net.withLock(func() { net.hosts[self.Peer] = m }) // stopAll stops it
+		net.withLock(func() { net.hosts[self.PeerAddress] = m }) // stopAll stops it
 		m.table.apply(update{Host: peers.sameDomain}, time.Now(), 0, m.rng)
 		m.table.apply(update{Host: peers.otherDomain}, time.Now(), 0, m.rng)
 		m.ownDomainSync.lastAgreed, m.otherDomainsSync.lastAgreed = time.Now(), time.Now()
--- a/internal/member/types.go
+++ b/internal/member/types.go
@@ -14,7 +14,7 @@
 type Host struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
-	Peer          string `json:"peer"`        // address of its peer listener
+	PeerAddress   string `json:"peer"`        // address of its peer listener
 	API           string `json:"api"`         // address of its listener for callers
 	Incarnation   uint64 `json:"incarnation"` // increases with each start of the host
 	State         State  `json:"state"`
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -57,8 +57,8 @@
 		p := objstoretest.New()
 		h := &testHost{t: t, platform: p, client: p.Client()}
 		h.hosts.Store(&[]member.Host{
-			{ID: "h0", FailureDomain: "salt-lake", State: member.Alive, Incarnation: 1, Peer: "127.0.0.1:7000"},
-			{ID: "h1", FailureDomain: "new-town", State: member.Alive, Incarnation: 1, Peer: "127.0.0.1:7001"},
+			{ID: "h0", FailureDomain: "salt-lake", State: member.Alive, Incarnation: 1, PeerAddress: "127.0.0.1:7000"},
+			{ID: "h1", FailureDomain: "new-town", State: member.Alive, Incarnation: 1, PeerAddress: "127.0.0.1:7001"},
 		})
 		_, _ = h.client.Put(t.Context(), objstore.KindMember, "h0", 0, []byte("{}")) // the host's own record
 		h.catalog = catalog.New(catalog.DefaultConfig(), h.client, h, h, h, event.Discard(), prometheus.NewRegistry())
--- a/internal/relay/announce.go
+++ b/internal/relay/announce.go
@@ -76,7 +76,7 @@
 		if h.ID == self {
 			continue
 		}
-		key := recipient{h.ID, h.Peer}
+		key := recipient{h.ID, h.PeerAddress}
 		pending, busy := a.pending[key]
 		a.pending[key] = append(pending, pendingSign{s, now.Add(signMaxAge)})
 		if !busy {
@@ -88,7 +88,7 @@
 
 // deliver sends the pending signs of the host until none is left.
 func (a *announcer) deliver(ctx context.Context, to member.Host) {
-	key := recipient{to.ID, to.Peer}
+	key := recipient{to.ID, to.PeerAddress}
 	var cause error
 	for {
 		batch := a.nextBatch(key, cause)
--- a/internal/relayrpc/signs.go
+++ b/internal/relayrpc/signs.go
@@ -27,7 +27,7 @@
 			Service: s.Service, Target: s.Target, Incarnation: s.Incarnation, Sign: string(s.Sign),
 		}
 	}
-	if _, err := peerpb.NewDRPCSignsClient(t.dialer.Conn(ctx, to.Peer)).Tell(ctx, out); err != nil {
+	if _, err := peerpb.NewDRPCSignsClient(t.dialer.Conn(ctx, to.PeerAddress)).Tell(ctx, out); err != nil {
 		return Error.New("send target signs to host %s: %w", to.ID, err)
 	}
 	return nil
--- a/internal/relayrpc/signs_test.go
+++ b/internal/relayrpc/signs_test.go
@@ -29,9 +29,9 @@
 	go func() { defer close(served); _ = drpcserver.New(mux).Serve(ctx, ln) }()
 	defer func() { _ = pool.Stop(ctx); cancel(); <-served }()
 	want := []relay.TargetSign{{Service: "s", Target: "t0", Incarnation: 7, Sign: "host_list"}, {Service: "s", Target: "t1"}}
-	to := member.Host{ID: "h1", Peer: ln.Addr().String()}
+	to := member.Host{ID: "h1", PeerAddress: ln.Addr().String()}
 	is.NoErr(NewTeller(pool).SendSigns(ctx, to, want))
 	is.Equal(<-got, want)
 	_ = ln.Close()
-	is.True(NewTeller(pool).SendSigns(ctx, member.Host{Peer: "127.0.0.1:1"}, want) != nil)
+	is.True(NewTeller(pool).SendSigns(ctx, member.Host{PeerAddress: "127.0.0.1:1"}, want) != nil)
 }
