--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -209,7 +209,7 @@
 	t.Helper()
 	h := &simHost{net: net, state: NewState(), self: member.Host{
 		ID: fmt.Sprintf("host-%03d", i), FailureDomain: fmt.Sprintf("domain-%d", i%fleetDomains),
-		PeerAddress: simAddress(i), API: simAddress(i), LinkMbps: 22,
+		PeerAddress: simAddress(i), APIAddress: simAddress(i), LinkMbps: 22,
 	}}
 	if i%20 < fleetDomains {
 		h.self.LinkMbps = 200
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -210,7 +210,7 @@
 	}
 	self := member.Host{
 		ID: h.settings.ID, FailureDomain: h.settings.FailureDomain,
-		PeerAddress: h.Addresses().Peers, API: h.Addresses().Callers,
+		PeerAddress: h.Addresses().Peers, APIAddress: h.Addresses().Callers,
 		LinkMbps: uint32(math.Round(h.settings.LinkMbps)),
 	}
 	h.members = member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -86,7 +86,7 @@
 		ID:            h.settings.ID,
 		FailureDomain: h.settings.FailureDomain,
 		PeerAddress:   h.Addresses().Peers,
-		API:           h.Addresses().Callers,
+		APIAddress:    h.Addresses().Callers,
 	}
 	m := member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
 	h.modules.members = m
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -35,7 +35,7 @@
 	if seed != "" {
 		cfg.Seeds = []string{seed}
 	}
-	self := Host{ID: fmt.Sprintf("kolkata-entry-%03d", i), FailureDomain: "park-circus", PeerAddress: h.server.Addr(), API: h.server.Addr()}
+	self := Host{ID: fmt.Sprintf("kolkata-entry-%03d", i), FailureDomain: "park-circus", PeerAddress: h.server.Addr(), APIAddress: h.server.Addr()}
 	h.members = New(cfg, self, downStore{}, DRPCProber{h.pool}, event.Discard(), reg)
 	err = errors.Join(h.members.Register(h.server), h.server.Start(context.Background()), h.members.Start(context.Background()))
 	if err != nil {
--- a/internal/member/convert.go
+++ b/internal/member/convert.go
@@ -4,7 +4,7 @@
 
 func toInfo(u update) *peerpb.HostInfo {
 	return &peerpb.HostInfo{
-		Id: u.ID, FailureDomain: u.FailureDomain, Peer: u.PeerAddress, Api: u.API,
+		Id: u.ID, FailureDomain: u.FailureDomain, Peer: u.PeerAddress, Api: u.APIAddress,
 		Incarnation: u.Incarnation, State: string(u.State), Revision: u.Revision, StateVersion: u.Version,
 		LinkMbps: u.LinkMbps,
 	}
@@ -25,7 +25,7 @@
 		return update{}, false
 	}
 	h := Host{
-		ID: i.Id, FailureDomain: i.FailureDomain, PeerAddress: i.Peer, API: i.Api,
+		ID: i.Id, FailureDomain: i.FailureDomain, PeerAddress: i.Peer, APIAddress: i.Api,
 		Incarnation: i.Incarnation, State: State(i.State), Revision: i.Revision,
 		LinkMbps: i.LinkMbps,
 	}
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -147,7 +147,7 @@
 func (n *network) start(store objstore.Store, i int, prepare ...func(*Members)) *Members {
 	cfg := DefaultConfig()
 	cfg.Seeds = []string{address(0)}
-	self := Host{ID: name(i), FailureDomain: n.domain(address(i)), PeerAddress: address(i), API: address(i)}
+	self := Host{ID: name(i), FailureDomain: n.domain(address(i)), PeerAddress: address(i), APIAddress: address(i)}
 	m := New(cfg, self, store, simProber{n, address(i)}, event.Discard(), nil)
 	m.rng = rand.New(rand.NewPCG(1, uint64(i)))
 	for _, f := range prepare {
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -20,7 +20,7 @@
 	t := newTable()
 	rng := fixedRand()
 	for i := range n {
-		h := Host{ID: name(i), FailureDomain: "park-circus", PeerAddress: address(i), API: address(i),
+		h := Host{ID: name(i), FailureDomain: "park-circus", PeerAddress: address(i), APIAddress: address(i),
 			Incarnation: uint64(time.Now().UnixNano()), State: Alive, Revision: 1 << 20}
 		t.apply(update{Host: h, Version: 3}, time.Time{}, 0, rng)
 	}
--- a/internal/member/types.go
+++ b/internal/member/types.go
@@ -15,7 +15,7 @@
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	PeerAddress   string `json:"peer"`        // address of its peer listener
-	API           string `json:"api"`         // address of its listener for callers
+	APIAddress    string `json:"api"`         // address of its listener for callers
 	Incarnation   uint64 `json:"incarnation"` // increases with each start of the host
 	State         State  `json:"state"`
 	Revision      uint64 `json:"revision"`            // configuration revision that it last reported
--- a/internal/operate/state.go
+++ b/internal/operate/state.go
@@ -21,7 +21,7 @@
 	t := newTable("host", "failure_domain", "state", "incarnation", "revision", "peer", "api")
 	self := e.deps.Members.Self().ID
 	for _, h := range e.deps.Members.Hosts() {
-		t.addRow(h.ID, h.FailureDomain, string(h.State), formatUint(h.Incarnation), formatRevision(h.Revision), h.PeerAddress, h.API)
+		t.addRow(h.ID, h.FailureDomain, string(h.State), formatUint(h.Incarnation), formatRevision(h.Revision), h.PeerAddress, h.APIAddress)
 	}
 	t.addNote("%d hosts as host %s sees them", len(t.Rows), self)
 	return t
