--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -174,8 +174,8 @@
 			Name: in.Route, Host: in.Host, Idempotent: true, Shards: in.Shards, TopK: int(in.TopK),
 			MaxAttempts: int(in.MaxAttempts), Rank: int(in.Rank), Homes: in.Homes,
 		},
-		LossLimits: gateway.LossLimits{Most: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.Micros(in.ObjectiveUs),
-		AnswerIn: peer.Micros(in.AnswerUs), Budget: peer.Micros(in.BudgetUs), Late: in.Late, Asked: int(in.Asked),
+		LossLimits: gateway.LossLimits{Most: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.FromMicros(in.ObjectiveUs),
+		AnswerIn: peer.FromMicros(in.AnswerUs), Budget: peer.FromMicros(in.BudgetUs), Late: in.Late, Asked: int(in.Asked),
 	}
 }
 
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -59,5 +59,5 @@
 	}
 }
 
-// Micros converts a duration that a message carries in microseconds.
-func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+// FromMicros converts a duration that a message carries in microseconds.
+func FromMicros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -26,7 +26,7 @@
 		if len(s.Caller) != callerBytes {
 			return Record{}, false
 		}
-		r.Strikes = append(r.Strikes, Strike{ID: s.Id, Caller: Caller(s.Caller), Services: s.Services, At: receivedAt.Add(-peer.Micros(max(s.AgeUs, 0)))})
+		r.Strikes = append(r.Strikes, Strike{ID: s.Id, Caller: Caller(s.Caller), Services: s.Services, At: receivedAt.Add(-peer.FromMicros(max(s.AgeUs, 0)))})
 	}
 	return r, true
 }
--- a/internal/relayrpc/convert.go
+++ b/internal/relayrpc/convert.go
@@ -23,7 +23,7 @@
 	out := query.Batch{
 		RequestID: in.RequestId, Caller: in.Caller, Workload: in.Workload, Snapshot: in.Snapshot,
 		Urgency: query.Urgency(in.Urgency), Text: in.Text, Limit: int(in.Limit),
-		Budget: peer.Micros(in.BudgetUs), Parts: make([]query.ServiceShards, len(in.Parts)),
+		Budget: peer.FromMicros(in.BudgetUs), Parts: make([]query.ServiceShards, len(in.Parts)),
 	}
 	for i, p := range in.Parts {
 		out.Parts[i] = query.ServiceShards{Service: p.GetService(), Shards: p.GetShards()}
@@ -54,7 +54,7 @@
 	out := query.ShardResult{
 		Key:      query.ShardKey{Service: in.Service, Shard: in.Shard},
 		Snapshot: in.Snapshot, Outcome: parseOutcome(in.Outcome), TotalRows: int(in.TotalRows),
-		Reason: query.Reason(in.Reason), RetryAfter: peer.Micros(in.RetryAfterUs), Attempts: int(in.Attempts),
+		Reason: query.Reason(in.Reason), RetryAfter: peer.FromMicros(in.RetryAfterUs), Attempts: int(in.Attempts),
 	}
 	if out.Outcome != outcome.Done {
 		return out
@@ -89,6 +89,6 @@
 	return query.Reservation{
 		RequestID: in.RequestId, ReservationID: in.ReservationId, Outcome: parseOutcome(in.Outcome),
 		Granted: in.Granted, Answer: in.Answer, Target: in.Target, Repeated: in.Repeated,
-		Reason: query.Reason(in.Reason), RetryAfter: peer.Micros(in.RetryAfterUs),
+		Reason: query.Reason(in.Reason), RetryAfter: peer.FromMicros(in.RetryAfterUs),
 	}
 }
--- a/internal/relayrpc/server.go
+++ b/internal/relayrpc/server.go
@@ -137,7 +137,7 @@
 func (s *Server) Reserve(ctx context.Context, in *peerpb.ReserveRequest) (*peerpb.ReserveReply, error) {
 	r := query.ReserveRequest{
 		RequestID: in.RequestId, Caller: in.Caller, ReservationID: in.ReservationId,
-		Service: in.Service, Item: in.Item, Budget: peer.Micros(in.BudgetUs),
+		Service: in.Service, Item: in.Item, Budget: peer.FromMicros(in.BudgetUs),
 	}
 	if !s.begin() {
 		return replyToWire(&query.Reservation{
