--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return statements.Table{}, Error.New("read the configuration from the store: %w", err)
 	}
-	executor := statements.New(statements.Parts{
+	executor := statements.New(statements.Dependencies{
 		Reports:    delivery.NewReporter(s.Delivery, objstore.New(records), nil, event.Discard()),
 		Objectives: func() []delivery.Objective { return delivery.RouteObjectives(read.Config.Routes) },
 	})
--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -25,7 +25,7 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	exec := operate.New(operate.Parts{
+	exec := operate.New(operate.Dependencies{
 		Members: members,
 		Store:   store,
 		Catalog: cat,
--- a/internal/operate/execute.go
+++ b/internal/operate/execute.go
@@ -58,10 +58,10 @@
 // Relay returns the states of the targets that this host relays to.
 type Relay interface{ TargetStates() []Target }
 
-// Parts are the dependencies of an executor. Relay and Claims may be nil. If
+// Dependencies are the dependencies of an executor. Relay and Claims may be nil. If
 // Catalog is nil, only reports can be shown, and only Reports and Objectives are
 // used.
-type Parts struct {
+type Dependencies struct {
 	Members member.View
 	Store   objstore.Store
 	Catalog Catalog
@@ -74,10 +74,10 @@
 }
 
 // Executor runs the statements of operators.
-type Executor struct{ deps Parts }
+type Executor struct{ deps Dependencies }
 
 // New returns an executor with the given dependencies.
-func New(p Parts) *Executor { return &Executor{deps: p} }
+func New(p Dependencies) *Executor { return &Executor{deps: p} }
 
 // Execute runs a statement for the named operator. A dry run checks a change and
 // shows its effect without writing it; a statement with the "dry run" prefix is
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -64,7 +64,7 @@
 		h.catalog = catalog.New(catalog.DefaultConfig(), h.client, h, h, h, event.Discard(), prometheus.NewRegistry())
 		_ = h.catalog.Start(t.Context())
 		cfg := delivery.DefaultConfig()
-		h.Executor = New(Parts{
+		h.Executor = New(Dependencies{
 			Members: h, Store: h.client, Catalog: h.catalog, Editor: catalog.NewEditor(h.catalog),
 			Reports:    delivery.NewReporter(cfg, h.client, h, event.Discard()),
 			Objectives: func() []delivery.Objective { return delivery.Objectives(h.catalog.Services()) },
