--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -71,13 +71,13 @@
 type relayTargets struct{ relay *relay.Relay }
 
 // TargetStates returns the states of the targets that this host is the relay of.
-func (s relayTargets) TargetStates() []operate.Target {
-	var relayed []operate.Target
+func (s relayTargets) TargetStates() []operate.RelayedTarget {
+	var relayed []operate.RelayedTarget
 	for _, t := range s.relay.Targets() {
 		if !t.Relayed {
 			continue
 		}
-		relayed = append(relayed, operate.Target{
+		relayed = append(relayed, operate.RelayedTarget{
 			Service:     t.Service,
 			ID:          t.ID,
 			State:       string(t.State),
--- a/internal/operate/claim_test.go
+++ b/internal/operate/claim_test.go
@@ -43,8 +43,8 @@
 // fakeRelay relays to one target.
 type fakeRelay struct{}
 
-func (fakeRelay) TargetStates() []Target {
-	return []Target{{Service: "guest-01", ID: "t2", State: "ready", InFlight: 1, Limit: 2, Sheds: 7, LastReason: query.ReasonOverload}}
+func (fakeRelay) TargetStates() []RelayedTarget {
+	return []RelayedTarget{{Service: "guest-01", ID: "t2", State: "ready", InFlight: 1, Limit: 2, Sheds: 7, LastReason: query.ReasonOverload}}
 }
 
 func TestShowTargetsIncludesStateOfRelayedTargets(t *testing.T) {
--- a/internal/operate/execute.go
+++ b/internal/operate/execute.go
@@ -40,9 +40,9 @@
 	Lookup(ctx context.Context, reservation string) (claim.LookupResult, error)
 }
 
-// Target is the state of a target as observed by this host, which relays to it.
+// RelayedTarget is the state of a target as observed by this host, which relays to it.
 // Attempts, Sheds and Errors are counters.
-type Target struct {
+type RelayedTarget struct {
 	Service     string
 	ID          string
 	State       string
@@ -56,7 +56,7 @@
 }
 
 // Relay returns the states of the targets that this host relays to.
-type Relay interface{ TargetStates() []Target }
+type Relay interface{ TargetStates() []RelayedTarget }
 
 // Dependencies are the dependencies of an executor. Relay and Claims may be nil. If
 // Catalog is nil, only reports can be shown, and only Reports and Objectives are
--- a/internal/operate/state.go
+++ b/internal/operate/state.go
@@ -107,8 +107,8 @@
 
 // relayedTargets returns the targets that this host relays to, by service and
 // target id.
-func (e *Executor) relayedTargets() map[[2]string]*Target {
-	byTarget := map[[2]string]*Target{}
+func (e *Executor) relayedTargets() map[[2]string]*RelayedTarget {
+	byTarget := map[[2]string]*RelayedTarget{}
 	if e.deps.Relay == nil {
 		return byTarget
 	}
@@ -122,7 +122,7 @@
 const targetStateColumns = 8
 
 // targetStateCells returns the state columns of a target, empty for nil.
-func targetStateCells(t *Target) []string {
+func targetStateCells(t *RelayedTarget) []string {
 	if t == nil {
 		return make([]string, targetStateColumns)
 	}
