--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -62,7 +62,7 @@
 }
 
 func callers(e Entry, h Host) http.Handler {
-	return NewCallers(DefaultConfig(), "", e, h, event.Discard()).server.Handler
+	return NewCallerServer(DefaultConfig(), "", e, h, event.Discard()).server.Handler
 }
 
 // TestBadRequests checks that each malformed request is refused with a reason and
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -36,8 +36,8 @@
 	Leaving() bool
 }
 
-// NewCallers returns the listener for callers and the balancer.
-func NewCallers(cfg Config, address string, entry Entry, host Host, log *event.Log) *Server {
+// NewCallerServer returns the listener for callers and the balancer.
+func NewCallerServer(cfg Config, address string, entry Entry, host Host, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genquery.NewEndpoints(queryService{entry})
 	queryserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -208,7 +208,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := api.NewCallers(h.settings.API, h.settings.Addresses.Callers, e, h, h.log)
+	s := api.NewCallerServer(h.settings.API, h.settings.Addresses.Callers, e, h, h.log)
 	s.On(h.listeners.callers)
 	return s, nil
 }
