--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	exec := &fakeExecutor{}
 	ops := []Operator{{Name: "rekha", Token: "t-one"}, {Name: "joao", Token: "t-two"}}
-	h := NewOperators(DefaultConfig(), "", ops, exec, &fakeHost{}, prometheus.NewRegistry(), event.Discard()).server.Handler
+	h := NewOperatorServer(DefaultConfig(), "", ops, exec, &fakeHost{}, prometheus.NewRegistry(), event.Discard()).server.Handler
 	for _, header := range []string{"", "Bearer", "Bearer t-on", "Bearer t-onee", "t-one"} {
 		res, fields := call(h, "/v1/statements", `{"statement":"show hosts"}`, "Authorization", header)
 		is.Equal(res.StatusCode, 401)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -47,9 +47,9 @@
 	return newServer(cfg, address, closeWhenLeaving(host, withRequestID(handler)), log)
 }
 
-// NewOperators returns the listener for operators: statements, metrics and
+// NewOperatorServer returns the listener for operators: statements, metrics and
 // health. Only statements require an operator's bearer token.
-func NewOperators(cfg Config, address string, operators []Operator, exec Executor, host Host, metrics prometheus.Gatherer, log *event.Log) *Server {
+func NewOperatorServer(cfg Config, address string, operators []Operator, exec Executor, host Host, metrics prometheus.Gatherer, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genoperate.NewEndpoints(&operateService{operators: operators, exec: exec})
 	operateserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -67,7 +67,7 @@
 	cfg, log := api.DefaultConfig(), event.Discard()
 	operators := []api.Operator{{Name: "on-call", Token: token}}
 	callers := api.NewCallerServer(cfg, "127.0.0.1:0", f, f, log)
-	operate := api.NewOperators(cfg, "127.0.0.1:0", operators, f, f, prometheus.NewRegistry(), log)
+	operate := api.NewOperatorServer(cfg, "127.0.0.1:0", operators, f, f, prometheus.NewRegistry(), log)
 	for _, s := range []*api.Server{callers, operate} {
 		if err := s.Start(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -36,7 +36,7 @@
 
 		Objectives: objectivesOf(cat),
 	})
-	s := api.NewOperators(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
+	s := api.NewOperatorServer(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
 	s.On(h.listeners.operators)
 	return s, nil
 }
