--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// On makes the server use a listener that is already open, so that its address
+// UseListener makes the server use a listener that is already open, so that its address
 // is available before Start. Stop closes it.
-func (s *Server) On(ln net.Listener) { s.ln = ln }
+func (s *Server) UseListener(ln net.Listener) { s.ln = ln }
 
 // Start serves in the background until Stop. It opens a listener unless On has
 // set one.
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -209,6 +209,6 @@
 		return nil, err
 	}
 	s := api.NewCallerServer(h.settings.API, h.settings.Addresses.Callers, e, h, h.log)
-	s.On(h.listeners.callers)
+	s.UseListener(h.listeners.callers)
 	return s, nil
 }
--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -37,7 +37,7 @@
 		Objectives: objectivesOf(cat),
 	})
 	s := api.NewOperatorServer(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
-	s.On(h.listeners.operators)
+	s.UseListener(h.listeners.operators)
 	return s, nil
 }
 
