--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -67,7 +67,7 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	byHost  map[string]*policy.Helper
-	helping policy.Helping
+	helping policy.HelperTimings
 }
 
 // EnableHelpers enables the delegation of queries to other hosts. It must be called before Start.
@@ -141,7 +141,7 @@
 	return helper
 }
 
-// patience calls policy.Helping.Patience under the lock.
+// patience calls policy.HelperTimings.Patience under the lock.
 func (h *helperPool) patience(left time.Duration) (silent, back time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -99,28 +99,28 @@
 	return Option{Cost: float64(1 + h.inFlight + h.reportedLoad), Local: local}
 }
 
-// Helping estimates the response times of all helpers of a host.
-type Helping struct {
+// HelperTimings estimates the response times of all helpers of a host.
+type HelperTimings struct {
 	ackTime   TailEstimate // until a helper acknowledges a query
 	returnLag TailEstimate // between the time an answer was due and its arrival
 }
 
 // NewHelping returns the estimates before the first query.
-func NewHelping() Helping {
-	return Helping{ackTime: NewTailEstimate(initialAckTime, minAckTime), returnLag: NewTailEstimate(initialReturnLag, minReturnLag)}
+func NewHelping() HelperTimings {
+	return HelperTimings{ackTime: NewTailEstimate(initialAckTime, minAckTime), returnLag: NewTailEstimate(initialReturnLag, minReturnLag)}
 }
 
 // Took records the time until a helper acknowledged a query.
-func (h *Helping) Took(after time.Duration) { h.ackTime.Observe(after) }
+func (h *HelperTimings) Took(after time.Duration) { h.ackTime.Observe(after) }
 
 // CameBack records the delay between the time an answer that lacks parts was
 // due and its arrival.
-func (h *Helping) CameBack(lag time.Duration) { h.returnLag.Observe(lag) }
+func (h *HelperTimings) CameBack(lag time.Duration) { h.returnLag.Observe(lag) }
 
 // Patience returns how long to wait for a helper's acknowledgement, if left of
 // the objective remains, and how much time to reserve for the return of its
 // answer.
-func (h *Helping) Patience(left time.Duration) (ackTimeout, returnLag time.Duration) {
+func (h *HelperTimings) Patience(left time.Duration) (ackTimeout, returnLag time.Duration) {
 	maxWait := time.Duration(math.Max(maxAckFraction*float64(left), 0))
 	return min(ackTimeoutFactor*h.ackTime.Estimate(), maxWait), h.returnLag.Estimate()
 }
