--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -75,7 +75,7 @@
 	g.registry.gatherers = newGathererIndex(g.self, hosts)
 	g.helpers = &helperPool{
 		self: g.self, client: client, byHost: map[string]*policy.Helper{},
-		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), helping: policy.NewHelping(),
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), helping: policy.NewHelperTimings(),
 	}
 }
 
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -105,8 +105,8 @@
 	returnLag TailEstimate // between the time an answer was due and its arrival
 }
 
-// NewHelping returns the estimates before the first query.
-func NewHelping() HelperTimings {
+// NewHelperTimings returns the estimates before the first query.
+func NewHelperTimings() HelperTimings {
 	return HelperTimings{ackTime: NewTailEstimate(initialAckTime, minAckTime), returnLag: NewTailEstimate(initialReturnLag, minReturnLag)}
 }
 
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -65,7 +65,7 @@
 
 func TestSilentHelperIsWaitedForAsLongAsUsual(t *testing.T) {
 	is := is.New(t)
-	helping := NewHelping()
+	helping := NewHelperTimings()
 	ackTimeout := func(left time.Duration) time.Duration {
 		silent, _ := helping.Patience(left)
 		return silent
@@ -85,7 +85,7 @@
 
 func TestWayBackFromAHelperIsObserved(t *testing.T) {
 	is := is.New(t)
-	helping := NewHelping()
+	helping := NewHelperTimings()
 	back := func() time.Duration {
 		_, back := helping.Patience(time.Second)
 		return back
