--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -141,11 +141,11 @@
 	return helper
 }
 
-// patience calls policy.HelperTimings.Patience under the lock.
+// patience calls policy.HelperTimings.Timeouts under the lock.
 func (h *helperPool) patience(left time.Duration) (silent, back time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.helping.Patience(left)
+	return h.helping.Timeouts(left)
 }
 
 // noteAccepted records that a host accepted a query, and how many it gathers now.
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -117,10 +117,10 @@
 // due and its arrival.
 func (h *HelperTimings) CameBack(lag time.Duration) { h.returnLag.Observe(lag) }
 
-// Patience returns how long to wait for a helper's acknowledgement, if left of
+// Timeouts returns how long to wait for a helper's acknowledgement, if left of
 // the objective remains, and how much time to reserve for the return of its
 // answer.
-func (h *HelperTimings) Patience(left time.Duration) (ackTimeout, returnLag time.Duration) {
+func (h *HelperTimings) Timeouts(left time.Duration) (ackTimeout, returnLag time.Duration) {
 	maxWait := time.Duration(math.Max(maxAckFraction*float64(left), 0))
 	return min(ackTimeoutFactor*h.ackTime.Estimate(), maxWait), h.returnLag.Estimate()
 }
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	helping := NewHelperTimings()
 	ackTimeout := func(left time.Duration) time.Duration {
-		silent, _ := helping.Patience(left)
+		silent, _ := helping.Timeouts(left)
 		return silent
 	}
 	const left = 140 * time.Millisecond
@@ -87,7 +87,7 @@
 	is := is.New(t)
 	helping := NewHelperTimings()
 	back := func() time.Duration {
-		_, back := helping.Patience(time.Second)
+		_, back := helping.Timeouts(time.Second)
 		return back
 	}
 	is.Equal(back(), initialReturnLag)
