--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -152,7 +152,7 @@
 func (h *helperPool) noteAccepted(id string, after time.Duration, load int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.helping.Took(after)
+	h.helping.ObserveAck(after)
 	h.get(id).Told(load)
 }
 
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -110,8 +110,8 @@
 	return HelperTimings{ackTime: NewTailEstimate(initialAckTime, minAckTime), returnLag: NewTailEstimate(initialReturnLag, minReturnLag)}
 }
 
-// Took records the time until a helper acknowledged a query.
-func (h *HelperTimings) Took(after time.Duration) { h.ackTime.Observe(after) }
+// ObserveAck records the time until a helper acknowledged a query.
+func (h *HelperTimings) ObserveAck(after time.Duration) { h.ackTime.Observe(after) }
 
 // CameBack records the delay between the time an answer that lacks parts was
 // due and its arrival.
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -73,11 +73,11 @@
 	const left = 140 * time.Millisecond
 	is.Equal(ackTimeout(left), 2*initialAckTime)
 	for range 500 {
-		helping.Took(time.Millisecond)
+		helping.ObserveAck(time.Millisecond)
 	}
 	is.Equal(ackTimeout(left), 2*minAckTime)
 	for range 200 {
-		helping.Took(100 * time.Millisecond)
+		helping.ObserveAck(100 * time.Millisecond)
 	}
 	is.Equal(ackTimeout(left), 28*time.Millisecond) // a fifth of what is left
 	is.Equal(ackTimeout(-left), time.Duration(0))
