--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -167,7 +167,7 @@
 func (h *helperPool) noteReturnLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.helping.CameBack(lag)
+	h.helping.ObserveReturnLag(lag)
 }
 
 // plannedCell is a cell and where it is gathered.
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -113,9 +113,9 @@
 // ObserveAck records the time until a helper acknowledged a query.
 func (h *HelperTimings) ObserveAck(after time.Duration) { h.ackTime.Observe(after) }
 
-// CameBack records the delay between the time an answer that lacks parts was
+// ObserveReturnLag records the delay between the time an answer that lacks parts was
 // due and its arrival.
-func (h *HelperTimings) CameBack(lag time.Duration) { h.returnLag.Observe(lag) }
+func (h *HelperTimings) ObserveReturnLag(lag time.Duration) { h.returnLag.Observe(lag) }
 
 // Timeouts returns how long to wait for a helper's acknowledgement, if left of
 // the objective remains, and how much time to reserve for the return of its
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -92,11 +92,11 @@
 	}
 	is.Equal(back(), initialReturnLag)
 	for range 200 {
-		helping.CameBack(8 * time.Millisecond)
+		helping.ObserveReturnLag(8 * time.Millisecond)
 	}
 	is.True(back() > 7*time.Millisecond)
 	for range 2000 {
-		helping.CameBack(0)
+		helping.ObserveReturnLag(0)
 	}
 	is.Equal(back(), minReturnLag)
 }
