--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -153,7 +153,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.helping.ObserveAck(after)
-	h.get(id).Told(load)
+	h.get(id).SetReportedLoad(load)
 }
 
 // noteEnded records whether a query at a host ended well.
--- a/internal/policy/helper.go
+++ b/internal/policy/helper.go
@@ -76,8 +76,8 @@
 // Sent records a query sent to the helper. Ended must follow.
 func (h *Helper) Sent() { h.inFlight++ }
 
-// Told sets the number of queries that the helper reports to be gathering.
-func (h *Helper) Told(load int) { h.reportedLoad = load }
+// SetReportedLoad sets the number of queries that the helper reports to be gathering.
+func (h *Helper) SetReportedLoad(load int) { h.reportedLoad = load }
 
 // Ended records the end of a query. Without ok, because the helper did not
 // answer or broke off, the helper gets no queries for a while.
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -56,7 +56,7 @@
 func TestHelperWithMoreWorkCostsMore(t *testing.T) {
 	is := is.New(t)
 	var busy, idle Helper
-	busy.Told(5)
+	busy.SetReportedLoad(5)
 	is.True(busy.Option(true).Cost > idle.Option(true).Cost)
 	idle.Sent()
 	idle.Sent()
