--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -27,9 +27,9 @@
 // arrival returns the observations about the caller at the time when its request was read.
 func (g *Gateway) arrival(hr *http.Request, r *request) policy.Arrival {
 	if g.cfg.disabled(CallerDistance) {
-		return policy.Arrival{At: r.arrived, Waits: r.call.Budget}
+		return policy.Arrival{At: r.arrived, RemainingWait: r.call.Budget}
 	}
-	a := policy.Arrival{At: r.arrived, Waits: r.call.Budget, First: true}
+	a := policy.Arrival{At: r.arrived, RemainingWait: r.call.Budget, First: true}
 	if c, ok := hr.Context().Value(callerConnKey{}).(CallerConn); ok {
 		a.RoundTrip, a.First = c.RoundTrip(), c.First()
 	}
--- a/internal/policy/callers.go
+++ b/internal/policy/callers.go
@@ -35,10 +35,10 @@
 
 // Arrival describes a request as it was read from its caller.
 type Arrival struct {
-	At        time.Time
-	RoundTrip time.Duration // to the caller and back, variation included; 0: unknown
-	Waits     time.Duration // remaining time that the caller waits for the answer; 0: not stated
-	First     bool          // first request on its connection
+	At            time.Time
+	RoundTrip     time.Duration // to the caller and back, variation included; 0: unknown
+	RemainingWait time.Duration // remaining time that the caller waits for the answer; 0: not stated
+	First         bool          // first request on its connection
 }
 
 // Callers estimates, for one route, how much of the objective is left when a
@@ -62,20 +62,20 @@
 // Observe records an arrival. Call it before Late or AnswerBy for the same
 // arrival.
 func (c *Callers) Observe(a Arrival) {
-	if a.Waits <= 0 {
+	if a.RemainingWait <= 0 {
 		return
 	}
-	c.longestWait = max(c.longestWait-time.Duration(longestWaitDecay*float64(c.longestWait)), a.Waits)
+	c.longestWait = max(c.longestWait-time.Duration(longestWaitDecay*float64(c.longestWait)), a.RemainingWait)
 	if a.First {
 		return // connection setup or an earlier attempt may have spent part of its wait
 	}
 	switch {
-	case a.Waits == c.commonWait:
+	case a.RemainingWait == c.commonWait:
 		c.commonWaitVotes = min(c.commonWaitVotes+1, maxWaitVotes)
 	case c.commonWaitVotes > 0:
 		c.commonWaitVotes--
 	default:
-		c.commonWait, c.commonWaitVotes = a.Waits, 1
+		c.commonWait, c.commonWaitVotes = a.RemainingWait, 1
 	}
 }
 
@@ -94,22 +94,22 @@
 		return 0
 	}
 	connectTime := a.RoundTrip
-	if a.Waits <= 0 || !c.mayBeRetry(a) {
+	if a.RemainingWait <= 0 || !c.mayBeRetry(a) {
 		return connectTime
 	}
-	return max(c.firstAttemptWait()-a.Waits, connectTime)
+	return max(c.firstAttemptWait()-a.RemainingWait, connectTime)
 }
 
 // mayBeRetry reports whether the remaining wait is long enough for a retry by a
 // caller with the common timeout.
 func (c *Callers) mayBeRetry(a Arrival) bool {
-	return a.Waits > time.Duration(minRetryWaitFraction*float64(c.firstAttemptWait()))
+	return a.RemainingWait > time.Duration(minRetryWaitFraction*float64(c.firstAttemptWait()))
 }
 
 // Late reports whether the caller spent most of the objective before it sent
 // the request, because an earlier attempt was refused or lost.
 func (c *Callers) Late(a Arrival, objective time.Duration) bool {
-	return objective > 0 && a.Waits > 0 && c.Spent(a) > time.Duration(lateSpentFraction*float64(objective))
+	return objective > 0 && a.RemainingWait > 0 && c.Spent(a) > time.Duration(lateSpentFraction*float64(objective))
 }
 
 // AnswerBy returns when an answer that lacks parts must leave to reach its
--- a/internal/policy/callers_test.go
+++ b/internal/policy/callers_test.go
@@ -11,7 +11,7 @@
 
 // newArrival returns a first request on its connection, whose caller waits for d more.
 func newArrival(d time.Duration) Arrival {
-	return Arrival{At: time.Unix(100, 0), Waits: d, First: true}
+	return Arrival{At: time.Unix(100, 0), RemainingWait: d, First: true}
 }
 
 func TestLateRetryIsDetectedByItsRemainingWait(t *testing.T) {
@@ -41,9 +41,9 @@
 	is := is.New(t)
 	c := NewCallers()
 	for i := range 200 {
-		a := Arrival{Waits: 800 * time.Millisecond}
+		a := Arrival{RemainingWait: 800 * time.Millisecond}
 		if i%25 == 0 {
-			a.Waits = 2 * time.Second
+			a.RemainingWait = 2 * time.Second
 		}
 		c.Observe(a)
 		if i > 1 {
@@ -60,17 +60,17 @@
 		want    time.Duration // after the arrival, without the write lag
 	}{
 		"nothing known":         {Arrival{First: true}, callerObjective - defaultRoundTrip},
-		"near, kept connection": {Arrival{RoundTrip: time.Millisecond, Waits: full}, 99 * time.Millisecond},
-		"far, kept connection":  {Arrival{RoundTrip: 16 * time.Millisecond, Waits: full}, 84 * time.Millisecond},
-		"far, new connection":   {Arrival{RoundTrip: 16 * time.Millisecond, Waits: full - 17*time.Millisecond, First: true}, 67 * time.Millisecond},
-		"repeat in time":        {Arrival{RoundTrip: 2 * time.Millisecond, Waits: full - 40*time.Millisecond, First: true}, 58 * time.Millisecond},
-		"late repeat":           {Arrival{RoundTrip: 2 * time.Millisecond, Waits: full - 200*time.Millisecond, First: true}, 98 * time.Millisecond},
-		"very far":              {Arrival{RoundTrip: time.Second, Waits: full}, callerObjective / 2},
+		"near, kept connection": {Arrival{RoundTrip: time.Millisecond, RemainingWait: full}, 99 * time.Millisecond},
+		"far, kept connection":  {Arrival{RoundTrip: 16 * time.Millisecond, RemainingWait: full}, 84 * time.Millisecond},
+		"far, new connection":   {Arrival{RoundTrip: 16 * time.Millisecond, RemainingWait: full - 17*time.Millisecond, First: true}, 67 * time.Millisecond},
+		"repeat in time":        {Arrival{RoundTrip: 2 * time.Millisecond, RemainingWait: full - 40*time.Millisecond, First: true}, 58 * time.Millisecond},
+		"late repeat":           {Arrival{RoundTrip: 2 * time.Millisecond, RemainingWait: full - 200*time.Millisecond, First: true}, 98 * time.Millisecond},
+		"very far":              {Arrival{RoundTrip: time.Second, RemainingWait: full}, callerObjective / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := NewCallers()
-			c.Observe(Arrival{Waits: full})
+			c.Observe(Arrival{RemainingWait: full})
 			x.arrival.At = time.Unix(100, 0)
 			want := x.want - initialWriteLag
 			if name == "very far" {
