--- a/internal/gateway/routestats.go
+++ b/internal/gateway/routestats.go
@@ -71,7 +71,7 @@
 func (p *routeStats) observeWriteLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.callers.Wrote(lag)
+	p.callers.ObserveWriteLag(lag)
 }
 
 // observe records the latency of a valid answer.
--- a/internal/policy/callers.go
+++ b/internal/policy/callers.go
@@ -127,6 +127,6 @@
 	return a.At.Add(objective - min(reserved, time.Duration(maxReserveFraction*float64(objective))))
 }
 
-// Wrote records the delay between the time an answer that lacks parts was due
+// ObserveWriteLag records the delay between the time an answer that lacks parts was due
 // and the time it was written.
-func (c *Callers) Wrote(lag time.Duration) { c.writeLag.Observe(lag) }
+func (c *Callers) ObserveWriteLag(lag time.Duration) { c.writeLag.Observe(lag) }
--- a/internal/policy/callers_test.go
+++ b/internal/policy/callers_test.go
@@ -86,12 +86,12 @@
 	c := NewCallers()
 	a := Arrival{At: time.Unix(100, 0), RoundTrip: 2 * time.Millisecond}
 	for range 100 {
-		c.Wrote(6 * time.Millisecond)
+		c.ObserveWriteLag(6 * time.Millisecond)
 	}
 	left := c.AnswerBy(a, callerObjective).Sub(a.At)
 	is.True(left < 93*time.Millisecond && left > 90*time.Millisecond)
 	for range 2000 {
-		c.Wrote(0)
+		c.ObserveWriteLag(0)
 	}
 	is.Equal(c.AnswerBy(a, callerObjective).Sub(a.At), callerObjective-2*time.Millisecond-minWriteLag)
 }
