--- a/internal/gateway/learn.go
+++ b/internal/gateway/learn.go
@@ -55,11 +55,11 @@
 	case f.Bad && t.health.Ejected(now):
 		t.health.Postpone(now, probeAfter)
 	case f.Bad:
-		if t.health.Learn(now, f.Latency, f.Failures, true, probeAfter) {
+		if t.health.ApplyRemote(now, f.Latency, f.Failures, true, probeAfter) {
 			t.ejectedByDomain = f.Domain
 		}
 	case f.Domain == domain || f.Domain == t.ejectedByDomain:
-		t.health.Learn(now, f.Latency, f.Failures, false, 0)
+		t.health.ApplyRemote(now, f.Latency, f.Failures, false, 0)
 	}
 }
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -155,10 +155,10 @@
 	return o.probeAt
 }
 
-// Learn applies the state that another host reports: scaled latency, ratio of failed attempts, and whether the
+// ApplyRemote applies the state that another host reports: scaled latency, ratio of failed attempts, and whether the
 // target is ejected. An ejected target is probed after probeAfter. It returns false if a recent answer to this
 // host contradicts the ejection.
-func (o *Outlier) Learn(now time.Time, latency time.Duration, failures float64, ejected bool, probeAfter time.Duration) bool {
+func (o *Outlier) ApplyRemote(now time.Time, latency time.Duration, failures float64, ejected bool, probeAfter time.Duration) bool {
 	if o.ejected == ejected {
 		return true
 	}
--- a/internal/policy/quick_test.go
+++ b/internal/policy/quick_test.go
@@ -123,13 +123,13 @@
 	is := is.New(t)
 	now := time.Now()
 	o := NewQuickOutlier()
-	is.True(o.Learn(now, 8*typicalAnswer, 0, true, time.Second))
+	is.True(o.ApplyRemote(now, 8*typicalAnswer, 0, true, time.Second))
 	is.True(o.Ejected(now))
 	is.True(!o.ProbeDue(now.Add(time.Second - 1)))
 	is.True(o.ProbeDue(now.Add(time.Second)))
 	o.Postpone(now, 2*time.Second) // another host's probe failed
 	is.True(!o.ProbeDue(now.Add(time.Second)))
-	is.True(o.Learn(now, typicalAnswer, 0, false, 0))
+	is.True(o.ApplyRemote(now, typicalAnswer, 0, false, 0))
 	is.True(!o.Ejected(now))
 }
 
@@ -137,9 +137,9 @@
 	is := is.New(t)
 	o := NewQuickOutlier()
 	now := sendAttempts(o, time.Now(), 0, typicalAnswer, Served, 3)
-	is.True(!o.Learn(now, 8*typicalAnswer, 0, true, time.Second))
+	is.True(!o.ApplyRemote(now, 8*typicalAnswer, 0, true, time.Second))
 	is.True(!o.Ejected(now))
-	is.True(o.Learn(now.Add(ownAnswerPrecedence), 8*typicalAnswer, 0, true, time.Second))
+	is.True(o.ApplyRemote(now.Add(ownAnswerPrecedence), 8*typicalAnswer, 0, true, time.Second))
 }
 
 // An ejected target gets requests if there is no other one, and a good answer to these ends the
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	now := time.Now()
 	o := NewQuickOutlier()
-	o.Learn(now, 8*typicalAnswer, 0, true, time.Hour)
+	o.ApplyRemote(now, 8*typicalAnswer, 0, true, time.Hour)
 	now = sendAttempts(o, now.Add(time.Millisecond), 0, typicalAnswer, Served, 1)
 	is.True(!o.Ejected(now))
 }
