--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -241,7 +241,7 @@
 		g.log.Event(evWrongTarget).Str("target", t.info.ID).Str("service", s.name).Str("address", t.info.Address).Msg("")
 	}
 	if t.evacuated {
-		t.health.Unsent(now) // attempts at an evacuated target do not count for its health
+		t.health.CancelSent(now) // attempts at an evacuated target do not count for its health
 		s.wake()
 		return
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -98,7 +98,7 @@
 	t.inFlight--
 	t.pool.CancelReservation()
 	t.unreserveSend()
-	t.health.Unsent(time.Now())
+	t.health.CancelSent(time.Now())
 	s.wake()
 }
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Unsent reverts the newest Sent: no attempt was made.
-func (o *Outlier) Unsent(now time.Time) {
+// CancelSent reverts the newest Sent: no attempt was made.
+func (o *Outlier) CancelSent(now time.Time) {
 	o.removeInFlight(now)
 	o.probing = false
 }
