--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -32,7 +32,7 @@
 
 // quarantineMode returns how attempts of a request may be made, and for how much longer it is
 // quarantined.
-func (g *Gateway) quarantineMode(r *request) (s quarantine.Stance, left time.Duration) {
+func (g *Gateway) quarantineMode(r *request) (s quarantine.Status, left time.Duration) {
 	if !g.hasSuspects() {
 		return quarantine.Free, 0
 	}
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -55,12 +55,12 @@
 	return added
 }
 
-// Stance is how attempts of a request are admitted. A greater value is stricter.
-type Stance uint8
+// Status is how attempts of a request are admitted. A greater value is stricter.
+type Status uint8
 
 // Stances.
 const (
-	Free        Stance = iota // no restriction
+	Free        Status = iota // no restriction
 	OneAtATime                // one attempt at a time, until one is answered
 	Quarantined               // no attempts
 )
@@ -143,7 +143,7 @@
 func (s *suspect) lastStrikeAt() time.Time { return s.strikes[len(s.strikes)-1].At }
 
 // status returns how attempts of the request are admitted at a time.
-func (s *suspect) status(now time.Time, hold time.Duration) Stance {
+func (s *suspect) status(now time.Time, hold time.Duration) Status {
 	switch {
 	case len(s.strikes) == 0:
 		return Free
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -81,7 +81,7 @@
 func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
 
 // Stance returns how attempts of a request are admitted now and, if quarantined, for how long.
-func (t *Table) Stance(r Request) (s Stance, left time.Duration) {
+func (t *Table) Stance(r Request) (s Status, left time.Duration) {
 	if t.Empty() {
 		return Free, 0
 	}
@@ -94,7 +94,7 @@
 
 // status returns how attempts of a request are admitted, and when its latest quarantine ends. The
 // caller holds the lock.
-func (t *Table) status(r Request, now time.Time) (strictest Stance, until time.Time) {
+func (t *Table) status(r Request, now time.Time) (strictest Status, until time.Time) {
 	for _, e := range t.entries(r) {
 		strictest = max(strictest, e.status(now, t.hold))
 		if end := e.quarantinedUntil(t.hold); end.After(until) {
@@ -223,7 +223,7 @@
 }
 
 // noteQuarantined logs that a key has become quarantined.
-func (t *Table) noteQuarantined(k Key, e *entry, before Stance, from string) {
+func (t *Table) noteQuarantined(k Key, e *entry, before Status, from string) {
 	if before == Quarantined {
 		return
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -39,7 +39,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
-		for n, want := range []Stance{OneAtATime, OneAtATime, Quarantined} {
+		for n, want := range []Status{OneAtATime, OneAtATime, Quarantined} {
 			time.Sleep(time.Second)
 			is.Equal(table.Ended(request, uint64(n), "s"), want == Quarantined)
 			status, _ := table.Stance(request)
