--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -36,7 +36,7 @@
 	if !g.hasSuspects() {
 		return quarantine.Free, 0
 	}
-	return g.quarantineTable.Stance(r.quarantineKeys())
+	return g.quarantineTable.Status(r.quarantineKeys())
 }
 
 // quarantined reports whether a request is quarantined.
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -46,7 +46,7 @@
 
 // status returns how a table admits attempts of a request.
 func (k storedTable) status(r Request) Status {
-	status, _ := k.Stance(r)
+	status, _ := k.Status(r)
 	return status
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -80,8 +80,8 @@
 // suspended. Call it before the table is used.
 func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
 
-// Stance returns how attempts of a request are admitted now and, if quarantined, for how long.
-func (t *Table) Stance(r Request) (s Status, left time.Duration) {
+// Status returns how attempts of a request are admitted now and, if quarantined, for how long.
+func (t *Table) Status(r Request) (s Status, left time.Duration) {
 	if t.Empty() {
 		return Free, 0
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -42,10 +42,10 @@
 		for n, want := range []Status{OneAtATime, OneAtATime, Quarantined} {
 			time.Sleep(time.Second)
 			is.Equal(table.Ended(request, uint64(n), "s"), want == Quarantined)
-			status, _ := table.Stance(request)
+			status, _ := table.Status(request)
 			is.Equal(status, want)
 		}
-		other, _ := table.Stance(testRequest("/y"))
+		other, _ := table.Status(testRequest("/y"))
 		is.Equal(other, Free)
 	})
 }
@@ -76,11 +76,11 @@
 		for i := range uint64(3) {
 			table.Ended(request, 10+i, "s")
 			time.Sleep(hold - time.Second)
-			status, left := table.Stance(request)
+			status, left := table.Status(request)
 			is.Equal(status, Quarantined)
 			is.Equal(left, time.Second)
 			time.Sleep(2 * time.Second)
-			status, _ = table.Stance(request)
+			status, _ = table.Status(request)
 			is.Equal(status, OneAtATime)
 			hold *= holdGrowthFactor
 		}
@@ -129,7 +129,7 @@
 		is.NoErr(err)
 		is.True(alone)
 		is.True(table.Answered(request, "s"))
-		status, _ := table.Stance(request)
+		status, _ := table.Status(request)
 		is.Equal(status, Free)
 		table.Left(request)
 		time.Sleep(time.Second)
@@ -202,9 +202,9 @@
 		}
 		time.Sleep(strikeRetention + time.Second)
 		table.Expire()
-		status, _ := table.Stance(testRequest("/once"))
+		status, _ := table.Status(testRequest("/once"))
 		is.Equal(status, Free)
-		status, _ = table.Stance(testRequest("/held"))
+		status, _ = table.Status(testRequest("/held"))
 		is.Equal(status, OneAtATime)
 		time.Sleep(defaultHold)
 		table.Expire()
@@ -227,9 +227,9 @@
 		is.True(!table.Ended(requestOf(fmt.Sprint("10.0.0.", i), "/x"), i, "s"))
 	}
 	is.True(table.Ended(requestOf("10.0.0.7", "/x"), 7, "s"))
-	status, _ := table.Stance(requestOf("10.0.0.8", "/x"))
+	status, _ := table.Status(requestOf("10.0.0.8", "/x"))
 	is.Equal(status, Quarantined)
-	status, _ = table.Stance(requestOf("10.0.0.8", "/y"))
+	status, _ = table.Status(requestOf("10.0.0.8", "/y"))
 	is.Equal(status, Free)
 }
 
@@ -242,16 +242,16 @@
 		for i := range uint64(quarantineStrikes) {
 			table.Ended(bad, i, "s")
 		}
-		status, _ := table.Stance(bad)
+		status, _ := table.Status(bad)
 		is.Equal(status, Quarantined)
 		for range quarantineStrikes {
-			status, _ = table.Stance(good)
+			status, _ = table.Status(good)
 			is.Equal(status, OneAtATime)
 			is.True(table.Answered(good, "s"))
 		}
-		status, _ = table.Stance(good)
+		status, _ = table.Status(good)
 		is.Equal(status, Free)
-		status, _ = table.Stance(bad)
+		status, _ = table.Status(bad)
 		is.Equal(status, Quarantined)
 	})
 }
@@ -269,7 +269,7 @@
 			}
 			table.Ended(request, i, "s")
 		}
-		status, _ := table.Stance(request)
+		status, _ := table.Status(request)
 		is.Equal(status, Quarantined)
 	})
 }
@@ -292,7 +292,7 @@
 			time.Sleep(maxHold)
 			table.Ended(request, i, "s")
 		}
-		status, left := table.Stance(request)
+		status, left := table.Status(request)
 		is.Equal(status, Quarantined)
 		is.Equal(left, maxHold)
 	})
@@ -306,7 +306,7 @@
 		for i := range uint64(maxStrikes) {
 			table.Ended(request, i, "s")
 		}
-		_, left := table.Stance(request)
+		_, left := table.Status(request)
 		is.Equal(left, defaultHold)
 	})
 }
@@ -322,11 +322,11 @@
 			table.Ended(request, i, "s")
 		}
 		suspend(defaultHold - time.Second)
-		status, left := table.Stance(request)
+		status, left := table.Status(request)
 		is.Equal(status, Quarantined)
 		is.Equal(left, time.Second)
 		suspend(time.Second)
-		status, _ = table.Stance(request)
+		status, _ = table.Status(request)
 		is.Equal(status, OneAtATime)
 	})
 }
@@ -344,7 +344,7 @@
 			ahead = append(ahead, strike)
 		}
 		table.Merge([]Record{recordOf(request, ahead...)})
-		status, left := table.Stance(request)
+		status, left := table.Status(request)
 		is.Equal(status, Quarantined)
 		is.Equal(left, defaultHold)
 	})
