--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -59,7 +59,7 @@
 // releaseAdmission ends an attempt that admit let through.
 func (r *run) releaseAdmission(alone bool) {
 	if alone {
-		r.gateway.quarantineTable.Left(r.request.quarantineKeys())
+		r.gateway.quarantineTable.Release(r.request.quarantineKeys())
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -188,8 +188,8 @@
 	return len(e.strikes) > 0 && (e.hasStrikeOf(a.Service) || !slices.ContainsFunc(a.Among, e.hasStrikeOf))
 }
 
-// Left ends an attempt that was admitted alone.
-func (t *Table) Left(r Request) {
+// Release ends an attempt that was admitted alone.
+func (t *Table) Release(r Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries(r) {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -107,7 +107,7 @@
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		go func() {
 			time.Sleep(time.Second)
-			table.Left(request)
+			table.Release(request)
 		}()
 		alone, err = table.Admit(t.Context(), a, farFuture())
 		is.NoErr(err)
@@ -131,7 +131,7 @@
 		is.True(table.Answered(request, "s"))
 		status, _ := table.Status(request)
 		is.Equal(status, Free)
-		table.Left(request)
+		table.Release(request)
 		time.Sleep(time.Second)
 		// If none of the services has a strike, an attempt at any of them is admitted.
 		table.Ended(request, 2, "gone")
