--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -96,7 +96,7 @@
 	switch {
 	case f.peers.Isolated() || !f.peers.Watches():
 		return f.cfg.watchWait()
-	case len(f.state.quarantined.Held()) > 0:
+	case len(f.state.quarantined.QuarantinedKeys()) > 0:
 		return quarantineReadInterval
 	}
 	return math.MaxInt64
--- a/internal/gatewayhost/crash_test.go
+++ b/internal/gatewayhost/crash_test.go
@@ -174,7 +174,7 @@
 func (f *fleet) quarantined() int {
 	all := map[string]bool{}
 	for _, h := range f.hosts {
-		for _, key := range h.quarantine.Held() {
+		for _, key := range h.quarantine.QuarantinedKeys() {
 			all[key.Content()] = true
 		}
 	}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -147,7 +147,7 @@
 	}
 	now := k.table.clock.Now()
 	var keys []Key
-	for _, key := range k.table.Held() {
+	for _, key := range k.table.QuarantinedKeys() {
 		known, _ := k.table.lookup(key)
 		isOld := now.Sub(known.newestStrikeAt()) > maxWriteDelay // otherwise the host that detected it is about to write it
 		if _, isStored := byKey[key]; !isStored && isOld {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -385,8 +385,8 @@
 	}
 }
 
-// Held returns the keys of quarantined requests.
-func (t *Table) Held() []Key {
+// QuarantinedKeys returns the keys of quarantined requests.
+func (t *Table) QuarantinedKeys() []Key {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -189,7 +189,7 @@
 		table.Ended(testRequest(fmt.Sprint(i)), 1, "s")
 	}
 	is.Equal(len(table.suspects), maxSuspects)
-	is.Equal(table.Held(), []Key{request.OfCaller})
+	is.Equal(table.QuarantinedKeys(), []Key{request.OfCaller})
 }
 
 func TestStrikesExpire(t *testing.T) {
