--- a/internal/policy/choose.go
+++ b/internal/policy/choose.go
@@ -8,9 +8,9 @@
 
 // Option is a candidate replica, relay or helper for one attempt.
 type Option struct {
-	Cost   float64 // expected time, or requests in flight; lower is better
-	Local  bool    // in the host's own failure domain
-	Barred bool    // ejected, leaving or suspect: chosen only if no other option exists
+	Cost       float64 // expected time, or requests in flight; lower is better
+	Local      bool    // in the host's own failure domain
+	LastResort bool    // ejected, leaving or suspect: chosen only if no other option exists
 }
 
 // Choose returns the index of the option to use, -1 if there is none: the
@@ -42,7 +42,7 @@
 func candidates(options []Option) []int {
 	var open, barred []int
 	for i, o := range options {
-		if o.Barred {
+		if o.LastResort {
 			barred = append(barred, i)
 			continue
 		}
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -164,8 +164,8 @@
 
 func (r *Replica) option(now time.Time, rng *rand.Rand) Option {
 	return Option{
-		Cost:   r.cost(now),
-		Local:  r.Local,
-		Barred: !r.Ramp.Takes(now, rng.Float64()),
+		Cost:       r.cost(now),
+		Local:      r.Local,
+		LastResort: !r.Ramp.Takes(now, rng.Float64()),
 	}
 }
--- a/internal/policy/replica_test.go
+++ b/internal/policy/replica_test.go
@@ -204,7 +204,7 @@
 	for range 50 {
 		is.Equal(Choose(rng, options), 1)
 	}
-	options[1].Barred = true
+	options[1].LastResort = true
 	is.Equal(Choose(rng, options), 0)
 	is.Equal(Choose(rng, nil), -1)
 }
--- a/internal/relay/reserve.go
+++ b/internal/relay/reserve.go
@@ -111,9 +111,9 @@
 		}
 		indices = append(indices, i)
 		options = append(options, policy.Option{
-			Cost:   c.replica.Outlier.Cost(now, c.replica.Limiter.InFlight(), c.replica.Limiter.Limit()),
-			Local:  c.sameDomain,
-			Barred: c.replica.Outlier.Ejected(now) || !c.replica.Ramp.Takes(now, p.rng.Float64()),
+			Cost:       c.replica.Outlier.Cost(now, c.replica.Limiter.InFlight(), c.replica.Limiter.Limit()),
+			Local:      c.sameDomain,
+			LastResort: c.replica.Outlier.Ejected(now) || !c.replica.Ramp.Takes(now, p.rng.Float64()),
 		})
 	}
 	chosen := policy.Choose(p.rng, options)
