--- a/internal/relay/announce.go
+++ b/internal/relay/announce.go
@@ -68,7 +68,7 @@
 func (a *announcer) announce(now time.Time, hosts []member.Host, s TargetSign) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.relay.Teller == nil || a.ctx == nil {
+	if a.relay.SignSender == nil || a.ctx == nil {
 		return
 	}
 	self := a.relay.members.Self().ID
@@ -138,7 +138,7 @@
 func (a *announcer) send(ctx context.Context, to member.Host, signs []TargetSign) error {
 	ctx, cancel := context.WithTimeout(ctx, signCallTimeout)
 	defer cancel()
-	return a.relay.Teller.SendSigns(ctx, to, signs)
+	return a.relay.SignSender.SendSigns(ctx, to, signs)
 }
 
 func (r *Relay) recordUndelivered(host string, signs int, cause error) {
--- a/internal/relay/announce_test.go
+++ b/internal/relay/announce_test.go
@@ -88,7 +88,7 @@
 				for i, g := range all {
 					g.members.set(hostIDs(0, hosts)...)
 					lists[i] = &hostList{}
-					g.relay.hosts, g.relay.Teller = lists[i], w
+					g.relay.hosts, g.relay.SignSender = lists[i], w
 					w.relays[g.members.self] = g
 					is.NoErr(g.relay.Start(t.Context()))
 					if g.relay.Assigned("s") && !g.relay.readsHostList() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -55,9 +55,9 @@
 	metrics *metrics
 	dial    dialFunc
 
-	// Teller sends signs of leaving targets to other relays. It must be set
+	// SignSender sends signs of leaving targets to other relays. It must be set
 	// before Start; nil disables sending.
-	Teller SignSender
+	SignSender SignSender
 
 	announcer  announcer
 	table      atomic.Pointer[table]
