--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -120,7 +120,7 @@
 		return nil, l.Err
 	}
 	r := relay.New(h.settings.Relay, services, lastHostView{members}, store, h.log, h.metrics)
-	r.SignSender = relayrpc.NewTeller(pool)
+	r.SignSender = relayrpc.NewSignSender(pool)
 	return r, relayrpc.RegisterSigns(server, r)
 }
 
--- a/internal/relayrpc/signs.go
+++ b/internal/relayrpc/signs.go
@@ -16,8 +16,8 @@
 // SignSender sends signs of leaving targets to other hosts.
 type SignSender struct{ dialer peer.Dialer }
 
-// NewTeller returns a SignSender over the connections of the dialer.
-func NewTeller(d peer.Dialer) SignSender { return SignSender{d} }
+// NewSignSender returns a SignSender over the connections of the dialer.
+func NewSignSender(d peer.Dialer) SignSender { return SignSender{d} }
 
 // SendSigns implements relay.SignSender.
 func (t SignSender) SendSigns(ctx context.Context, to member.Host, signs []relay.TargetSign) error {
--- a/internal/relayrpc/signs_test.go
+++ b/internal/relayrpc/signs_test.go
@@ -30,8 +30,8 @@
 	defer func() { _ = pool.Stop(ctx); cancel(); <-served }()
 	want := []relay.TargetSign{{Service: "s", Target: "t0", Incarnation: 7, Sign: "host_list"}, {Service: "s", Target: "t1"}}
 	to := member.Host{ID: "h1", PeerAddress: ln.Addr().String()}
-	is.NoErr(NewTeller(pool).SendSigns(ctx, to, want))
+	is.NoErr(NewSignSender(pool).SendSigns(ctx, to, want))
 	is.Equal(<-got, want)
 	_ = ln.Close()
-	is.True(NewTeller(pool).SendSigns(ctx, member.Host{PeerAddress: "127.0.0.1:1"}, want) != nil)
+	is.True(NewSignSender(pool).SendSigns(ctx, member.Host{PeerAddress: "127.0.0.1:1"}, want) != nil)
 }
