--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -20,7 +20,7 @@
 // and returns how many were answered in time. One of its five targets is slow, a different one
 // every ten seconds.
 func sparseLoad(t *testing.T, tellLoad bool, without ...gateway.Mechanism) (inTime int) {
-	o := options{without: without, changeTarget: func(c *platformtarget.Config) { c.TellLoad = tellLoad }}
+	o := options{without: without, changeTarget: func(c *platformtarget.Config) { c.ReportLoad = tellLoad }}
 	run(t, o, func(t *testing.T, s *site) {
 		for i := range 3 {
 			s.addTarget("s0", fmt.Sprintf("s0-t%d", 2+i), domain, 1)
@@ -57,7 +57,7 @@
 
 // Targets that don't answer load queries delay the request by the query's timeout at most.
 func TestUnansweredLoadQueryBarelyDelaysRequest(t *testing.T) {
-	run(t, options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}, func(t *testing.T, s *site) {
+	run(t, options{changeTarget: func(c *platformtarget.Config) { c.ReportLoad = true }}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
@@ -77,7 +77,7 @@
 func TestLoadQueryLeavesLastConnectionToRequest(t *testing.T) {
 	const connections = 1 // per target
 	var dialed atomic.Int32
-	o := options{changeTarget: func(c *platformtarget.Config) { c.TellLoad = true }}
+	o := options{changeTarget: func(c *platformtarget.Config) { c.ReportLoad = true }}
 	o.dial = func(s *site, ctx context.Context, network, address string) (net.Conn, error) {
 		dialed.Add(1)
 		return s.network.Dial(ctx, network, address)
--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -15,7 +15,7 @@
 // one in another. All targets pause periodically, each with a different phase.
 func pausingSite(t *testing.T, pause, every time.Duration, tellLoad bool, test func(t *testing.T, s *site)) {
 	o := options{services: 6, changeTarget: func(c *platformtarget.Config) {
-		c.Pause, c.PauseEvery, c.TellLoad = pause, every, tellLoad
+		c.Pause, c.PauseEvery, c.ReportLoad = pause, every, tellLoad
 	}}
 	run(t, o, func(t *testing.T, s *site) {
 		for i := range 6 {
--- a/internal/soak/placement.go
+++ b/internal/soak/placement.go
@@ -100,7 +100,7 @@
 	if !t.site.cfg.Placement {
 		return
 	}
-	cfg.TellLoad, cfg.Pause, cfg.PauseEvery = true, targetPause, targetPausePeriod
+	cfg.ReportLoad, cfg.Pause, cfg.PauseEvery = true, targetPause, targetPausePeriod
 	if afterCrash {
 		cfg.Cold = coldDuration
 	}
--- a/internal/standin/platformtarget/cold.go
+++ b/internal/standin/platformtarget/cold.go
@@ -68,7 +68,7 @@
 // setLoadHeader sets the load header: running and waiting requests, slots, and the current cost of
 // work in percent of the nominal one.
 func (t *Target) setLoadHeader(h http.Header, f Faults) {
-	if !t.cfg.TellLoad {
+	if !t.cfg.ReportLoad {
 		return
 	}
 	t.mu.Lock()
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -39,8 +39,8 @@
 	// every PauseEvery.
 	Pause      time.Duration
 	PauseEvery time.Duration
-	// TellLoad adds the load header to each response.
-	TellLoad bool
+	// ReportLoad adds the load header to each response.
+	ReportLoad bool
 }
 
 // Faults are the injected faults. Probabilities are drawn for each request.
