--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -61,7 +61,7 @@
 		is := is.New(t)
 		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
-			target.SilenceHealth(true)
+			target.HangHealthCheck(true)
 		}
 		for i := range 5 {
 			a := s.get("/one/x", fmt.Sprintf("r%d", i))
@@ -88,7 +88,7 @@
 		s.configureWith(2, few, s.defaultRoutes(1)...)
 		is.Equal(s.get("/one/x", "first").status, http.StatusOK) // the response reports the load
 		for _, target := range s.targets {
-			target.SilenceHealth(true)
+			target.HangHealthCheck(true)
 		}
 		for round := range 20 {
 			answers := make(chan int)
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -84,8 +84,8 @@
 	healthCheckHangs atomic.Bool
 }
 
-// SilenceHealth sets whether health checks hang.
-func (t *Target) SilenceHealth(silent bool) { t.healthCheckHangs.Store(silent) }
+// HangHealthCheck sets whether health checks hang.
+func (t *Target) HangHealthCheck(silent bool) { t.healthCheckHangs.Store(silent) }
 
 // New returns a stand-in without faults.
 func New(cfg Config) *Target {
