--- a/internal/gateway/away_test.go
+++ b/internal/gateway/away_test.go
@@ -81,8 +81,8 @@
 		})
 		got := s.get("/once/x", "q") // not idempotent, and not sent yet
 		is.Equal(got.status, http.StatusOK)
-		is.Equal(s.targets["s0-t0"].Arrived(), 0)
-		is.Equal(s.targets["s0-t1"].Arrived(), 1)
+		is.Equal(s.targets["s0-t0"].Received(), 0)
+		is.Equal(s.targets["s0-t1"].Received(), 1)
 		is.True(!strings.Contains(log.String(), `"target_health"`))
 	})
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -98,7 +98,7 @@
 		is.Equal(statuses[http.StatusOK], 2)
 		is.Equal(statuses[http.StatusServiceUnavailable], 18)
 		is.Equal(s.targets["s0-t0"].MostWhileCold(), permittedPerSecond)
-		is.Equal(s.targets["s0-t1"].Arrived(), 0) // no permit
+		is.Equal(s.targets["s0-t1"].Received(), 0) // no permit
 		time.Sleep(coldDuration)
 		statuses, _ = s.sendConcurrently(permittedPerSecond, "/one/x")
 		statuses2, _ := s.sendConcurrently(permittedPerSecond, "/one/x")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -218,7 +218,7 @@
 		}
 		arrived := 0
 		for _, target := range s.targets {
-			arrived += target.Arrived()
+			arrived += target.Received()
 		}
 		extra := arrived - requests
 		is.True(extra > 0)
@@ -302,7 +302,7 @@
 			is.True(strings.Contains(string(a.body), "error"))
 		}
 		for _, target := range s.targets {
-			is.Equal(target.Arrived(), 0)
+			is.Equal(target.Received(), 0)
 		}
 	})
 }
@@ -356,7 +356,7 @@
 		for i := range requests {
 			is.Equal(s.get("/one/x", fmt.Sprintf("r%d", i)).status, http.StatusOK)
 		}
-		second := s.targets["s1-t0"].Arrived() + s.targets["s1-t1"].Arrived()
+		second := s.targets["s1-t0"].Received() + s.targets["s1-t1"].Received()
 		is.True(second > requests*65/100 && second < requests*85/100)
 	})
 }
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -50,7 +50,7 @@
 func (s *site) arrivedAt(number int) int {
 	n := 0
 	for i := range 4 {
-		n += s.targets[fmt.Sprintf("s%d-t%d", i, number)].Arrived()
+		n += s.targets[fmt.Sprintf("s%d-t%d", i, number)].Received()
 	}
 	return n
 }
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -63,17 +63,17 @@
 			s.getConcurrently(4, fmt.Sprintf("bad%d-", i))
 		}
 		s.faults("s0-t0", platformtarget.Faults{})
-		arrived := s.targets["s0-t0"].Arrived()
+		arrived := s.targets["s0-t0"].Received()
 		for range 4 {
 			s.getConcurrently(4, "aside")
 		}
-		is.True(s.targets["s0-t0"].Arrived() <= arrived+1) // ejected, except for a probe
-		arrived = s.targets["s0-t0"].Arrived()
+		is.True(s.targets["s0-t0"].Received() <= arrived+1) // ejected, except for a probe
+		arrived = s.targets["s0-t0"].Received()
 		s.registerBorn("s0-t0", restartBornMs)
 		for range 4 {
 			s.getConcurrently(4, "again")
 		}
-		is.True(s.targets["s0-t0"].Arrived() >= arrived+4) // of 16
+		is.True(s.targets["s0-t0"].Received() >= arrived+4) // of 16
 	})
 }
 
@@ -86,8 +86,8 @@
 		s.receiveFinding("s0-t0", firstBornMs)   // about the previous one
 		s.receiveFinding("s0-t1", restartBornMs) // about one that is not registered here yet
 		s.getConcurrently(4, "r")
-		is.True(s.targets["s0-t0"].Arrived() > 0)
-		is.True(s.targets["s0-t1"].Arrived() > 0)
+		is.True(s.targets["s0-t0"].Received() > 0)
+		is.True(s.targets["s0-t1"].Received() > 0)
 	})
 }
 
@@ -106,7 +106,7 @@
 				time.Sleep(20 * time.Millisecond)
 				s.faults("s0", platformtarget.Faults{})
 				for id, target := range s.targets {
-					if target.Arrived() > 0 {
+					if target.Received() > 0 {
 						s.registerBorn(id, restartBornMs)
 					}
 				}
@@ -127,6 +127,6 @@
 		s.receiveFinding("s0-t0", firstBornMs)
 		s.registerBorn("s0-t0", firstBornMs)
 		s.getConcurrently(4, "r")
-		is.Equal(s.targets["s0-t0"].Arrived(), 0)
+		is.Equal(s.targets["s0-t0"].Received(), 0)
 	})
 }
--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -39,8 +39,8 @@
 	all.Wait()
 	here, other := 0, 0
 	for i := range 6 {
-		here += s.targets[fmt.Sprintf("s%d-t0", i)].Arrived()
-		other += s.targets[fmt.Sprintf("s%d-t1", i)].Arrived()
+		here += s.targets[fmt.Sprintf("s%d-t0", i)].Received()
+		other += s.targets[fmt.Sprintf("s%d-t1", i)].Received()
 	}
 	return float64(other) / float64(here+other)
 }
@@ -72,19 +72,19 @@
 		for i := range 6 {
 			s.faults(fmt.Sprintf("s%d-t0", i), platformtarget.Faults{Slow: 8})
 		}
-		before := s.targets["s0-t0"].Arrived()
+		before := s.targets["s0-t0"].Received()
 		got := s.sendLoad("slow")
 		is.True(got.whole >= loadRequests*97/100)
-		is.True(s.targets["s0-t0"].Arrived()-before < loadRequests/10)
+		is.True(s.targets["s0-t0"].Received()-before < loadRequests/10)
 		for i := range 6 {
 			s.faults(fmt.Sprintf("s%d-t0", i), platformtarget.Faults{})
 		}
 		for range 3 {
 			s.sendLoad("finds out")
 		}
-		before = s.targets["s0-t0"].Arrived()
+		before = s.targets["s0-t0"].Received()
 		got = s.sendLoad("well")
 		is.True(got.whole >= loadRequests*99/100)
-		is.True(s.targets["s0-t0"].Arrived()-before > loadRequests*8/10)
+		is.True(s.targets["s0-t0"].Received()-before > loadRequests*8/10)
 	})
 }
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -20,8 +20,8 @@
 			s.get("/one/x", fmt.Sprintf("r%d", i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].Arrived() < 20)
-		is.True(s.targets["s0-t1"].Arrived() > 80)
+		is.True(s.targets["s0-t0"].Received() < 20)
+		is.True(s.targets["s0-t1"].Received() > 80)
 	})
 }
 
@@ -34,7 +34,7 @@
 			s.get("/one/x", fmt.Sprintf("r%d", i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		less := min(s.targets["s0-t0"].Arrived(), s.targets["s0-t1"].Arrived())
+		less := min(s.targets["s0-t0"].Received(), s.targets["s0-t1"].Received())
 		is.True(less > 50) // each gets its share
 	})
 }
@@ -67,7 +67,7 @@
 			s.get("/all/x", fmt.Sprintf("r%d", i))
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s1-t0"].Arrived() > 5)
-		is.True(s.targets["s1-t1"].Arrived() > 5)
+		is.True(s.targets["s1-t0"].Received() > 5)
+		is.True(s.targets["s1-t1"].Received() > 5)
 	})
 }
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -113,8 +113,8 @@
 	return all
 }
 
-// Arrived returns the number of received requests, including rejected ones.
-func (t *Target) Arrived() int {
+// Received returns the number of received requests, including rejected ones.
+func (t *Target) Received() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.received
--- a/internal/standin/platformtarget/target_test.go
+++ b/internal/standin/platformtarget/target_test.go
@@ -73,7 +73,7 @@
 				target := newTarget(tc.faults)
 				resp, body, err := ask(t, target, tc.header)
 				is.Equal(len(target.Runs()), tc.ran)
-				is.Equal(target.Arrived(), 1)
+				is.Equal(target.Received(), 1)
 				if tc.status == 0 {
 					is.True(err != nil)
 					return
