--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 		}
 		is.Equal(len(ran), 1)
 		is.Equal(ran[0].Method+" "+ran[0].URI+" "+ran[0].Body, "POST /once/a%2Fb?c=%20d text")
-		is.True(ran[0].Left > 590*time.Millisecond && ran[0].Left <= 600*time.Millisecond)
+		is.True(ran[0].Budget > 590*time.Millisecond && ran[0].Budget <= 600*time.Millisecond)
 	})
 }
 
--- a/internal/gateway/helper_test.go
+++ b/internal/gateway/helper_test.go
@@ -319,7 +319,7 @@
 			s.get("/all/x", "r1")
 			for _, target := range s.targets {
 				for _, r := range target.Runs() {
-					is.True(r.Left > objective)
+					is.True(r.Budget > objective)
 				}
 			}
 		})
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -48,9 +48,9 @@
 		for _, target := range s.targets {
 			for _, r := range target.Runs() {
 				if r.RequestID == "r1" {
-					is.True(r.Left < objective)
+					is.True(r.Budget < objective)
 				} else {
-					is.True(r.Left > objective) // the answer to a single request is useful until the deadline
+					is.True(r.Budget > objective) // the answer to a single request is useful until the deadline
 				}
 			}
 		}
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -62,7 +62,7 @@
 	Method    string
 	URI       string
 	Body      string
-	Left      time.Duration // remaining time that the request was given; 0: no bound
+	Budget    time.Duration // remaining time that the request was given; 0: no bound
 	Began     time.Time
 	Cancelled bool // the caller disconnected before the end
 }
@@ -210,12 +210,12 @@
 	left, _ := strconv.ParseFloat(r.Header.Get(platform.HeaderDeadline), 64)
 	run := &Run{
 		RequestID: r.Header.Get(platform.HeaderRequestID), Method: r.Method, URI: r.RequestURI, Body: body,
-		Left: time.Duration(left * float64(time.Millisecond)), Began: time.Now(),
+		Budget: time.Duration(left * float64(time.Millisecond)), Began: time.Now(),
 	}
 	t.mu.Lock()
 	t.runs = append(t.runs, run)
 	t.mu.Unlock()
-	ended := t.work(r.Context(), f, run.Left)
+	ended := t.work(r.Context(), f, run.Budget)
 	if ended == workCancelled {
 		t.mu.Lock()
 		run.Cancelled = true
--- a/internal/standin/platformtarget/target_test.go
+++ b/internal/standin/platformtarget/target_test.go
@@ -83,7 +83,7 @@
 				if tc.status == 200 {
 					is.Equal(string(body), string(Body("s", "r1", 3)))
 					is.Equal(resp.Header.Get(platform.HeaderSignature), Signature("s", "r1"))
-					is.Equal(target.Runs()[0].Left, 600*time.Millisecond)
+					is.Equal(target.Runs()[0].Budget, 600*time.Millisecond)
 				}
 			})
 		})
