--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -97,7 +97,7 @@
 		statuses, _ = s.sendConcurrently(20, "/one/x")
 		is.Equal(statuses[http.StatusOK], 2)
 		is.Equal(statuses[http.StatusServiceUnavailable], 18)
-		is.Equal(s.targets["s0-t0"].MostWhileCold(), permittedPerSecond)
+		is.Equal(s.targets["s0-t0"].MaxRequestsWhileCold(), permittedPerSecond)
 		is.Equal(s.targets["s0-t1"].Received(), 0) // no permit
 		time.Sleep(coldDuration)
 		statuses, _ = s.sendConcurrently(permittedPerSecond, "/one/x")
@@ -150,8 +150,8 @@
 			s.sendConcurrently(3, "/one/x")
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
@@ -177,8 +177,8 @@
 			s.sendConcurrently(6, "/one/x")
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
@@ -195,8 +195,8 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -228,8 +228,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.incarnations {
-		most = max(most, t.MostWhileCold())
-		if t.MostWhileCold() > 0 {
+		most = max(most, t.MaxRequestsWhileCold())
+		if t.MaxRequestsWhileCold() > 0 {
 			targets++
 		}
 	}
--- a/internal/soak/placement.go
+++ b/internal/soak/placement.go
@@ -187,7 +187,7 @@
 	defer t.mu.Unlock()
 	most := 0
 	for _, one := range t.incarnations {
-		most = max(most, one.MostWhileCold())
+		most = max(most, one.MaxRequestsWhileCold())
 	}
 	return most
 }
--- a/internal/standin/platformtarget/cold.go
+++ b/internal/standin/platformtarget/cold.go
@@ -26,8 +26,8 @@
 	t.cold.until = time.Now().Add(d)
 }
 
-// MostWhileCold returns the maximum number of requests within any second of the cold phases.
-func (t *Target) MostWhileCold() int {
+// MaxRequestsWhileCold returns the maximum number of requests within any second of the cold phases.
+func (t *Target) MaxRequestsWhileCold() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cold.maxPerWindow
