--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -40,7 +40,7 @@
 // makeCold makes targets cold, in their responses and in their registrations.
 func (s *site) makeCold(ids ...string) {
 	for _, id := range ids {
-		s.targets[id].GoCold(coldDuration)
+		s.targets[id].StartColdPhase(coldDuration)
 		s.register(discovery.Target{ID: id, Service: "s0", Address: id + ":80", Domain: domain, Slots: 4, Warmup: coldDuration})
 	}
 }
@@ -164,7 +164,7 @@
 	back := s.refuseConnections("s0-t0:80")
 	s.sendConcurrently(6, "/one/x")
 	back()
-	s.targets["s0-t0"].GoCold(coldDuration)
+	s.targets["s0-t0"].StartColdPhase(coldDuration)
 }
 
 // A target that refused connections accepts them again before its new registration arrives. It may
--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -120,7 +120,7 @@
 func (t *fleetTarget) becomeCold(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.target.GoCold(d)
+	t.target.StartColdPhase(d)
 	id, target := t.id, t.target
 	time.AfterFunc(registrationInterval, func() { t.fleet.register(id, target.Registration(t.address, t.domain)) })
 }
--- a/internal/standin/platformtarget/cold.go
+++ b/internal/standin/platformtarget/cold.go
@@ -19,8 +19,8 @@
 	maxPerWindow int         // maximum number of requests in any window
 }
 
-// GoCold starts a cold phase of the given duration.
-func (t *Target) GoCold(d time.Duration) {
+// StartColdPhase starts a cold phase of the given duration.
+func (t *Target) StartColdPhase(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cold.until = time.Now().Add(d)
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -91,7 +91,7 @@
 func New(cfg Config) *Target {
 	cfg.Slots = max(cfg.Slots, 1)
 	t := &Target{cfg: cfg, pauseEpoch: time.Now(), rng: standin.NewRand(cfg.Seed), slots: make(chan struct{}, cfg.Slots)}
-	t.GoCold(cfg.Cold)
+	t.StartColdPhase(cfg.Cold)
 	return t
 }
 
