--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -21,8 +21,8 @@
 		for i := range 6 {
 			service := fmt.Sprintf("s%d", i)
 			s.moveTarget(service+"-t1", service, otherDomain)
-			s.targets[service+"-t0"].Elapse(time.Duration(2*i) * every / 12) // different phases
-			s.targets[service+"-t1"].Elapse(time.Duration(2*i+1) * every / 12)
+			s.targets[service+"-t0"].AdvancePauseClock(time.Duration(2*i) * every / 12) // different phases
+			s.targets[service+"-t1"].AdvancePauseClock(time.Duration(2*i+1) * every / 12)
 		}
 		test(t, s)
 	})
--- a/internal/standin/platformtarget/pause.go
+++ b/internal/standin/platformtarget/pause.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Elapse advances the phase of the periodic pauses, as if the target had started earlier.
-func (t *Target) Elapse(d time.Duration) { t.pauseEpoch = t.pauseEpoch.Add(-d) }
+// AdvancePauseClock advances the phase of the periodic pauses, as if the target had started earlier.
+func (t *Target) AdvancePauseClock(d time.Duration) { t.pauseEpoch = t.pauseEpoch.Add(-d) }
 
 // durationWithPauses returns the duration of work that begins now, including the pauses that fall
 // into it.
