--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -75,7 +75,7 @@
 // sendGatewayRequests sends a query and a request that may run only once to the
 // gateway host, as callers on the users' platform do.
 func (c *demoCommand) sendGatewayRequests(site *demo.Site) error {
-	for i, path := range []string{platformtarget.SiteQuery + "wedding", platformtarget.SiteSingle + "pressure-cooker"} {
+	for i, path := range []string{platformtarget.SiteQueryPath + "wedding", platformtarget.SiteSingle + "pressure-cooker"} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+site.Gateway()+path, nil)
 		if err != nil {
 			return exitErrorf(ExitFailed, "%s", err)
@@ -111,6 +111,6 @@
   curl -H 'Host: %s' -H 'X-Request-Id: 1' http://%s%s | xxd
   curl -d '{"outage":"cut","away":"1s","age":"5s"}' http://%s/standin/restore   # the platform is restored from an older copy
 
-`, first.Callers, first.Operators, demo.Token, platformtarget.SiteHost, site.Gateway(), platformtarget.SiteQuery+"wedding", site.Platform())
+`, first.Callers, first.Operators, demo.Token, platformtarget.SiteHost, site.Gateway(), platformtarget.SiteQueryPath+"wedding", site.Platform())
 	fmt.Fprintln(c.env.Out, "ready")
 }
--- a/internal/gatewayhost/host_test.go
+++ b/internal/gatewayhost/host_test.go
@@ -118,7 +118,7 @@
 	is.Equal(getStatus(t, a.Readiness+"/api/readyz"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics/runtime"), http.StatusOK)
-	for _, path := range []string{platformtarget.SiteQuery + "x", platformtarget.SiteSingle + "x"} {
+	for _, path := range []string{platformtarget.SiteQueryPath + "x", platformtarget.SiteSingle + "x"} {
 		got, _, err := sendRequest(http.DefaultClient, a.Callers, path, "r1")
 		is.NoErr(err)
 		is.Equal(got, http.StatusOK)
@@ -139,7 +139,7 @@
 	second := s.startHost(t, "b", first.Addresses().Peers)
 	defer second.stopForTest(t)
 	is.NoErr(second.WaitReady(t.Context()))
-	got, _, err := sendRequest(http.DefaultClient, second.Addresses().Callers, platformtarget.SiteQuery+"x", "r1")
+	got, _, err := sendRequest(http.DefaultClient, second.Addresses().Callers, platformtarget.SiteQueryPath+"x", "r1")
 	is.NoErr(err)
 	is.Equal(got, http.StatusOK)
 }
@@ -150,7 +150,7 @@
 	s.store.SetFaults(objectstore.Faults{Outage: objectstore.OutageUnavailable})
 	h := s.startHost(t, "a")
 	defer h.stopForTest(t)
-	got, _, err := sendRequest(http.DefaultClient, h.Addresses().Callers, platformtarget.SiteQuery+"x", "r1")
+	got, _, err := sendRequest(http.DefaultClient, h.Addresses().Callers, platformtarget.SiteQueryPath+"x", "r1")
 	is.NoErr(err)
 	is.Equal(got, http.StatusServiceUnavailable)
 	is.Equal(getStatus(t, h.Addresses().Readiness+"/api/readyz"), http.StatusServiceUnavailable)
--- a/internal/standin/platformtarget/site.go
+++ b/internal/standin/platformtarget/site.go
@@ -36,9 +36,9 @@
 
 // Host name and path prefixes of the site's routes.
 const (
-	SiteHost   = "lists.example"
-	SiteQuery  = "/lists/" // route to all shards
-	SiteSingle = "/gifts/" // non-idempotent route to one service
+	SiteHost      = "lists.example"
+	SiteQueryPath = "/lists/" // route to all shards
+	SiteSingle    = "/gifts/" // non-idempotent route to one service
 )
 
 // Site is a set of targets on loopback, registered in a store stand-in together with a
@@ -53,7 +53,7 @@
 	s := &Site{}
 	config := platform.Config{Version: siteConfigVersion}
 	query := platform.Route{
-		Name: "lists", Hostname: SiteHost, PathPrefix: SiteQuery, Type: platform.TypeIdempotent,
+		Name: "lists", Hostname: SiteHost, PathPrefix: SiteQueryPath, Type: platform.TypeIdempotent,
 		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteLatencyTargetMs, MaxAttempts: 2, TopK: siteTopK, MinSuccessShare: siteMinSuccessShare,
 	}
 	single := platform.Route{
