--- a/internal/gatewayhost/restore_test.go
+++ b/internal/gatewayhost/restore_test.go
@@ -41,7 +41,7 @@
 // loseLastWrites writes configurations and begins a store outage. It returns a function that restores the store to its state
 // before these writes, and the revision that it had reached.
 func (f *fleet) loseLastWrites() (restore func(), reached uint64) {
-	older := f.store.Copy()
+	older := f.store.Backup()
 	for v := range uint64(lostWrites) {
 		f.configure(2 + v)
 		time.Sleep(100 * time.Millisecond)
@@ -145,7 +145,7 @@
 				callers := f.startCallers()
 				defer callers.stop()
 				time.Sleep(3 * time.Second)
-				older := f.store.Copy()
+				older := f.store.Backup()
 				drains, removed := f.targets[len(f.targets)-1], f.targets[len(f.targets)-3]
 				registration := drains.target.Registration(drains.address, drains.domain)
 				registration.State = platform.StateDraining
@@ -194,7 +194,7 @@
 		is := is.New(t)
 		lapsed := f.addTarget(singleService, 7, fleetDomains[0])
 		time.Sleep(3 * time.Second)
-		older := f.store.Copy()
+		older := f.store.Backup()
 		f.store.Remove(platform.KindTargets, lapsed.id)
 		time.Sleep(time.Second)
 		f.store.Restore(older)
@@ -221,7 +221,7 @@
 				defer callers.stop()
 				domain := fleetDomains[0]
 				time.Sleep(2 * time.Second)
-				older := f.store.Copy()
+				older := f.store.Backup()
 				f.write(platform.KindEvacuations, domain, struct{}{})
 				acknowledged := time.Now()
 				time.Sleep(time.Second)
@@ -251,7 +251,7 @@
 		callers := f.startCallers()
 		defer callers.stop()
 		domain := fleetDomains[0]
-		older := f.store.Copy()
+		older := f.store.Backup()
 		f.write(platform.KindEvacuations, domain, struct{}{})
 		time.Sleep(time.Second)
 		f.store.Restore(older)
@@ -272,7 +272,7 @@
 	runFleet(t, &fleet{}, func(t *testing.T, f *fleet) {
 		is := is.New(t)
 		time.Sleep(2 * time.Second)
-		older := f.store.Copy()
+		older := f.store.Backup()
 		f.changeConfigAndTargets()
 		time.Sleep(time.Second)
 		f.store.SetFaults(objectstore.Faults{Outage: objectstore.OutageCut})
--- a/internal/gatewayhost/startgap_test.go
+++ b/internal/gatewayhost/startgap_test.go
@@ -19,7 +19,7 @@
 			runFleet(t, &fleet{}, func(t *testing.T, f *fleet) {
 				is := is.New(t)
 				time.Sleep(20 * time.Second)
-				older := f.store.Copy()
+				older := f.store.Backup()
 				var removed []*fleetTarget
 				for _, t := range f.targets {
 					if t.service == singleService {
--- a/internal/standin/objectstore/restore.go
+++ b/internal/standin/objectstore/restore.go
@@ -18,8 +18,8 @@
 	revision  uint64
 }
 
-// Copy returns a backup of the current state.
-func (s *Store) Copy() Backup {
+// Backup returns a backup of the current state.
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Backup{objects: maps.Clone(s.objects), history: slices.Clone(s.history), compacted: s.compacted, revision: s.revision}
--- a/internal/standin/objectstore/restore_test.go
+++ b/internal/standin/objectstore/restore_test.go
@@ -20,7 +20,7 @@
 	s := New(DefaultConfig())
 	c := newClient(s)
 	is.Equal(c.create(t.Context(), "kept", `{}`, nil), http.StatusOK)
-	older := s.Copy()
+	older := s.Backup()
 	is.Equal(c.create(t.Context(), "lost", `{}`, nil), http.StatusOK)
 	held := s.Revision()
 
@@ -74,7 +74,7 @@
 		is := is.New(t)
 		s := New(DefaultConfig())
 		c := newClient(s)
-		older := s.Copy()
+		older := s.Backup()
 		got := make(chan int, 1)
 		go func() {
 			got <- c.do(t.Context(), "GET", "/api/objects/claim?watch=0&waitMs=60000", "", nil)
@@ -88,7 +88,7 @@
 func TestEveryAnswerTellsTheEra(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig())
-	s.Restore(s.Copy())
+	s.Restore(s.Backup())
 	era := func(s *Store, path string) string {
 		resp, err := newClient(s).http.Get("http://" + testHost + path)
 		is.NoErr(err)
