--- a/internal/standin/objectstore/backups.go
+++ b/internal/standin/objectstore/backups.go
@@ -20,7 +20,7 @@
 // TakeBackups backs up the store at the configured interval until stop is closed. It returns at
 // once if no interval is configured.
 func (s *Store) TakeBackups(stop <-chan struct{}) {
-	every := s.cfg.CopyEvery.Std()
+	every := s.cfg.BackupInterval.Std()
 	if every <= 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // RestoreBackup restores the backup of about the given age, or the oldest available one.
 func (s *Store) RestoreBackup(age time.Duration) error {
-	every := s.cfg.CopyEvery.Std()
+	every := s.cfg.BackupInterval.Std()
 	if every <= 0 {
 		return errNoBackups
 	}
--- a/internal/standin/objectstore/config.go
+++ b/internal/standin/objectstore/config.go
@@ -21,20 +21,20 @@
 
 // Config is the configuration of the stand-in.
 type Config struct {
-	Listen      string        `json:"listen"`                   // host:port
-	Seed        uint64        `json:"seed,omitempty"`           // of the random number generator
-	SeedFile    string        `json:"seed_file,omitempty"`      // JSON of Seeds, loaded by Load
-	History     int           `json:"history"`                  // changes kept for watches
-	Page        int           `json:"page"`                     // objects in one list response
-	ClockOffset unit.Duration `json:"clock_offset"`             // platform's clock minus this machine's clock
-	NoClock     bool          `json:"no_clock,omitempty"`       // responses carry no Date header, as on the users' platform
-	NoEra       bool          `json:"no_era,omitempty"`         // responses carry no era header
-	CopyEvery   unit.Duration `json:"copy_every,omitempty"`     // interval between backups; 0: no backups
-	OldestCopy  unit.Duration `json:"oldest_copy,omitempty"`    // age of the oldest backup that is kept
-	WriteRate   float64       `json:"write_rate,omitempty"`     // writes/s; 0: no limit
-	ReadRate    float64       `json:"read_rate,omitempty"`      // reads/s, watches included; 0: no limit
-	Faults      Faults        `json:"faults,omitempty"`         // injected from the start
-	Seeds       Seeds         `json:"seeds,omitempty,omitzero"` // present from the start
+	Listen         string        `json:"listen"`                   // host:port
+	Seed           uint64        `json:"seed,omitempty"`           // of the random number generator
+	SeedFile       string        `json:"seed_file,omitempty"`      // JSON of Seeds, loaded by Load
+	History        int           `json:"history"`                  // changes kept for watches
+	Page           int           `json:"page"`                     // objects in one list response
+	ClockOffset    unit.Duration `json:"clock_offset"`             // platform's clock minus this machine's clock
+	NoClock        bool          `json:"no_clock,omitempty"`       // responses carry no Date header, as on the users' platform
+	NoEra          bool          `json:"no_era,omitempty"`         // responses carry no era header
+	BackupInterval unit.Duration `json:"copy_every,omitempty"`     // interval between backups; 0: no backups
+	OldestCopy     unit.Duration `json:"oldest_copy,omitempty"`    // age of the oldest backup that is kept
+	WriteRate      float64       `json:"write_rate,omitempty"`     // writes/s; 0: no limit
+	ReadRate       float64       `json:"read_rate,omitempty"`      // reads/s, watches included; 0: no limit
+	Faults         Faults        `json:"faults,omitempty"`         // injected from the start
+	Seeds          Seeds         `json:"seeds,omitempty,omitzero"` // present from the start
 }
 
 // Seeds are the objects that the store contains at its start.
@@ -66,8 +66,8 @@
 	if c.Page < 1 {
 		all = append(all, Error.New("page %d is below 1", c.Page))
 	}
-	if c.CopyEvery < 0 || c.OldestCopy < c.CopyEvery {
-		all = append(all, Error.New("copy_every %s, oldest_copy %s: want 0s or more, and the second not below the first", c.CopyEvery, c.OldestCopy))
+	if c.BackupInterval < 0 || c.OldestCopy < c.BackupInterval {
+		all = append(all, Error.New("copy_every %s, oldest_copy %s: want 0s or more, and the second not below the first", c.BackupInterval, c.OldestCopy))
 	}
 	if c.WriteRate < 0 || c.ReadRate < 0 {
 		all = append(all, Error.New("write_rate %g or read_rate %g is negative", c.WriteRate, c.ReadRate))
