--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -21,12 +21,12 @@
 // fakeEntry returns a fixed answer, or the refusal if it is set, and records the
 // requests.
 type fakeEntry struct {
-	lastSearch query.Search
+	lastSearch query.SearchRequest
 	calls      int
 	refusal    *query.Refusal
 }
 
-func (f *fakeEntry) Search(_ context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (f *fakeEntry) Search(_ context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	f.lastSearch = q
 	f.calls++
 	if f.refusal != nil {
--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -11,7 +11,7 @@
 
 // Entry runs the requests of callers.
 type Entry interface {
-	Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal)
+	Search(ctx context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal)
 	Reserve(ctx context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal)
 }
 
@@ -20,7 +20,7 @@
 
 // Search runs the search of the payload and encodes its answer or refusal.
 func (s queryService) Search(ctx context.Context, p *genquery.SearchPayload) (*genquery.SearchAnswer, error) {
-	answer, refusal := s.entry.Search(ctx, query.Search{
+	answer, refusal := s.entry.Search(ctx, query.SearchRequest{
 		RequestID:   requestID(ctx),
 		Caller:      stringOrEmpty(p.Caller),
 		Service:     stringOrEmpty(p.Service),
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -25,7 +25,7 @@
 // fakeHost serves both APIs, returns the configured results and records the
 // requests.
 type fakeHost struct {
-	search      query.Search
+	search      query.SearchRequest
 	reserve     query.ReserveRequest
 	statement   string
 	dryRun      bool
@@ -36,7 +36,7 @@
 	calls       int
 }
 
-func (f *fakeHost) Search(_ context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (f *fakeHost) Search(_ context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	f.calls++
 	f.search = q
 	return f.answer, f.refusal
@@ -113,7 +113,7 @@
 1 of 9 rows found, coverage 2 of 3 shards: PARTIAL, missing guest-portal-02/1
 snapshot 7 of workload guest-portal, 4 attempts for 3 shards, 1.5 ms, request r1
 `)
-	is.Equal(f.search, query.Search{
+	is.Equal(f.search, query.SearchRequest{
 		RequestID: "r1", Caller: "exec", Workload: "guest-portal", Text: "cooker", Limit: 5,
 		MinCoverage: 0.5, Budget: 250 * time.Millisecond,
 	})
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -31,7 +31,7 @@
 			cluster := newCluster(benchHosts, benchRelays, shards...)
 			e := cluster.entry()
 			e.relays = newPrecomputedRelays(cluster)
-			q := query.Search{RequestID: "r", Workload: testWorkload, MinCoverage: 1, Limit: 20, Budget: time.Minute}
+			q := query.SearchRequest{RequestID: "r", Workload: testWorkload, MinCoverage: 1, Limit: 20, Budget: time.Minute}
 			b.ReportAllocs()
 			before := cpuTime()
 			for b.Loop() {
--- a/internal/entry/scatter.go
+++ b/internal/entry/scatter.go
@@ -14,7 +14,7 @@
 // the goroutine of run; the relay calls send their results to the mailbox.
 type scatter struct {
 	entry           *Entry
-	search          query.Search
+	search          query.SearchRequest
 	urgency         query.Urgency
 	snapshot        uint64
 	workload        string
--- a/internal/entry/scope.go
+++ b/internal/entry/scope.go
@@ -20,7 +20,7 @@
 }
 
 // resolveScope looks up the service or workload of a search.
-func (e *Entry) resolveScope(q query.Search) (searchScope, *query.Refusal) {
+func (e *Entry) resolveScope(q query.SearchRequest) (searchScope, *query.Refusal) {
 	if (q.Service == "") == (q.Workload == "") {
 		return searchScope{}, e.refuse(query.ReasonBadRequest, outcome.NotSent, "name either a service or a workload")
 	}
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -14,7 +14,7 @@
 // Search answers a search from one snapshot or refuses it. Exactly one of the
 // results is set. It returns as soon as the answer is decided, at the latest
 // when the budget ends.
-func (e *Entry) Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (e *Entry) Search(ctx context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	start := time.Now()
 	answer, refusal := e.search(ctx, q)
 	elapsed := time.Since(start)
@@ -34,7 +34,7 @@
 	return answer, refusal
 }
 
-func (e *Entry) search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (e *Entry) search(ctx context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	scope, refusal := e.resolveScope(q)
 	if refusal != nil {
 		return nil, refusal
@@ -70,7 +70,7 @@
 
 // runOnSnapshots runs the search on one snapshot after another until no shard's
 // targets report that the snapshot is not held.
-func (e *Entry) runOnSnapshots(ctx context.Context, q query.Search, scope searchScope) searchRuns {
+func (e *Entry) runOnSnapshots(ctx context.Context, q query.SearchRequest, scope searchScope) searchRuns {
 	var runs searchRuns
 	tried := make(map[uint64]bool)
 	for ctx.Err() == nil {
@@ -93,7 +93,7 @@
 }
 
 // response returns the answer, or a refusal if the coverage is below the minimum.
-func (e *Entry) response(q query.Search, runs searchRuns) (*query.Answer, *query.Refusal) {
+func (e *Entry) response(q query.SearchRequest, runs searchRuns) (*query.Answer, *query.Refusal) {
 	s := runs.best
 	c := s.merger.coverage()
 	if c.Fraction() < q.MinCoverage {
@@ -148,7 +148,7 @@
 	return retryAfter
 }
 
-func (e *Entry) newScatter(q query.Search, scope searchScope, snap catalog.Snapshot) *scatter {
+func (e *Entry) newScatter(q query.SearchRequest, scope searchScope, snap catalog.Snapshot) *scatter {
 	return &scatter{
 		entry:     e,
 		search:    q,
--- a/internal/entry/search_test.go
+++ b/internal/entry/search_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-var workloadSearch = query.Search{RequestID: "r1", Caller: "shop", Workload: testWorkload, MinCoverage: 1}
+var workloadSearch = query.SearchRequest{RequestID: "r1", Caller: "shop", Workload: testWorkload, MinCoverage: 1}
 
 // TestSearchHistories runs searches over relays that are slow, frozen, refusing,
 // lost during the answer, or send duplicate and foreign results, with several
@@ -54,7 +54,7 @@
 	})
 }
 
-func drawScenario(rt *rapid.T) (*fakeCluster, query.Search) {
+func drawScenario(rt *rapid.T) (*fakeCluster, query.SearchRequest) {
 	hosts := rapid.IntRange(1, 4).Draw(rt, "hosts")
 	relays := rapid.IntRange(1, 3).Draw(rt, "relays")
 	services := rapid.IntRange(1, 3).Draw(rt, "services")
@@ -92,7 +92,7 @@
 
 // checkAnswer verifies an answer: its rows are from one snapshot and from whole
 // shards only, and its coverage lists exactly the shards without rows as missing.
-func checkAnswer(rt *rapid.T, cluster *fakeCluster, q query.Search, a *query.Answer) {
+func checkAnswer(rt *rapid.T, cluster *fakeCluster, q query.SearchRequest, a *query.Answer) {
 	var snap catalog.Snapshot
 	for _, s := range cluster.snapshots {
 		if s.ID == a.Snapshot {
@@ -131,7 +131,7 @@
 
 // searchImmediately runs a search in virtual time and fails the test if virtual
 // time passed.
-func searchImmediately(t *testing.T, cluster *fakeCluster, q query.Search) (*query.Answer, *query.Refusal) {
+func searchImmediately(t *testing.T, cluster *fakeCluster, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	t.Helper()
 	var answer *query.Answer
 	var refusal *query.Refusal
--- a/internal/integration/history_test.go
+++ b/internal/integration/history_test.go
@@ -53,7 +53,7 @@
 type timedSearch struct {
 	at   time.Duration
 	host int
-	q    query.Search
+	q    query.SearchRequest
 }
 
 // searchOutcome is the outcome of one search.
@@ -183,7 +183,7 @@
 		h.searches = append(h.searches, timedSearch{
 			at:   drawTime(rt, "search_at", 0, historySpan),
 			host: rapid.IntRange(0, h.hosts-1).Draw(rt, "entry"),
-			q: query.Search{
+			q: query.SearchRequest{
 				RequestID: fmt.Sprint("search-", len(h.searches)), Workload: workload, Budget: searchBudget,
 				MinCoverage: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "min_coverage"),
 			},
--- a/internal/load/relayloss_run.go
+++ b/internal/load/relayloss_run.go
@@ -87,7 +87,7 @@
 func (s *lossSite) lossSearchFunc(seed uint64, starts []time.Duration, u query.Urgency, c *lossRun) searchFunc {
 	begin := time.Now()
 	return func(ctx context.Context, index int) result {
-		q := query.Search{
+		q := query.SearchRequest{
 			RequestID:   requestID(seed, index),
 			Caller:      "load",
 			MinCoverage: lossMinCoverage,
@@ -108,7 +108,7 @@
 	}
 }
 
-func (s *lossSite) search(ctx context.Context, q query.Search, services []catalog.Service, index int) (result, coverageCheck) {
+func (s *lossSite) search(ctx context.Context, q query.SearchRequest, services []catalog.Service, index int) (result, coverageCheck) {
 	e := s.pickHost(index).entry
 	began := time.Now()
 	answer, refusal := e.Search(ctx, q)
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -222,7 +222,7 @@
 func (s *site) searchFunc(seed uint64, budget time.Duration) searchFunc {
 	return func(ctx context.Context, index int) result {
 		e := s.hosts[index%len(s.hosts)].entry
-		answer, refusal := e.Search(ctx, query.Search{
+		answer, refusal := e.Search(ctx, query.SearchRequest{
 			RequestID:   requestID(seed, index),
 			Caller:      "load",
 			Workload:    s.workload,
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -43,9 +43,9 @@
 	Score   float64 `json:"score"`
 }
 
-// Search is a search request to one service, or to every service of one workload.
+// SearchRequest is a search request to one service, or to every service of one workload.
 // Exactly one of Service and Workload is set.
-type Search struct {
+type SearchRequest struct {
 	RequestID   string
 	Caller      string
 	Service     string
