--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -53,7 +53,7 @@
 	cells := g.planCells(r, route, gatherers)
 	q := &dividedQuery{route: route, minParts: minParts, cells: make([]cellResult, len(cells))}
 	maxLost := len(route.Shards) - minParts
-	lossLimits := LossLimits{Most: maxLost, MaxUnreported: maxLost / len(cells)}
+	lossLimits := LossLimits{MaxLost: maxLost, MaxUnreported: maxLost / len(cells)}
 	updates := make(chan cellResult, 2*len(route.Shards)+2*len(cells)) // sending never blocks
 	for i, cell := range cells {
 		n := len(cell.Shards)
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -28,7 +28,7 @@
 
 // LossLimits limits the parts of a query that may be lost.
 type LossLimits struct {
-	Most          int // of the whole query; once more are lost it is abandoned
+	MaxLost       int // of the whole query; once more are lost it is abandoned
 	MaxUnreported int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
 
@@ -82,7 +82,7 @@
 	deadlineTimer := time.NewTimer(time.Until(r.deadline))
 	defer deadlineTimer.Stop()
 	late := false
-	for !collector.ended() && collector.failed <= lossLimits.Most {
+	for !collector.ended() && collector.failed <= lossLimits.MaxLost {
 		select {
 		case p := <-parts:
 			collector.add(p)
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -153,7 +153,7 @@
 func queryToWire(q *gateway.Query) *peerpb.GatherRequest {
 	out := &peerpb.GatherRequest{
 		RequestId: q.RequestID, Caller: q.Caller, Method: q.Method, Uri: q.URI, Host: q.Host, Body: q.Body,
-		Route: q.Route.Name, Shards: q.Route.Shards, TopK: uint32(q.Route.TopK), MostMissing: uint32(q.LossLimits.Most), UntoldMissing: uint32(q.LossLimits.MaxUnreported),
+		Route: q.Route.Name, Shards: q.Route.Shards, TopK: uint32(q.Route.TopK), MostMissing: uint32(q.LossLimits.MaxLost), UntoldMissing: uint32(q.LossLimits.MaxUnreported),
 		ObjectiveUs: q.Objective.Microseconds(), MaxAttempts: uint32(q.Route.MaxAttempts), Rank: int32(q.Route.Rank), Homes: q.Route.Homes,
 		AnswerUs: q.AnswerIn.Microseconds(), BudgetUs: q.Budget.Microseconds(), Late: q.Late, Asked: uint32(q.Asked),
 	}
@@ -174,7 +174,7 @@
 			Name: in.Route, Host: in.Host, Idempotent: true, Shards: in.Shards, TopK: int(in.TopK),
 			MaxAttempts: int(in.MaxAttempts), Rank: int(in.Rank), Homes: in.Homes,
 		},
-		LossLimits: gateway.LossLimits{Most: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.FromMicros(in.ObjectiveUs),
+		LossLimits: gateway.LossLimits{MaxLost: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.FromMicros(in.ObjectiveUs),
 		AnswerIn: peer.FromMicros(in.AnswerUs), Budget: peer.FromMicros(in.BudgetUs), Late: in.Late, Asked: int(in.Asked),
 	}
 }
