--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -168,7 +168,7 @@
 		if p.ended {
 			lost += p.shards - len(p.gathered.Signatures)
 		} else {
-			lost += p.gathered.Failed
+			lost += p.gathered.LostShards
 		}
 	}
 	return len(q.route.Shards)-lost < q.minParts
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -20,7 +20,7 @@
 	Attempts      int    // attempts at targets
 	Cut           bool   // the answer became due before all parts were there
 	PartBytes     int    // total size of the parts
-	Failed        int    // shards that can't be answered any more
+	LostShards    int    // shards that can't be answered any more
 	Helper        string // host that gathered the shards; empty: this one
 	// QuarantineRecords is the helper's quarantine records of the request, if targets ended under it.
 	QuarantineRecords []quarantine.Record
@@ -141,7 +141,7 @@
 func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
 		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
-		Outcome: c.combined, MissingShards: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
+		Outcome: c.combined, MissingShards: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), LostShards: c.failed,
 	}
 	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -182,7 +182,7 @@
 func gatheredToWire(g *gateway.Gathered, now time.Time) *peerpb.GatherReply {
 	return &peerpb.GatherReply{
 		Signatures: g.Signatures, Records: g.Records, Outcome: g.Outcome.String(), Lacking: g.MissingShards, Reason: g.Reason,
-		Attempts: uint32(g.Attempts), Cut: g.Cut, PartBytes: uint64(g.PartBytes), Failed: uint32(g.Failed),
+		Attempts: uint32(g.Attempts), Cut: g.Cut, PartBytes: uint64(g.PartBytes), Failed: uint32(g.LostShards),
 		Known: quarantine.AllToWire(g.QuarantineRecords, now),
 	}
 }
@@ -194,7 +194,7 @@
 	}
 	return gateway.Gathered{
 		Signatures: m.Signatures, Records: m.Records, Outcome: o, MissingShards: m.Lacking, Reason: m.Reason,
-		Attempts: int(m.Attempts), Cut: m.Cut, PartBytes: int(m.PartBytes), Failed: int(m.Failed),
+		Attempts: int(m.Attempts), Cut: m.Cut, PartBytes: int(m.PartBytes), LostShards: int(m.Failed),
 		QuarantineRecords: quarantine.AllFromWire(m.Known, now),
 	}, nil
 }
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -84,7 +84,7 @@
 	g.needsGoOn = true
 	g.result = gateway.Gathered{
 		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, MissingShards: "s(t)", Reason: "r",
-		Attempts: 4, Cut: true, PartBytes: 99, Failed: 2,
+		Attempts: 4, Cut: true, PartBytes: 99, LostShards: 2,
 	}
 	client, host := serve(t, g)
 	q := gateway.Query{
