--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -20,20 +20,20 @@
 // Query is a request to another host to gather some shards of a query. Durations count from the
 // moment at which it is received.
 type Query struct {
-	RequestID  string
-	Caller     string
-	Method     string
-	URI        string
-	Host       string
-	Header     http.Header
-	Body       []byte
-	Route      routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
-	LossLimits LossLimits
-	Objective  time.Duration // latency within which the answer counts as in time
-	AnswerIn   time.Duration // time until the answer is sent without the missing parts
-	Budget     time.Duration // time until the caller's deadline
-	Late       bool          // the request is a late retry
-	Asked      int           // how often other hosts may have sent the query to each shard
+	RequestID     string
+	Caller        string
+	Method        string
+	URI           string
+	Host          string
+	Header        http.Header
+	Body          []byte
+	Route         routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
+	LossLimits    LossLimits
+	Objective     time.Duration // latency within which the answer counts as in time
+	AnswerIn      time.Duration // time until the answer is sent without the missing parts
+	Budget        time.Duration // time until the caller's deadline
+	Late          bool          // the request is a late retry
+	PriorAttempts int           // how often other hosts may have sent the query to each shard
 }
 
 // Progress has the callbacks through which a gathering host reports its progress.
@@ -345,7 +345,7 @@
 	return Query{
 		RequestID: r.call.RequestID, Caller: r.caller, Method: r.method, URI: r.uri, Host: r.host,
 		Header: r.header, Body: r.body, Route: *req.route, LossLimits: req.lossLimits, Objective: r.objective,
-		AnswerIn: answerIn, Budget: time.Until(r.deadline), Late: r.lateRetry, Asked: otherHostAttempts,
+		AnswerIn: answerIn, Budget: time.Until(r.deadline), Late: r.lateRetry, PriorAttempts: otherHostAttempts,
 	}
 }
 
@@ -368,7 +368,7 @@
 	if g.quarantined(r) {
 		return Gathered{Outcome: outcome.NotSent, Reason: quarantine.ErrQuarantined.Error(), QuarantineRecords: g.quarantineRecords(r)}
 	}
-	got := g.gatherLocally(ctx, r, &q.Route, q.LossLimits, q.Asked, p.Partial)
+	got := g.gatherLocally(ctx, r, &q.Route, q.LossLimits, q.PriorAttempts, p.Partial)
 	got.QuarantineRecords = g.quarantineRecords(r)
 	return got
 }
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -94,7 +94,7 @@
 			Name: "all", Host: "a.example", Idempotent: true, Shards: []string{"s0", "s1"}, TopK: 5,
 			MaxAttempts: 2, Rank: 3, Homes: []string{"here"},
 		},
-		LossLimits: gateway.LossLimits{MaxLost: 3, MaxUnreported: 1}, Asked: 1,
+		LossLimits: gateway.LossLimits{MaxLost: 3, MaxUnreported: 1}, PriorAttempts: 1,
 		Objective: 150 * time.Millisecond,
 		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, Late: true,
 	}
