--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -32,7 +32,7 @@
 	Objective     time.Duration // latency within which the answer counts as in time
 	AnswerIn      time.Duration // time until the answer is sent without the missing parts
 	Budget        time.Duration // time until the caller's deadline
-	Late          bool          // the request is a late retry
+	LateRetry     bool          // the request is a late retry
 	PriorAttempts int           // how often other hosts may have sent the query to each shard
 }
 
@@ -345,7 +345,7 @@
 	return Query{
 		RequestID: r.call.RequestID, Caller: r.caller, Method: r.method, URI: r.uri, Host: r.host,
 		Header: r.header, Body: r.body, Route: *req.route, LossLimits: req.lossLimits, Objective: r.objective,
-		AnswerIn: answerIn, Budget: time.Until(r.deadline), Late: r.lateRetry, PriorAttempts: otherHostAttempts,
+		AnswerIn: answerIn, Budget: time.Until(r.deadline), LateRetry: r.lateRetry, PriorAttempts: otherHostAttempts,
 	}
 }
 
@@ -379,7 +379,7 @@
 	r := &request{
 		call: Call{RequestID: q.RequestID, Budget: q.Budget}, caller: q.Caller, method: q.Method, uri: q.URI, host: q.Host,
 		header: q.Header, body: q.Body, arrived: now, arrivedClock: g.state.Clock().Now(), answerBy: now.Add(q.AnswerIn), deadline: now.Add(q.Budget),
-		objective: q.Objective, rank: q.Route.Rank, homeRegions: q.Route.Homes, sharded: true, lateRetry: q.Late, stats: g.routeStats.forRoute(q.Route.Name),
+		objective: q.Objective, rank: q.Route.Rank, homeRegions: q.Route.Homes, sharded: true, lateRetry: q.LateRetry, stats: g.routeStats.forRoute(q.Route.Name),
 	}
 	r.latencyScale = r.stats.latencyScale(r.objective)
 	return r
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -155,7 +155,7 @@
 		RequestId: q.RequestID, Caller: q.Caller, Method: q.Method, Uri: q.URI, Host: q.Host, Body: q.Body,
 		Route: q.Route.Name, Shards: q.Route.Shards, TopK: uint32(q.Route.TopK), MostMissing: uint32(q.LossLimits.MaxLost), UntoldMissing: uint32(q.LossLimits.MaxUnreported),
 		ObjectiveUs: q.Objective.Microseconds(), MaxAttempts: uint32(q.Route.MaxAttempts), Rank: int32(q.Route.Rank), Homes: q.Route.Homes,
-		AnswerUs: q.AnswerIn.Microseconds(), BudgetUs: q.Budget.Microseconds(), Late: q.Late, Asked: uint32(q.PriorAttempts),
+		AnswerUs: q.AnswerIn.Microseconds(), BudgetUs: q.Budget.Microseconds(), Late: q.LateRetry, Asked: uint32(q.PriorAttempts),
 	}
 	for name, values := range q.Header {
 		out.Header = append(out.Header, &peerpb.HeaderField{Name: name, Values: values})
@@ -175,7 +175,7 @@
 			MaxAttempts: int(in.MaxAttempts), Rank: int(in.Rank), Homes: in.Homes,
 		},
 		LossLimits: gateway.LossLimits{MaxLost: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.FromMicros(in.ObjectiveUs),
-		AnswerIn: peer.FromMicros(in.AnswerUs), Budget: peer.FromMicros(in.BudgetUs), Late: in.Late, PriorAttempts: int(in.Asked),
+		AnswerIn: peer.FromMicros(in.AnswerUs), Budget: peer.FromMicros(in.BudgetUs), LateRetry: in.Late, PriorAttempts: int(in.Asked),
 	}
 }
 
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -96,7 +96,7 @@
 		},
 		LossLimits: gateway.LossLimits{MaxLost: 3, MaxUnreported: 1}, PriorAttempts: 1,
 		Objective: 150 * time.Millisecond,
-		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, Late: true,
+		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, LateRetry: true,
 	}
 	load := 0
 	got, err := client.Gather(t.Context(), t.Context(), host, q, gateway.Progress{Accepted: func(n int) bool {
