--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -111,7 +111,7 @@
 func (s *Site) startPlatform() (*objectstore.Store, string, error) {
 	c := objectstore.DefaultConfig()
 	c.Seeds = s.layout.Seeds()
-	c.BackupInterval, c.OldestCopy = unit.Duration(copyInterval), unit.Duration(copyRetention)
+	c.BackupInterval, c.MaxBackupAge = unit.Duration(copyInterval), unit.Duration(copyRetention)
 	store := objectstore.New(c)
 	address, err := s.serve(objectstore.NewServer(store))
 	if err != nil {
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -72,7 +72,7 @@
 func (c Config) storeConfig() objectstore.Config {
 	cfg := objectstore.DefaultConfig()
 	if c.Restores {
-		cfg.BackupInterval, cfg.OldestCopy = unit.Duration(backupInterval), unit.Duration(maxBackupAge)
+		cfg.BackupInterval, cfg.MaxBackupAge = unit.Duration(backupInterval), unit.Duration(maxBackupAge)
 	}
 	return cfg
 }
--- a/internal/standin/objectstore/backups.go
+++ b/internal/standin/objectstore/backups.go
@@ -27,7 +27,7 @@
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		s.backups.append(s.Backup(), int(s.cfg.OldestCopy.Std()/every))
+		s.backups.append(s.Backup(), int(s.cfg.MaxBackupAge.Std()/every))
 		select {
 		case <-tick.C:
 		case <-stop:
--- a/internal/standin/objectstore/config.go
+++ b/internal/standin/objectstore/config.go
@@ -30,7 +30,7 @@
 	NoClock        bool          `json:"no_clock,omitempty"`       // responses carry no Date header, as on the users' platform
 	NoEra          bool          `json:"no_era,omitempty"`         // responses carry no era header
 	BackupInterval unit.Duration `json:"copy_every,omitempty"`     // interval between backups; 0: no backups
-	OldestCopy     unit.Duration `json:"oldest_copy,omitempty"`    // age of the oldest backup that is kept
+	MaxBackupAge   unit.Duration `json:"oldest_copy,omitempty"`    // age of the oldest backup that is kept
 	WriteRate      float64       `json:"write_rate,omitempty"`     // writes/s; 0: no limit
 	ReadRate       float64       `json:"read_rate,omitempty"`      // reads/s, watches included; 0: no limit
 	Faults         Faults        `json:"faults,omitempty"`         // injected from the start
@@ -66,8 +66,8 @@
 	if c.Page < 1 {
 		all = append(all, Error.New("page %d is below 1", c.Page))
 	}
-	if c.BackupInterval < 0 || c.OldestCopy < c.BackupInterval {
-		all = append(all, Error.New("copy_every %s, oldest_copy %s: want 0s or more, and the second not below the first", c.BackupInterval, c.OldestCopy))
+	if c.BackupInterval < 0 || c.MaxBackupAge < c.BackupInterval {
+		all = append(all, Error.New("copy_every %s, oldest_copy %s: want 0s or more, and the second not below the first", c.BackupInterval, c.MaxBackupAge))
 	}
 	if c.WriteRate < 0 || c.ReadRate < 0 {
 		all = append(all, Error.New("write_rate %g or read_rate %g is negative", c.WriteRate, c.ReadRate))
--- a/internal/standin/objectstore/restore_test.go
+++ b/internal/standin/objectstore/restore_test.go
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
-		cfg.BackupInterval, cfg.OldestCopy = unit.Duration(time.Second), unit.Duration(5*time.Second)
+		cfg.BackupInterval, cfg.MaxBackupAge = unit.Duration(time.Second), unit.Duration(5*time.Second)
 		s := New(cfg)
 		c := newClient(s)
 		stop := make(chan struct{})
