--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -93,7 +93,7 @@
 // is available before Start. Stop closes it.
 func (s *Server) UseListener(ln net.Listener) { s.ln = ln }
 
-// Start serves in the background until Stop. It opens a listener unless On has
+// Start serves in the background until Stop. It opens a listener unless UseListener has
 // set one.
 func (s *Server) Start(context.Context) error {
 	if s.ln == nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Addr returns the listener's address. It must not be called before On or Start.
+// Addr returns the listener's address. It must not be called before UseListener or Start.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Stop accepts no new connections and waits for the requests in flight. If ctx
--- a/internal/delivery/completeness.go
+++ b/internal/delivery/completeness.go
@@ -76,7 +76,7 @@
 	overdueAfter time.Duration // time from the end of a live host's newest window after which the next one is overdue
 }
 
-// fillIncomplete sets To, Missing and Open of c.
+// fillIncomplete sets To, Missing and Incomplete of c.
 func (p hostEvidence) fillIncomplete(c *Completeness) {
 	byHost := windowSetOf(joinSpans(p.spans))
 	c.To = p.now
@@ -128,7 +128,7 @@
 }
 
 // checkNewest checks the newest window of an incarnation: it adds the
-// incarnation to Open, or moves To back to the end of that window.
+// incarnation to Incomplete, or moves To back to the end of that window.
 func (p hostEvidence) checkNewest(c *Completeness, last Span, alive bool) {
 	switch {
 	case last.Final:
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -4,7 +4,7 @@
 // it was last confirmed to be current.
 //
 // State holds the cache and merges what the store and other hosts report. Follower keeps a State up
-// to date: a few hosts watch the store, the others long-poll those hosts. Spread is the exchange
+// to date: a few hosts watch the store, the others long-poll those hosts. Exchange exchanges state
 // with other hosts. Source is the store as this package reads it; platform implements it. The
 // package does not decide where requests are sent: routing, health and quarantine decisions are
 // made by the packages that subscribe to State.
--- a/internal/member/members.go
+++ b/internal/member/members.go
@@ -101,7 +101,7 @@
 	m.revisions = r
 }
 
-// noRevisions is the source of revisions until Follow is called.
+// noRevisions is the source of revisions until SetRevisionSource is called.
 type noRevisions struct{}
 
 func (noRevisions) Revision() uint64 { return 0 }
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -163,7 +163,7 @@
 }
 
 // reconnectTargets returns the dead hosts, and the seeds whose address no
-// listed host has; of the latter only Peer is set. m.mu is held.
+// listed host has; of the latter only PeerAddress is set. m.mu is held.
 func (m *Members) reconnectTargets() []Host {
 	var targets []Host
 	known := map[string]bool{m.self.PeerAddress: true}
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -20,7 +20,7 @@
 	latency      time.Duration
 	loseAnswers  int // number of next writes whose response is lost
 	loseRequests int // number of next writes whose request is lost
-	holdWrites   int // number of next writes that are applied by Release
+	holdWrites   int // number of next writes that are applied by ApplyDelayedWrites
 	now          time.Time
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -51,7 +51,7 @@
 // before Start. Stop closes it.
 func (s *Server) UseListener(ln net.Listener) { s.ln = ln }
 
-// Start serves in the background until Stop. It opens a listener unless On has
+// Start serves in the background until Stop. It opens a listener unless UseListener has
 // set one.
 func (s *Server) Start(context.Context) error {
 	if s.ln == nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Addr returns the listener's address, after On or Start.
+// Addr returns the listener's address, after UseListener or Start.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Stop closes the listener, rejects new calls as not run, and waits for running
--- a/internal/policy/callers.go
+++ b/internal/policy/callers.go
@@ -56,7 +56,7 @@
 	writeLag        TailEstimate  // delay between the time an answer is due and the time it is written
 }
 
-// NewCallerServer returns the estimates of a route before its first request.
+// NewCallers returns the estimates of a route before its first request.
 func NewCallers() Callers { return Callers{writeLag: NewTailEstimate(initialWriteLag, minWriteLag)} }
 
 // Observe records an arrival. Call it before Late or AnswerBy for the same
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -125,7 +125,7 @@
 	Among   []string // services that the request is sent to
 }
 
-// Admit waits until an attempt is admitted, and reports whether it is admitted alone; Left must
+// Admit waits until an attempt is admitted, and reports whether it is admitted alone; Release must
 // follow then. It fails with ErrQuarantined, with ErrBusy at the time until, or with the error of
 // ctx.
 func (t *Table) Admit(ctx context.Context, a Attempt, until time.Time) (alone bool, err error) {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -4,7 +4,7 @@
 // Messages carry time as a remaining budget, never as a clock reading, as the
 // wall clocks of two hosts are never compared.
 //
-// It contains no routing, encoding or network code. Start reading at Search and
+// It contains no routing, encoding or network code. Start reading at SearchRequest and
 // Answer, then Batch and ShardResult; Refusal is in refusal.go.
 package query
 
@@ -75,7 +75,7 @@
 	return float64(c.Answered) / float64(c.Shards)
 }
 
-// Answer is the merged answer to a Search. All rows are of one snapshot.
+// Answer is the merged answer to a SearchRequest. All rows are of one snapshot.
 type Answer struct {
 	RequestID     string
 	Workload      string
@@ -132,7 +132,7 @@
 	Budget        time.Duration
 }
 
-// Reservation is the final result of a Reserve. Answer is the text returned by
+// Reservation is the final result of a ReserveRequest. Answer is the text returned by
 // the target and is set only if Outcome is Done.
 type Reservation struct {
 	RequestID     string
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -160,7 +160,7 @@
 	return r.lastWeightedService()
 }
 
-// lastWeightedService returns the last service with a weight. Choose falls back
+// lastWeightedService returns the last service with a weight. ChooseService falls back
 // to it if rounding errors leave a remainder after all weights.
 func (r *Route) lastWeightedService() string {
 	for _, d := range slices.Backward(r.Destinations) {
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The output of Effective parses to the same settings.
+// The output of EffectiveJSON parses to the same settings.
 func TestEffectiveReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, err := EffectiveJSON(drawFleet(t))
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -94,7 +94,7 @@
 	return p.free()
 }
 
-// free is Free for callers that hold p.mu.
+// free is HasFree for callers that hold p.mu.
 func (p *Pool) free() bool { return !p.closed && len(p.idle)+max(p.limit-p.openCount, 0) > p.reserved }
 
 // TryReserve reserves a connection if one is free, and reports whether it did.
