--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -75,7 +75,7 @@
 // sendGatewayRequests sends a query and a request that may run only once to the
 // gateway host, as callers on the users' platform do.
 func (c *demoCommand) sendGatewayRequests(site *demo.Site) error {
-	for i, path := range []string{platformtarget.SiteQueryPath + "wedding", platformtarget.SiteSingle + "pressure-cooker"} {
+	for i, path := range []string{platformtarget.SiteQueryPath + "wedding", platformtarget.SiteSinglePath + "pressure-cooker"} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+site.Gateway()+path, nil)
 		if err != nil {
 			return exitErrorf(ExitFailed, "%s", err)
--- a/internal/cli/report_test.go
+++ b/internal/cli/report_test.go
@@ -82,7 +82,7 @@
 	is.NoErr(h.Start(t.Context()))
 	is.NoErr(h.WaitReady(t.Context()))
 	for range n {
-		for _, path := range []string{platformtarget.SiteQueryPath, platformtarget.SiteSingle} {
+		for _, path := range []string{platformtarget.SiteQueryPath, platformtarget.SiteSinglePath} {
 			req, err := http.NewRequest(http.MethodGet, "http://"+h.Addresses().Callers+path+"x", nil)
 			is.NoErr(err)
 			req.Host = platformtarget.SiteHost
--- a/internal/gatewayhost/host_test.go
+++ b/internal/gatewayhost/host_test.go
@@ -118,7 +118,7 @@
 	is.Equal(getStatus(t, a.Readiness+"/api/readyz"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics/runtime"), http.StatusOK)
-	for _, path := range []string{platformtarget.SiteQueryPath + "x", platformtarget.SiteSingle + "x"} {
+	for _, path := range []string{platformtarget.SiteQueryPath + "x", platformtarget.SiteSinglePath + "x"} {
 		got, _, err := sendRequest(http.DefaultClient, a.Callers, path, "r1")
 		is.NoErr(err)
 		is.Equal(got, http.StatusOK)
@@ -179,7 +179,7 @@
 					return
 				default:
 				}
-				got, body, err := sendRequest(c, address, platformtarget.SiteSingle+"x", strconv.Itoa(i)+"-"+strconv.Itoa(n))
+				got, body, err := sendRequest(c, address, platformtarget.SiteSinglePath+"x", strconv.Itoa(i)+"-"+strconv.Itoa(n))
 				if err != nil || got != http.StatusOK {
 					cut.Add(1)
 					t.Logf("status %d: %v %s", got, err, body)
--- a/internal/standin/platformtarget/site.go
+++ b/internal/standin/platformtarget/site.go
@@ -36,9 +36,9 @@
 
 // Host name and path prefixes of the site's routes.
 const (
-	SiteHost      = "lists.example"
-	SiteQueryPath = "/lists/" // route to all shards
-	SiteSingle    = "/gifts/" // non-idempotent route to one service
+	SiteHost       = "lists.example"
+	SiteQueryPath  = "/lists/" // route to all shards
+	SiteSinglePath = "/gifts/" // non-idempotent route to one service
 )
 
 // Site is a set of targets on loopback, registered in a store stand-in together with a
@@ -57,7 +57,7 @@
 		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteLatencyTargetMs, MaxAttempts: 2, TopK: siteTopK, MinSuccessShare: siteMinSuccessShare,
 	}
 	single := platform.Route{
-		Name: "gifts", Hostname: SiteHost, PathPrefix: SiteSingle, Type: platform.TypeNonIdempotent, Service: "gifts",
+		Name: "gifts", Hostname: SiteHost, PathPrefix: SiteSinglePath, Type: platform.TypeNonIdempotent, Service: "gifts",
 		TimeoutMs: siteTimeoutMs, TargetLatencyMs: siteLatencyTargetMs, MaxAttempts: 2,
 	}
 	services := []string{single.Service}
