--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -76,7 +76,7 @@
 // request's keys.
 func (t *Table) Empty() bool { return t == nil || t.size.Load() == 0 }
 
-// SetClock sets the clock for the ages of strikes, one that includes the time in which the machine is
+// GoBy sets the clock for the ages of strikes, one that includes the time in which the machine is
 // suspended. Call it before the table is used.
 func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
 
