--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -21,12 +21,12 @@
 // fakeEntry returns a fixed answer, or the refusal if it is set, and records the
 // requests.
 type fakeEntry struct {
-	lastSearch query.Search
+	lastSearch query.SearchRequest
 	calls      int
 	refusal    *query.Refusal
 }
 
-func (f *fakeEntry) Search(_ context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (f *fakeEntry) Search(_ context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	f.lastSearch = q
 	f.calls++
 	if f.refusal != nil {
@@ -36,7 +36,7 @@
 	return &query.Answer{RequestID: q.RequestID, Snapshot: 7, Coverage: query.Coverage{Shards: 2, Answered: 1, Missing: []query.ShardKey{{Service: "s", Shard: 1}}}}, nil
 }
 
-func (f *fakeEntry) Reserve(_ context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (f *fakeEntry) Reserve(_ context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	f.calls++
 	return query.Reservation{RequestID: r.RequestID, ReservationID: r.ReservationID, Outcome: outcome.Done}, nil
 }
@@ -62,7 +62,7 @@
 }
 
 func callers(e Entry, h Host) http.Handler {
-	return NewCallers(DefaultConfig(), "", e, h, event.Discard()).server.Handler
+	return NewCallerServer(DefaultConfig(), "", e, h, event.Discard()).server.Handler
 }
 
 // TestBadRequests checks that each malformed request is refused with a reason and
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	exec := &fakeExecutor{}
 	ops := []Operator{{Name: "rekha", Token: "t-one"}, {Name: "joao", Token: "t-two"}}
-	h := NewOperators(DefaultConfig(), "", ops, exec, &fakeHost{}, prometheus.NewRegistry(), event.Discard()).server.Handler
+	h := NewOperatorServer(DefaultConfig(), "", ops, exec, &fakeHost{}, prometheus.NewRegistry(), event.Discard()).server.Handler
 	for _, header := range []string{"", "Bearer", "Bearer t-on", "Bearer t-onee", "t-one"} {
 		res, fields := call(h, "/v1/statements", `{"statement":"show hosts"}`, "Authorization", header)
 		is.Equal(res.StatusCode, 401)
--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -11,8 +11,8 @@
 
 // Entry runs the requests of callers.
 type Entry interface {
-	Search(ctx context.Context, q query.Search) (*query.Answer, *query.Refusal)
-	Reserve(ctx context.Context, r query.Reserve) (query.Reservation, *query.Refusal)
+	Search(ctx context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal)
+	Reserve(ctx context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal)
 }
 
 // queryService implements the goa service "query" over an Entry.
@@ -20,7 +20,7 @@
 
 // Search runs the search of the payload and encodes its answer or refusal.
 func (s queryService) Search(ctx context.Context, p *genquery.SearchPayload) (*genquery.SearchAnswer, error) {
-	answer, refusal := s.entry.Search(ctx, query.Search{
+	answer, refusal := s.entry.Search(ctx, query.SearchRequest{
 		RequestID:   requestID(ctx),
 		Caller:      stringOrEmpty(p.Caller),
 		Service:     stringOrEmpty(p.Service),
@@ -38,7 +38,7 @@
 
 // Reserve runs the reservation of the payload and encodes its answer or refusal.
 func (s queryService) Reserve(ctx context.Context, p *genquery.ReservePayload) (*genquery.ReservationAnswer, error) {
-	r, refusal := s.entry.Reserve(ctx, query.Reserve{
+	r, refusal := s.entry.Reserve(ctx, query.ReserveRequest{
 		RequestID:     requestID(ctx),
 		Caller:        stringOrEmpty(p.Caller),
 		ReservationID: p.ReservationID,
@@ -68,7 +68,7 @@
 		TotalRows: a.TotalRows,
 		Coverage:  encodeCoverage(a.Coverage),
 		Attempts:  a.Attempts,
-		Needed:    a.Needed,
+		Needed:    a.NeededAnswers,
 		ElapsedMs: float64(a.Elapsed) / float64(time.Millisecond),
 	}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -36,8 +36,8 @@
 	Leaving() bool
 }
 
-// NewCallers returns the listener for callers and the balancer.
-func NewCallers(cfg Config, address string, entry Entry, host Host, log *event.Log) *Server {
+// NewCallerServer returns the listener for callers and the balancer.
+func NewCallerServer(cfg Config, address string, entry Entry, host Host, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genquery.NewEndpoints(queryService{entry})
 	queryserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
@@ -47,9 +47,9 @@
 	return newServer(cfg, address, closeWhenLeaving(host, withRequestID(handler)), log)
 }
 
-// NewOperators returns the listener for operators: statements, metrics and
+// NewOperatorServer returns the listener for operators: statements, metrics and
 // health. Only statements require an operator's bearer token.
-func NewOperators(cfg Config, address string, operators []Operator, exec Executor, host Host, metrics prometheus.Gatherer, log *event.Log) *Server {
+func NewOperatorServer(cfg Config, address string, operators []Operator, exec Executor, host Host, metrics prometheus.Gatherer, log *event.Log) *Server {
 	mux := goahttp.NewMuxer()
 	endpoints := genoperate.NewEndpoints(&operateService{operators: operators, exec: exec})
 	operateserver.New(endpoints, mux, newDecoder, goahttp.ResponseEncoder, logWriteErrors(log), formatError).Mount(mux)
@@ -89,11 +89,11 @@
 	}
 }
 
-// On makes the server use a listener that is already open, so that its address
+// UseListener makes the server use a listener that is already open, so that its address
 // is available before Start. Stop closes it.
-func (s *Server) On(ln net.Listener) { s.ln = ln }
+func (s *Server) UseListener(ln net.Listener) { s.ln = ln }
 
-// Start serves in the background until Stop. It opens a listener unless On has
+// Start serves in the background until Stop. It opens a listener unless UseListener has
 // set one.
 func (s *Server) Start(context.Context) error {
 	if s.ln == nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// Addr returns the listener's address. It must not be called before On or Start.
+// Addr returns the listener's address. It must not be called before UseListener or Start.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Stop accepts no new connections and waits for the requests in flight. If ctx
--- a/internal/catalog/change_test.go
+++ b/internal/catalog/change_test.go
@@ -55,20 +55,20 @@
 	case "requests lost":
 		c.client.LoseNextRequests(f.calls)
 	case "late":
-		c.client.HoldNextWrites(f.calls)
+		c.client.DelayNextWrites(f.calls)
 	case "slow":
 		c.client.SetLatency(time.Duration(f.calls) * time.Second)
 	case "down":
-		c.client.Outage(true)
+		c.client.SetDown(true)
 	}
 }
 
 func (c operatorClient) clearFaults() {
 	c.client.LoseNextAnswers(0)
 	c.client.LoseNextRequests(0)
-	c.client.HoldNextWrites(0)
+	c.client.DelayNextWrites(0)
 	c.client.SetLatency(0)
-	c.client.Outage(false)
+	c.client.SetDown(false)
 }
 
 // round is one request per operator, all made concurrently.
@@ -108,14 +108,14 @@
 	}
 	if r.releaseEarly {
 		time.Sleep(time.Second)
-		p.Release()
+		p.ApplyDelayedWrites()
 	}
 	wg.Wait()
 	for _, c := range clients {
 		c.clearFaults()
 	}
 	if r.releaseLate {
-		p.Release()
+		p.ApplyDelayedWrites()
 	}
 	return results
 }
@@ -171,7 +171,7 @@
 			for _, r := range rounds {
 				results = append(results, r.run(t.Context(), p, clients)...)
 			}
-			p.Release()
+			p.ApplyDelayedWrites()
 			writes := writesByChangeID(t.Context(), p)
 			for i, r := range results {
 				seen[r.Status]++
@@ -247,24 +247,24 @@
 		is.Equal(lost.Lost.Version, uint64(2))
 		is.Equal(lost.Lost.Winner.ID, won.ChangeID)
 		is.Equal(lost.Lost.Winner.Operator, "winner")
-		is.Equal(lost.Lost.Differs, []FieldDiff{{Path: "rules.relays", Stands: "3", Wanted: "4"}})
+		is.Equal(lost.Lost.Differs, []FieldDiff{{Path: "rules.relays", Current: "3", Wanted: "4"}})
 	})
 }
 
 func TestUnresponsivePlatformLeavesAChangeUnknown(t *testing.T) {
 	withService(t, func(ctx context.Context, is *is.I, p *objstoretest.Platform, c operatorClient) {
-		c.client.Outage(true)
+		c.client.SetDown(true)
 		is.Equal(c.editor.Change(ctx, alter(1, 3, "x")).Status, Refused) // it was not sent
-		c.client.Outage(false)
+		c.client.SetDown(false)
 
-		c.client.HoldNextWrites(1)
+		c.client.DelayNextWrites(1)
 		c.client.SetLatency(time.Second)
-		time.AfterFunc(2500*time.Millisecond, func() { c.client.Outage(true) })
+		time.AfterFunc(2500*time.Millisecond, func() { c.client.SetDown(true) })
 		start := time.Now()
 		r := c.editor.Change(ctx, alter(1, 3, "x"))
 		is.Equal(r.Status, Unknown)
 		is.True(time.Since(start) <= DefaultConfig().ChangeTimeout.Std())
-		p.Release()
+		p.ApplyDelayedWrites()
 		c.clearFaults()
 		s, err := c.editor.Read(ctx, "a")
 		is.NoErr(err)
--- a/internal/catalog/spread_test.go
+++ b/internal/catalog/spread_test.go
@@ -90,7 +90,7 @@
 
 		for _, n := range f.allNodes() {
 			if watchRank(n.host, n.Hosts()) < DefaultConfig().WatchersPerDomain {
-				n.client.Outage(true) // the watchers still reach their peers
+				n.client.SetDown(true) // the watchers still reach their peers
 			}
 		}
 		f.advance(2 * DefaultConfig().TakeoverAfter.Std())
@@ -122,12 +122,12 @@
 func TestOutageOfThePlatform(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		cut := f.nodes[3]
-		cut.client.Outage(true) // it still reaches its peers
+		cut.client.SetDown(true) // it still reaches its peers
 		revision := f.write(testService("b"))
 		f.advance(maxPropagationTime)
 		is.Equal(f.countInForce(revision), 12)
 
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.advance(5 * time.Minute)
 		is.Equal(f.countStale(), 0) // the peers confirm each other
 		started := f.add("host-12", "domain-0")
@@ -137,7 +137,7 @@
 		_, ok := started.catalog.Service("b")
 		is.True(ok)
 
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		f.platform.Compact()
 		revision = f.write(testService("c"))
 		f.advance(maxPropagationTime)
@@ -153,7 +153,7 @@
 		f.omitRevisions = true
 		revision := f.write(testService("a"))
 		f.advance(maxPropagationTime)
-		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).On, 12)
+		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).InForceCount, 12)
 		f.isolate(f.nodes[5].host.ID)
 		is.Equal(f.nodes[0].catalog.InForce(context.Background(), revision).Missing, []string{f.nodes[5].host.ID})
 	})
@@ -164,7 +164,7 @@
 // to a request that it sent after it resumed.
 func TestHostThatWasSuspendedIsStaleAndRecovers(t *testing.T) {
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		f.hostClock = machine
 		resumed := f.add("host-12", "domain-0")
 		f.hostClock = nil
@@ -182,19 +182,19 @@
 	inFleet(t, 12, 3, func(is *is.I, f *fleet) {
 		alone := f.nodes[5]
 		f.isolate(alone.host.ID)
-		alone.client.Outage(true)
+		alone.client.SetDown(true)
 		revision := f.write(testService("a"))
 		f.advance(DefaultConfig().StaleAfter.Std() + time.Millisecond)
 		is.True(alone.catalog.Stale())
 		is.Equal(f.countStale(), 1)
 		is.Equal(f.countInForce(revision), 11)
 		report := f.nodes[0].catalog.InForce(context.Background(), revision)
-		is.Equal(report.Of, 12)
-		is.Equal(report.On, 11)
+		is.Equal(report.HostCount, 12)
+		is.Equal(report.InForceCount, 11)
 		is.Equal(report.Missing, []string{alone.host.ID})
 		is.True(report.Revisions[alone.host.ID] < revision)
 
-		alone.client.Outage(false) // access to the platform alone is sufficient
+		alone.client.SetDown(false) // access to the platform alone is sufficient
 		f.advance(maxPropagationTime)
 		is.True(!alone.catalog.Stale())
 		is.Equal(f.countInForce(revision), 12)
@@ -206,7 +206,7 @@
 // connected again they recover without the platform; a minority does not.
 func TestNetworkFailureDuringOutage(t *testing.T) {
 	inFleet(t, 9, 3, func(is *is.I, f *fleet) {
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		f.isolateAll()
 		f.advance(settleTime)
 		is.Equal(f.countStale(), 9)
@@ -294,7 +294,7 @@
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		f.write(testService("b"))
 		f.advance(maxPropagationTime)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		for _, name := range []string{"c", "d", "e"} {
 			f.write(testService(name))
 		}
@@ -317,7 +317,7 @@
 	inFleet(t, 3, 1, func(is *is.I, f *fleet) {
 		operator := NewEditor(f.nodes[0].catalog)
 		created, altered := testService("created"), testService("a")
-		older := f.platform.Copy() // in this copy service a was not written by a change
+		older := f.platform.Backup() // in this copy service a was not written by a change
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Create, Service: created}).Status, Accepted)
 		for version := range uint64(3) {
 			altered.Targets[0].Slots++
@@ -348,7 +348,7 @@
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
 		operator := f.newOperator(is)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
 		f.advance(maxPropagationTime)
 		f.connectPlatform(false)
@@ -371,7 +371,7 @@
 		lost, made := testService("a"), testService("a")
 		lost.Targets[0].Slots, made.Targets[0].Slots = 7, 9
 		operator := f.newOperator(is)
-		older := f.platform.Copy()
+		older := f.platform.Backup()
 		is.Equal(operator.Change(f.t.Context(), Request{Verb: Alter, Service: lost, Version: 2}).Status, Accepted)
 		f.advance(maxPropagationTime)
 		f.platform.Restore(older)
@@ -391,7 +391,7 @@
 // connectPlatform connects all hosts to the platform, or disconnects them.
 func (f *fleet) connectPlatform(connected bool) {
 	for _, n := range f.allNodes() {
-		n.client.Outage(!connected)
+		n.client.SetDown(!connected)
 	}
 }
 
@@ -427,7 +427,7 @@
 	defer func() { _ = errors.Join(pool.Stop(context.Background()), server.Stop(context.Background())) }()
 
 	puller := New(DefaultConfig(), n.fleet.platform.Client(), n, NewPeerPuller(pool), n, event.Discard(), nil)
-	puller.pull(t.Context(), member.Host{ID: "answering", Peer: server.Addr()})
+	puller.pull(t.Context(), member.Host{ID: "answering", PeerAddress: server.Addr()})
 	is.Equal(puller.Revision(), uint64(5))
 	is.True(puller.Stale()) // the responding host is stale itself
 }
--- a/internal/claim/attemptclient.go
+++ b/internal/claim/attemptclient.go
@@ -29,9 +29,9 @@
 // PeerAttemptClient is the AttemptClient that calls hosts over drpc.
 type PeerAttemptClient struct{ dialer peer.Dialer }
 
-// NewPeerAsker returns a PeerAttemptClient that connects to hosts through the
+// NewPeerAttemptClient returns a PeerAttemptClient that connects to hosts through the
 // dialer.
-func NewPeerAsker(d peer.Dialer) *PeerAttemptClient { return &PeerAttemptClient{d} }
+func NewPeerAttemptClient(d peer.Dialer) *PeerAttemptClient { return &PeerAttemptClient{d} }
 
 // QueryAttempt implements AttemptClient.
 func (p *PeerAttemptClient) QueryAttempt(ctx context.Context, host member.Host, reservationID, attempt string) (AttemptState, error) {
@@ -39,7 +39,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		q.BudgetUs = (time.Until(deadline) - responseMargin).Microseconds()
 	}
-	st, err := peerpb.NewDRPCClaimsClient(p.dialer.Conn(ctx, host.Peer)).Ask(ctx, q)
+	st, err := peerpb.NewDRPCClaimsClient(p.dialer.Conn(ctx, host.PeerAddress)).Ask(ctx, q)
 	if err != nil {
 		return AttemptState{}, Error.New("query attempt on host %s: %w", host.ID, err)
 	}
--- a/internal/claim/attemptclient_test.go
+++ b/internal/claim/attemptclient_test.go
@@ -25,8 +25,8 @@
 	defer func() { _ = srv.Stop(context.Background()) }()
 	pool := peer.NewPool()
 	defer func() { _ = pool.Stop(context.Background()) }()
-	asker := NewPeerAsker(pool)
-	to := member.Host{ID: "a", Peer: srv.Addr()}
+	asker := NewPeerAttemptClient(pool)
+	to := member.Host{ID: "a", PeerAddress: srv.Addr()}
 
 	id := mustID(newID(time.Now())).String()
 	a := c.mem.add(id, Record{Attempt: "attempt"})
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -16,7 +16,7 @@
 const allCalls = 1 << 20 // fault count that covers all calls from now on
 
 // startReserve runs a reservation concurrently with the test.
-func (h *host) startReserve(r query.Reserve) <-chan query.Reservation {
+func (h *host) startReserve(r query.ReserveRequest) <-chan query.Reservation {
 	c := make(chan query.Reservation, 1)
 	go func() { c <- h.reserve(r) }()
 	synctest.Wait()
@@ -26,7 +26,7 @@
 // startBlockedReserve runs a reservation concurrently with the test, up to the
 // point at which the target would receive it. Opening sendGate lets it
 // continue.
-func (h *host) startBlockedReserve(r query.Reserve) <-chan query.Reservation {
+func (h *host) startBlockedReserve(r query.ReserveRequest) <-chan query.Reservation {
 	h.sendGate.set(true)
 	return h.startReserve(r)
 }
@@ -55,7 +55,7 @@
 	cases := map[string]func(h *host){
 		"applied":     func(h *host) { h.client.LoseNextAnswers(allCalls) },
 		"not applied": func(h *host) { h.client.LoseNextRequests(allCalls) },
-		"lands late":  func(h *host) { h.client.HoldNextWrites(allCalls) },
+		"lands late":  func(h *host) { h.client.DelayNextWrites(allCalls) },
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,10 +72,10 @@
 	res := a.reserve(r)
 	is.Equal(res.Outcome, outcome.NotSent)
 	is.True(res.RetryAfter > 0)
-	f.platform.Release()
+	f.platform.ApplyDelayedWrites()
 	a.client.LoseNextAnswers(0)
 	a.client.LoseNextRequests(0)
-	a.client.HoldNextWrites(0)
+	a.client.DelayNextWrites(0)
 	is.Equal(len(f.target.runs), 0)
 
 	if repeatEarly {
@@ -83,7 +83,7 @@
 	}
 	time.Sleep(time.Minute) // a releases the record
 	a.kill()
-	f.platform.Release()
+	f.platform.ApplyDelayedWrites()
 	is.Equal(b.reserve(r).Outcome, outcome.Done)
 	is.Equal(f.runs(r), 1)
 }
@@ -93,10 +93,10 @@
 func TestCreateLandsAfterHostLost(t *testing.T) {
 	inFleet(t, 2, func(is *is.I, f *fleet) {
 		r := newReservation()
-		f.hosts[0].client.HoldNextWrites(allCalls)
+		f.hosts[0].client.DelayNextWrites(allCalls)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.NotSent)
 		f.hosts[0].kill()
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 		res := f.hosts[1].reserve(r)
 		is.Equal(res.Outcome, outcome.Unknown)
 		is.Equal(res.Reason, query.ReasonUnsettled)
@@ -113,10 +113,10 @@
 		a.client.LoseNextAnswers(allCalls)
 		is.Equal(a.reserve(r).Outcome, outcome.NotSent)
 		a.client.LoseNextAnswers(0)
-		a.client.HoldNextWrites(2) // delays two releases; the third one is applied
+		a.client.DelayNextWrites(2) // delays two releases; the third one is applied
 		time.Sleep(time.Minute)
 		first := b.startBlockedReserve(r)
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 		second := c.startReserve(r)
 		b.sendGate.set(false)
 		is.Equal((<-first).Outcome, outcome.Done)
@@ -129,7 +129,7 @@
 	inFleet(t, 1, func(is *is.I, f *fleet) {
 		h := f.hosts[0]
 		_ = h.reserve(newReservation()) // sets the host's reading of the platform's clock
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		r := newReservation()
 		start := time.Now()
 		res := h.reserve(r)
@@ -138,7 +138,7 @@
 		is.Equal(res.Reason, query.ReasonPlatform)
 		is.True(res.RetryAfter > 0)
 		is.Equal(f.runs(r), 0)
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		is.Equal(h.reserve(r).Outcome, outcome.Done)
 	})
 }
@@ -151,13 +151,13 @@
 		a, b := f.hosts[0], f.hosts[1]
 		r := newReservation()
 		pending := a.startBlockedReserve(r)
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		a.sendGate.set(false)
 		first := <-pending
 		is.Equal(first.Outcome, outcome.Done)
 		is.Equal(a.reserve(r).Answer, first.Answer) // from memory
 		is.Equal(b.reserve(r).Outcome, outcome.NotSent)
-		f.platform.Outage(false)
+		f.platform.SetDown(false)
 		is.Equal(b.reserve(r).Answer, first.Answer) // from host a
 		time.Sleep(time.Minute)
 		a.kill()
@@ -174,7 +174,7 @@
 		f.target.dropAnswers = 1
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 		is.Equal(f.hosts[0].reserve(r).Outcome, outcome.Unknown)
 		is.Equal(f.runs(r), 1)
 	})
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -18,7 +18,7 @@
 // observation is the result of one request. lost is set if its host was killed
 // before it returned.
 type observation struct {
-	req  query.Reserve
+	req  query.ReserveRequest
 	res  query.Reservation
 	lost bool
 }
@@ -28,7 +28,7 @@
 type machine struct {
 	*fleet
 	ids      []string
-	copies   []objstoretest.Copy
+	copies   []objstoretest.Backup
 	restored bool
 	mu       sync.Mutex
 	observed []observation
@@ -90,7 +90,7 @@
 	case "lose requests":
 		h.client.LoseNextRequests(n)
 	default:
-		h.client.HoldNextWrites(n)
+		h.client.DelayNextWrites(n)
 	}
 }
 
@@ -107,14 +107,14 @@
 }
 
 func (m *machine) outage(t *rapid.T) {
-	m.platform.Outage(rapid.Bool().Draw(t, "down"))
+	m.platform.SetDown(rapid.Bool().Draw(t, "down"))
 	synctest.Wait()
 }
 
 // restore takes a copy of the platform, or restores the platform from one.
 func (m *machine) restore(t *rapid.T) {
 	if len(m.copies) == 0 || rapid.Bool().Draw(t, "copy") {
-		m.copies = append(m.copies, m.platform.Copy())
+		m.copies = append(m.copies, m.platform.Backup())
 		return
 	}
 	at := rapid.IntRange(0, len(m.copies)-1).Draw(t, "of")
@@ -125,7 +125,7 @@
 }
 
 func (m *machine) deliverHeldWrites(*rapid.T) {
-	m.platform.Release()
+	m.platform.ApplyDelayedWrites()
 	synctest.Wait()
 }
 
@@ -154,7 +154,7 @@
 
 // heal ends every fault and waits until all background work is done.
 func (m *machine) heal() {
-	m.platform.Outage(false)
+	m.platform.SetDown(false)
 	m.target.mu.Lock()
 	m.target.rejectAttempts, m.target.dropAnswers = 0, 0
 	m.target.mu.Unlock()
@@ -162,11 +162,11 @@
 		m.setSeenDead(h.id, false)
 		h.client.LoseNextAnswers(0)
 		h.client.LoseNextRequests(0)
-		h.client.HoldNextWrites(0)
+		h.client.DelayNextWrites(0)
 		h.gate.set(false)
 		h.sendGate.set(false)
 	}
-	m.platform.Release()
+	m.platform.ApplyDelayedWrites()
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
--- a/internal/cli/exec.go
+++ b/internal/cli/exec.go
@@ -79,7 +79,7 @@
 		}
 		return string(text), nil
 	case arguments == "-":
-		text, err := io.ReadAll(io.LimitReader(c.env.In, lang.MaxText+1))
+		text, err := io.ReadAll(io.LimitReader(c.env.In, lang.MaxTextBytes+1))
 		if err != nil {
 			return "", exitErrorf(ExitUsage, "read statements: %s", err)
 		}
@@ -109,7 +109,7 @@
 }
 
 func (c *execCommand) operate(ctx context.Context, client *client, s lang.Statement) error {
-	statement, dryRun := lang.Unwrap(s)
+	statement, dryRun := lang.TrimDryRun(s)
 	_, mutates := statement.(lang.Change)
 	result, err := client.statement(ctx, &operate.StatementPayload{
 		Authorization: optional(bearer(c.Token)),
--- a/internal/cli/exec_test.go
+++ b/internal/cli/exec_test.go
@@ -25,8 +25,8 @@
 // fakeHost serves both APIs, returns the configured results and records the
 // requests.
 type fakeHost struct {
-	search      query.Search
-	reserve     query.Reserve
+	search      query.SearchRequest
+	reserve     query.ReserveRequest
 	statement   string
 	dryRun      bool
 	answer      *query.Answer
@@ -36,13 +36,13 @@
 	calls       int
 }
 
-func (f *fakeHost) Search(_ context.Context, q query.Search) (*query.Answer, *query.Refusal) {
+func (f *fakeHost) Search(_ context.Context, q query.SearchRequest) (*query.Answer, *query.Refusal) {
 	f.calls++
 	f.search = q
 	return f.answer, f.refusal
 }
 
-func (f *fakeHost) Reserve(_ context.Context, r query.Reserve) (query.Reservation, *query.Refusal) {
+func (f *fakeHost) Reserve(_ context.Context, r query.ReserveRequest) (query.Reservation, *query.Refusal) {
 	f.calls++
 	f.reserve = r
 	f.reservation.ReservationID = r.ReservationID
@@ -66,8 +66,8 @@
 	t.Helper()
 	cfg, log := api.DefaultConfig(), event.Discard()
 	operators := []api.Operator{{Name: "on-call", Token: token}}
-	callers := api.NewCallers(cfg, "127.0.0.1:0", f, f, log)
-	operate := api.NewOperators(cfg, "127.0.0.1:0", operators, f, f, prometheus.NewRegistry(), log)
+	callers := api.NewCallerServer(cfg, "127.0.0.1:0", f, f, log)
+	operate := api.NewOperatorServer(cfg, "127.0.0.1:0", operators, f, f, prometheus.NewRegistry(), log)
 	for _, s := range []*api.Server{callers, operate} {
 		if err := s.Start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -98,7 +98,7 @@
 		RequestID: "r1", Workload: "guest-portal", Snapshot: 7, TotalRows: 9,
 		Rows:     []query.Row{{Service: "guest-portal-01", Shard: 2, Key: "k", Value: "pressure cooker", Score: 0.5}},
 		Coverage: query.Coverage{Shards: 3, Answered: 2, Missing: []query.ShardKey{{Service: "guest-portal-02", Shard: 1}}},
-		Attempts: 4, Needed: 3, Elapsed: 1500 * time.Microsecond,
+		Attempts: 4, NeededAnswers: 3, Elapsed: 1500 * time.Microsecond,
 	}
 }
 
@@ -113,7 +113,7 @@
 1 of 9 rows found, coverage 2 of 3 shards: PARTIAL, missing guest-portal-02/1
 snapshot 7 of workload guest-portal, 4 attempts for 3 shards, 1.5 ms, request r1
 `)
-	is.Equal(f.search, query.Search{
+	is.Equal(f.search, query.SearchRequest{
 		RequestID: "r1", Caller: "exec", Workload: "guest-portal", Text: "cooker", Limit: 5,
 		MinCoverage: 0.5, Budget: 250 * time.Millisecond,
 	})
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -33,15 +33,15 @@
 	debug.SetGCPercent(gcPercent)
 	logQueue := event.NewQueue(c.env.Out)
 	defer func() { _ = logQueue.Close() }() // flushes the queue; if the log can't be written, there is nowhere to report it
-	log := event.NewQueued(logQueue, s.Log.Plog(), s.ID)
-	h, err := gatewayhost.NewOn(c.system(), s, gatewayhost.OnPlatform(), log)
+	log := event.NewWithQueue(logQueue, s.Log.ParsedLevel(), s.ID)
+	h, err := gatewayhost.NewWithSystem(c.system(), s, gatewayhost.UserPlatform(), log)
 	if err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
 	if err := h.Start(context.Background()); err != nil {
 		return exitErrorf(ExitFailed, "host %s: %s", s.ID, err)
 	}
-	h.WatchDrops(logQueue.Dropped)
+	h.LogDroppedLines(logQueue.Dropped)
 	c.waitForStop(h)
 	if err := h.Stop(context.Background()); err != nil {
 		return exitErrorf(ExitForcedStop, "stop: %s", err)
@@ -51,9 +51,9 @@
 
 // system returns the clock and the other system services of the host.
 func (c *gatewayCommand) system() gatewayhost.System {
-	system := gatewayhost.OwnSystem()
+	system := gatewayhost.LocalSystem()
 	if c.SuspendedFile != "" {
-		system.Clock = system.Clock.Plus(func() time.Duration { return readDuration(c.SuspendedFile) })
+		system.Clock = system.Clock.WithOffset(func() time.Duration { return readDuration(c.SuspendedFile) })
 	}
 	return system
 }
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -43,7 +43,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	table, err := runReport(ctx, s, gatewayhost.OnPlatform(), statement)
+	table, err := runReport(ctx, s, gatewayhost.UserPlatform(), statement)
 	if err != nil {
 		return exitErrorf(ExitFailed, "%s", err)
 	}
@@ -53,13 +53,13 @@
 // runReport runs a report statement on the records in the store that the
 // settings name.
 func runReport(ctx context.Context, s gatewayhost.Settings, p gatewayhost.Platform, statement lang.Statement) (statements.Table, error) {
-	records := objstore.Govern(s.Platform, p.Records(s.Platform), event.Discard(), prometheus.NewRegistry())
+	records := objstore.NewLimitedRecords(s.Platform, p.Records(s.Platform), event.Discard(), prometheus.NewRegistry())
 	defer records.Close()
 	read, err := p.Source(records).Config(ctx)
 	if err != nil {
 		return statements.Table{}, Error.New("read the configuration from the store: %w", err)
 	}
-	executor := statements.New(statements.Parts{
+	executor := statements.New(statements.Dependencies{
 		Reports:    delivery.NewReporter(s.Delivery, objstore.New(records), nil, event.Discard()),
 		Objectives: func() []delivery.Objective { return delivery.RouteObjectives(read.Config.Routes) },
 	})
--- a/internal/cli/report_test.go
+++ b/internal/cli/report_test.go
@@ -77,12 +77,12 @@
 	gs.Addresses = gatewayhost.Addresses{Callers: freePort, Readiness: freePort, Metrics: freePort, Peers: freePort}
 	gs.Platform.Addresses = []string{store}
 	gs.Stop.BalancerLag = 0
-	h, err := gatewayhost.New(gs, gatewayhost.OnPlatform(), event.Discard())
+	h, err := gatewayhost.New(gs, gatewayhost.UserPlatform(), event.Discard())
 	is.NoErr(err)
 	is.NoErr(h.Start(t.Context()))
 	is.NoErr(h.WaitReady(t.Context()))
 	for range n {
-		for _, path := range []string{platformtarget.SiteQuery, platformtarget.SiteSingle} {
+		for _, path := range []string{platformtarget.SiteQueryPath, platformtarget.SiteSinglePath} {
 			req, err := http.NewRequest(http.MethodGet, "http://"+h.Addresses().Callers+path+"x", nil)
 			is.NoErr(err)
 			req.Host = platformtarget.SiteHost
--- a/internal/delivery/completeness.go
+++ b/internal/delivery/completeness.go
@@ -49,19 +49,19 @@
 
 // Completeness states which data a report contains and which it lacks.
 type Completeness struct {
-	From       time.Time // by the platform's clock
-	To         time.Time // the report has all windows of live hosts up to this time
-	Windows    uint64    // number of windows in the report
-	Missing    []Gap
-	Open       []IncompleteIncarnation // incarnations whose newest windows are missing
-	Folded     uint64                  // deliveries that are counted without their caller or service
-	LeftOut    uint64                  // individual records that were not kept
-	Unreadable []string                // objects that could not be decoded
+	From             time.Time // by the platform's clock
+	To               time.Time // the report has all windows of live hosts up to this time
+	Windows          uint64    // number of windows in the report
+	Missing          []Gap
+	Incomplete       []IncompleteIncarnation // incarnations whose newest windows are missing
+	FoldedDeliveries uint64                  // deliveries that are counted without their caller or service
+	DroppedRecords   uint64                  // individual records that were not kept
+	Unreadable       []string                // objects that could not be decoded
 }
 
 // Complete reports whether the report contains every window up to To.
 func (c Completeness) Complete() bool {
-	return len(c.Missing) == 0 && len(c.Open) == 0 && len(c.Unreadable) == 0
+	return len(c.Missing) == 0 && len(c.Incomplete) == 0 && len(c.Unreadable) == 0
 }
 
 // hostEvidence is the input from which missing windows are determined: the
@@ -76,7 +76,7 @@
 	overdueAfter time.Duration // time from the end of a live host's newest window after which the next one is overdue
 }
 
-// fillIncomplete sets To, Missing and Open of c.
+// fillIncomplete sets To, Missing and Incomplete of c.
 func (p hostEvidence) fillIncomplete(c *Completeness) {
 	byHost := windowSetOf(joinSpans(p.spans))
 	c.To = p.now
@@ -84,7 +84,7 @@
 		spans := byHost[i]
 		alive := slices.Contains(p.live, i)
 		if len(spans) == 0 {
-			c.Open = append(c.Open, IncompleteIncarnation{Incarnation: i, Reason: NeverWrote})
+			c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: i, Reason: NeverWrote})
 			continue
 		}
 		c.Missing = append(c.Missing, p.gaps(spans)...)
@@ -128,14 +128,14 @@
 }
 
 // checkNewest checks the newest window of an incarnation: it adds the
-// incarnation to Open, or moves To back to the end of that window.
+// incarnation to Incomplete, or moves To back to the end of that window.
 func (p hostEvidence) checkNewest(c *Completeness, last Span, alive bool) {
 	switch {
 	case last.Final:
 	case !alive:
-		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: EndedUnwritten, After: last.End})
+		c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: EndedUnwritten, After: last.End})
 	case last.End.Add(p.overdueAfter).Before(p.now):
-		c.Open = append(c.Open, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: WriteOverdue, After: last.End})
+		c.Incomplete = append(c.Incomplete, IncompleteIncarnation{Incarnation: last.Incarnation, Reason: WriteOverdue, After: last.End})
 	case last.End.Before(c.To):
 		c.To = last.End
 	}
--- a/internal/delivery/fleet_test.go
+++ b/internal/delivery/fleet_test.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if killed {
-		h.client.Outage(true)
+		h.client.SetDown(true)
 		cancel()
 	}
 	_ = h.compactor.Stop(ctx)
@@ -140,7 +140,7 @@
 // report returns the report on the last since, grouped by host and incarnation.
 func (f *fleet) report(since time.Duration) Report {
 	f.t.Helper()
-	r, err := f.reporter().Report(context.Background(), Query{Since: since, By: []Field{FieldService}})
+	r, err := f.reporter().Report(context.Background(), Query{Since: since, GroupBy: []Field{FieldService}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -156,12 +156,12 @@
 	for _, gap := range r.Completeness.Missing {
 		markIncomplete(gap.Incarnation)
 	}
-	for _, open := range r.Completeness.Open {
+	for _, open := range r.Completeness.Incomplete {
 		markIncomplete(open.Incarnation)
 	}
 	reported := map[string]uint64{}
 	for _, l := range r.Lines {
-		reported[l.Key.Service] = l.Sums.Count
+		reported[l.Key.Service] = l.Totals.Count
 	}
 	var differences []string
 	for _, run := range slices.Sorted(maps.Keys(f.recorded)) {
--- a/internal/delivery/gather.go
+++ b/internal/delivery/gather.go
@@ -104,8 +104,8 @@
 	g.seen = append(g.seen, from.seen...)
 	c := &g.completeness
 	c.Windows += from.completeness.Windows
-	c.Folded += from.completeness.Folded
-	c.LeftOut += from.completeness.LeftOut
+	c.FoldedDeliveries += from.completeness.FoldedDeliveries
+	c.DroppedRecords += from.completeness.DroppedRecords
 	c.Unreadable = append(c.Unreadable, from.completeness.Unreadable...)
 }
 
@@ -142,8 +142,8 @@
 	g.spans = append(g.spans, x.Spans...)
 	g.seen = append(g.seen, x.Seen...)
 	g.completeness.Windows += x.Windows
-	g.completeness.Folded += x.Folded
-	g.completeness.LeftOut += x.LeftOut
+	g.completeness.FoldedDeliveries += x.Folded
+	g.completeness.DroppedRecords += x.LeftOut
 }
 
 func (g *reportData) addRows(p timedRows) {
@@ -154,7 +154,7 @@
 
 func (g *reportData) addRecords(records []Record) {
 	for _, rec := range records {
-		if rec.Until.After(g.completeness.From) {
+		if rec.WindowEnd.After(g.completeness.From) {
 			g.records = append(g.records, rec)
 		}
 	}
@@ -177,8 +177,8 @@
 		return
 	}
 	g.completeness.Windows++
-	g.completeness.Folded += w.Rows.folded
-	g.completeness.LeftOut += w.Records.leftOut()
+	g.completeness.FoldedDeliveries += w.Rows.folded
+	g.completeness.DroppedRecords += w.Records.leftOut()
 	g.addRows(timedRows{end: end, rows: rows})
 	g.addRecords(w.datedRecords(end))
 }
--- a/internal/delivery/report.go
+++ b/internal/delivery/report.go
@@ -24,21 +24,21 @@
 
 // Query specifies a report.
 type Query struct {
-	Since time.Duration // length of the reported period, which ends now; 0: an hour
-	Where []Filter      // all must match
-	By    []Field       // fields to group by; none: one line for all deliveries
+	Since   time.Duration // length of the reported period, which ends now; 0: an hour
+	Filters []Filter      // all must match
+	GroupBy []Field       // fields to group by; none: one line for all deliveries
 }
 
 const defaultReportPeriod = time.Hour
 
 // Validate returns an error if the query names an unknown field.
 func (q Query) Validate() error {
-	for _, f := range q.Where {
+	for _, f := range q.Filters {
 		if !isField(f.Field) {
 			return Error.New("no field %q, want one of %v", f.Field, Fields)
 		}
 	}
-	for _, f := range q.By {
+	for _, f := range q.GroupBy {
 		if !isField(f) {
 			return Error.New("no field %q, want one of %v", f, Fields)
 		}
@@ -47,14 +47,14 @@
 }
 
 func (q Query) matches(k Key) bool {
-	return !slices.ContainsFunc(q.Where, func(f Filter) bool { return !f.matches(k) })
+	return !slices.ContainsFunc(q.Filters, func(f Filter) bool { return !f.matches(k) })
 }
 
 // Line contains the deliveries of one group. Only the key fields by which the
 // report is grouped are set.
 type Line struct {
-	Key  Key
-	Sums *Totals
+	Key    Key
+	Totals *Totals
 }
 
 // Report is the result of a Query. Lines are sorted by key.
@@ -68,7 +68,7 @@
 func (r Report) Total() uint64 {
 	var n uint64
 	for _, l := range r.Lines {
-		n += l.Sums.Count
+		n += l.Totals.Count
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 	}
 	report := Report{Query: q, Completeness: g.completeness}
 	for k, s := range lines {
-		report.Lines = append(report.Lines, Line{Key: k, Sums: s})
+		report.Lines = append(report.Lines, Line{Key: k, Totals: s})
 	}
 	slices.SortFunc(report.Lines, func(a, b Line) int { return a.Key.compare(b.Key) })
 	return report, nil
@@ -115,7 +115,7 @@
 		if !q.matches(k) {
 			return
 		}
-		group := k.project(q.By)
+		group := k.project(q.GroupBy)
 		if lines[group] == nil {
 			lines[group] = newTotals()
 		}
@@ -131,6 +131,6 @@
 		return nil, Completeness{}, err
 	}
 	kept := slices.DeleteFunc(g.records, func(rec Record) bool { return !keep(rec) })
-	slices.SortStableFunc(kept, func(a, b Record) int { return b.Until.Compare(a.Until) })
+	slices.SortStableFunc(kept, func(a, b Record) int { return b.WindowEnd.Compare(a.WindowEnd) })
 	return kept, g.completeness, nil
 }
--- a/internal/delivery/windows_test.go
+++ b/internal/delivery/windows_test.go
@@ -16,7 +16,7 @@
 		is := is.New(t)
 		f := newFleet(t, DefaultConfig(), 3)
 		for minute := range 30 {
-			f.platform.Outage(minute >= 5 && minute < 15)
+			f.platform.SetDown(minute >= 5 && minute < 15)
 			if minute == 20 {
 				f.leave("h2", true)
 			}
@@ -30,11 +30,11 @@
 
 		r := f.report(time.Hour)
 		is.Equal(len(r.Completeness.Missing), 0)
-		is.Equal(len(r.Completeness.Open), 1) // the killed host
-		is.Equal(r.Completeness.Open[0].Host, "h2")
-		is.Equal(r.Completeness.Open[0].Reason, EndedUnwritten)
+		is.Equal(len(r.Completeness.Incomplete), 1) // the killed host
+		is.Equal(r.Completeness.Incomplete[0].Host, "h2")
+		is.Equal(r.Completeness.Incomplete[0].Reason, EndedUnwritten)
 		is.Equal(f.differences(r), nil)
-		is.True(f.recorded["h2/3"]-r.Lines[2].Sums.Count <= 6) // the deliveries of its last windows
+		is.True(f.recorded["h2/3"]-r.Lines[2].Totals.Count <= 6) // the deliveries of its last windows
 	})
 }
 
@@ -58,8 +58,8 @@
 				time.Sleep(time.Duration(rapid.IntRange(1, 100).Draw(rt, "seconds")) * time.Second)
 			}
 			f.heal()
-			time.Sleep(15 * time.Minute) // windows are aggregated
-			f.platform.Release()         // delayed writes are applied after their windows were removed
+			time.Sleep(15 * time.Minute)    // windows are aggregated
+			f.platform.ApplyDelayedWrites() // delayed writes are applied after their windows were removed
 			time.Sleep(10 * time.Minute)
 			for _, id := range f.ids()[1:] {
 				f.leave(id, false)
@@ -79,19 +79,19 @@
 	n := rapid.IntRange(1, 3).Draw(t, "times")
 	switch rapid.SampledFrom([]string{"down", "up", "cut", "lose", "drop", "hold", "release", "kill", "stop", "none"}).Draw(t, "failure") {
 	case "down":
-		f.platform.Outage(true)
+		f.platform.SetDown(true)
 	case "up":
 		f.heal()
 	case "cut":
-		client.Outage(true)
+		client.SetDown(true)
 	case "lose":
 		client.LoseNextAnswers(n)
 	case "drop":
 		client.LoseNextRequests(n)
 	case "hold":
-		client.HoldNextWrites(n)
+		client.DelayNextWrites(n)
 	case "release":
-		f.platform.Release()
+		f.platform.ApplyDelayedWrites()
 	case "kill":
 		f.leave(id, true)
 		f.start(id)
@@ -103,9 +103,9 @@
 
 // heal ends all outages.
 func (f *fleet) heal() {
-	f.platform.Outage(false)
+	f.platform.SetDown(false)
 	for _, h := range f.hosts {
-		h.client.Outage(false)
+		h.client.SetDown(false)
 	}
 }
 
--- a/internal/discovery/eras_history_test.go
+++ b/internal/discovery/eras_history_test.go
@@ -112,18 +112,18 @@
 	left map[Target]bool // by id and incarnation
 }
 
-func incarnation(t Target) Target { return Target{ID: t.ID, Born: t.Born} }
+func incarnation(t Target) Target { return Target{ID: t.ID, StartMillis: t.StartMillis} }
 
 // Reads, watches, updates of peers (late ones, too) and restores come in any order. A configuration
 // version never goes back, a target that a host has seen leaving is not used there again, and once
 // everything is written again every host has what the store holds.
 func TestStateOverRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, pass := clock.Virtual()
+		c, pass := clock.NewVirtual()
 		store := &restorableStore{era: 1, storeCopy: storeCopy{number: 1, targets: map[string]Target{}}, live: map[string]Target{}}
 		start := func() *historyHost {
 			s := NewState()
-			s.GoBy(c)
+			s.SetClock(c)
 			return &historyHost{s, map[Target]bool{}}
 		}
 		hosts := []*historyHost{start(), start(), start()}
@@ -157,7 +157,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"register": func(t *rapid.T) {
 				store.lastBorn++
-				target := Target{ID: id(t), Born: store.lastBorn, Service: "s"}
+				target := Target{ID: id(t), StartMillis: store.lastBorn, Service: "s"}
 				store.live[target.ID] = target
 				store.write(target, false)
 			},
--- a/internal/discovery/permit.go
+++ b/internal/discovery/permit.go
@@ -26,8 +26,8 @@
 	Era    uint64 // store era in which it was written
 }
 
-// Of returns how many requests a host may send in any second.
-func (p Permit) Of(host string) int {
+// LimitFor returns how many requests a host may send in any second.
+func (p Permit) LimitFor(host string) int {
 	for _, h := range p.Hosts {
 		if h == host {
 			return p.Each
@@ -51,10 +51,10 @@
 }
 
 const (
-	// KeepPermits is how long a host keeps the permit of an unregistered target, which may return
+	// PermitRetention is how long a host keeps the permit of an unregistered target, which may return
 	// under its id. The store keeps it longer, so that no other permit is written while a host uses
 	// this one.
-	KeepPermits = 30 * time.Minute
+	PermitRetention = 30 * time.Minute
 	// permitEraMargin is the time between the end of the validity of all older permits and the
 	// first new one: requests sent under a permit count for a second.
 	permitEraMargin = 1100 * time.Millisecond
@@ -98,7 +98,7 @@
 	return all
 }
 
-// dropUnregistered drops the permits of targets that have been unregistered for KeepPermits.
+// dropUnregistered drops the permits of targets that have been unregistered for PermitRetention.
 func (p *permits) dropUnregistered(now time.Time, targets map[string]Target) {
 	if len(p.ordered) == 0 || now.Sub(p.reviewedAt) < permitReviewInterval {
 		return
@@ -112,7 +112,7 @@
 			if !wasMissing {
 				since = now
 			}
-			if now.Sub(since) >= KeepPermits {
+			if now.Sub(since) >= PermitRetention {
 				continue
 			}
 			unregistered[id] = since
@@ -149,16 +149,16 @@
 	}
 }
 
-// PermitsCount reports whether this host has read the registry recently enough to use permits.
+// PermitsValid reports whether this host has read the registry recently enough to use permits.
 // After a longer time other hosts may lack them and write new ones.
-func (s *State) PermitsCount() bool {
+func (s *State) PermitsValid() bool {
 	asOf := s.registryAsOf.Load()
 	return asOf != nil && s.clock.Since(*asOf) <= s.permitValidity
 }
 
-// MayPermit returns the era of the registry, and whether permits of that era may be written and
+// PermitEra returns the era of the registry, and whether permits of that era may be written and
 // used. They may once those of earlier eras have become invalid on all hosts.
-func (s *State) MayPermit() (era uint64, ok bool) {
+func (s *State) PermitEra() (era uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registryEra, !s.eraFirstSeen.IsZero() && s.clock.Since(s.eraFirstSeen) >= s.permitValidity+permitEraMargin
@@ -173,11 +173,11 @@
 }
 
 // TellPermits sends permits to the watching hosts. Those that miss them read them from the store.
-func (s *Spread) TellPermits(ctx context.Context, all []Permit) {
+func (s *Exchange) TellPermits(ctx context.Context, all []Permit) {
 	in := &peerpb.Findings{Permits: encodePermits(all)}
 	var calls sync.WaitGroup
 	for _, w := range usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID) {
-		calls.Go(func() { _, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, in) })
+		calls.Go(func() { _, _ = peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.PeerAddress)).Tell(ctx, in) })
 	}
 	calls.Wait()
 }
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -21,9 +21,9 @@
 	Read(ctx context.Context) error
 }
 
-// ShareRequests makes the records of a quarantine table part of the updates for other hosts. Call
+// ShareQuarantine makes the records of a quarantine table part of the updates for other hosts. Call
 // it before the state is used.
-func (s *State) ShareRequests(t *quarantine.Table) {
+func (s *State) ShareQuarantine(t *quarantine.Table) {
 	s.quarantined = t
 	t.Follow(func() {
 		s.mu.Lock()
@@ -66,9 +66,9 @@
 	}
 }
 
-// ReadRequests sets the stored quarantine records, which the follower reads on a host that has to
+// SetQuarantineStore sets the stored quarantine records, which the follower reads on a host that has to
 // read the store. Call it before Start.
-func (f *Follower) ReadRequests(s QuarantineStore) { f.quarantineStore = s }
+func (f *Follower) SetQuarantineStore(s QuarantineStore) { f.quarantineStore = s }
 
 // quarantineReadInterval is the time between two reads of the stored quarantine records while any
 // request is quarantined. They show what an operator has cleared, and what hosts have found that
@@ -96,7 +96,7 @@
 	switch {
 	case f.peers.Isolated() || !f.peers.Watches():
 		return f.cfg.watchWait()
-	case len(f.state.quarantined.Held()) > 0:
+	case len(f.state.quarantined.QuarantinedKeys()) > 0:
 		return quarantineReadInterval
 	}
 	return math.MaxInt64
@@ -104,13 +104,13 @@
 
 // SendRequests implements Peers. It sends to all watching hosts concurrently and returns how many
 // it could not reach.
-func (s *Spread) SendRequests(ctx context.Context, records []quarantine.Record) (missed int) {
+func (s *Exchange) SendRequests(ctx context.Context, records []quarantine.Record) (missed int) {
 	findings := &peerpb.Findings{Requests: quarantine.AllToWire(records, s.state.clock.Now())}
 	results := make(chan error)
 	watchers := usableExcept(s.currentGroups().allWatchers(), s.members.Self().ID)
 	for _, w := range watchers {
 		go func() {
-			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.Peer)).Tell(ctx, findings)
+			_, err := peerpb.NewDRPCDiscoveryClient(s.dialer.Conn(ctx, w.PeerAddress)).Tell(ctx, findings)
 			results <- err
 		}()
 	}
--- a/internal/discovery/restore_test.go
+++ b/internal/discovery/restore_test.go
@@ -95,9 +95,9 @@
 
 // virtualState returns an empty state, its clock, and a function that lets time pass.
 func virtualState() (s *State, c *clock.Clock, pass func(time.Duration)) {
-	c, pass = clock.Virtual()
+	c, pass = clock.NewVirtual()
 	s = NewState()
-	s.GoBy(c)
+	s.SetClock(c)
 	return s, c, pass
 }
 
@@ -106,7 +106,7 @@
 func TestTombstoneOutlivesASecondRestore(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
 	is.Equal(len(s.View().Targets), 0)
@@ -126,7 +126,7 @@
 func TestTargetThatWentMissingBeforeARestoreIsKeptNoLonger(t *testing.T) {
 	is := is.New(t)
 	s, c, pass := virtualState()
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: revisionIn(1, 5)}, c.Now())
 	pass(s.lapseAfter + time.Second)
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: revisionIn(1, 9)}, c.Now())
--- a/internal/discovery/spread_test.go
+++ b/internal/discovery/spread_test.go
@@ -34,7 +34,7 @@
 	server *peer.Server
 	pool   *peer.Pool
 	state  *State
-	spread *Spread
+	spread *Exchange
 }
 
 // startHosts starts hosts that have each other as members.
@@ -48,14 +48,14 @@
 			t.Fatal(err)
 		}
 		h := &socketHost{server: peer.NewServer(""), pool: peer.NewPool(), state: NewState()}
-		h.server.On(ln)
+		h.server.UseListener(ln)
 		h.host = member.Host{
-			ID: string(rune('a' + i)), FailureDomain: "salt-lake", Peer: ln.Addr().String(), State: member.Alive,
+			ID: string(rune('a' + i)), FailureDomain: "salt-lake", PeerAddress: ln.Addr().String(), State: member.Alive,
 		}
 		all, hosts = append(all, h), append(hosts, h.host)
 	}
 	for _, h := range all {
-		h.spread = NewSpread(DefaultConfig(), fixedMembers{self: h.host, hosts: hosts}, h.pool, h.state)
+		h.spread = NewExchange(DefaultConfig(), fixedMembers{self: h.host, hosts: hosts}, h.pool, h.state)
 		if err := h.spread.Register(h.server); err != nil {
 			t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	watcher, followers := splitWatcher(t, startHosts(t, 3))
 	delivered := make(chan Finding, 10)
-	watcher.state.FollowFindings(func(all []Finding) { delivered <- all[0] })
+	watcher.state.OnFindings(func(all []Finding) { delivered <- all[0] })
 	finding := Finding{Target: "i-1", Bad: true, Latency: 80 * time.Millisecond, Failures: 0.5, Domain: "salt-lake"}
 	followers[0].spread.SendFindings(t.Context(), []Finding{finding})
 	is.Equal((<-delivered).Target, "i-1")
@@ -202,13 +202,13 @@
 	is := is.New(t)
 	now := time.Now()
 	started := func(id, domain string, ago time.Duration) member.Host {
-		return member.Host{ID: id, FailureDomain: domain, Peer: id, State: member.Alive, Incarnation: uint64(now.Add(-ago).UnixNano())}
+		return member.Host{ID: id, FailureDomain: domain, PeerAddress: id, State: member.Alive, Incarnation: uint64(now.Add(-ago).UnixNano())}
 	}
 	self := started("self", "a", 0)
 	members := fixedMembers{self: self, hosts: []member.Host{self, started("elder", "b", time.Hour)}}
 	for i := range 2 * maxContacts {
 		members.hosts = append(members.hosts, started(fmt.Sprint("young", i), "a", time.Second))
 	}
-	s := NewSpread(DefaultConfig(), members, nil, NewState())
+	s := NewExchange(DefaultConfig(), members, nil, NewState())
 	is.True(slices.Contains(s.BootstrapContacts(), "elder"))
 }
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -98,16 +98,16 @@
 	}
 }
 
-// GoBy sets the clock for all ages to one that also counts the time in which the machine is
+// SetClock sets the clock for all ages to one that also counts the time in which the machine is
 // suspended. Call it before the state is used.
-func (s *State) GoBy(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
+func (s *State) SetClock(c *clock.Clock) { s.clock, s.startedAt = c, c.Now() }
 
 // Clock returns the clock for all ages.
 func (s *State) Clock() *clock.Clock { return s.clock }
 
-// Follow subscribes f to every new view. f is called under the lock and must be short. Call Follow
+// Subscribe subscribes f to every new view. f is called under the lock and must be short. Call Subscribe
 // before the state is used.
-func (s *State) Follow(f func(View)) { s.subscribers = append(s.subscribers, f) }
+func (s *State) Subscribe(f func(View)) { s.subscribers = append(s.subscribers, f) }
 
 // View returns a snapshot of the state.
 func (s *State) View() View {
@@ -300,7 +300,7 @@
 	delete(s.targets, id)
 	delete(s.missing, id)
 	if c.Problem == "" { // an unusable registration does not mean that the target is gone
-		s.addTombstone(id, known.Born, true, s.registry.revision)
+		s.addTombstone(id, known.StartMillis, true, s.registry.revision)
 	}
 	return TargetChange{Target: known, Gone: true}, true
 }
--- a/internal/discovery/suspend_test.go
+++ b/internal/discovery/suspend_test.go
@@ -22,9 +22,9 @@
 		store.write(1)
 		watcher, stopWatcher := startFollower(t, store, nil)
 		defer stopWatcher()
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
-		state.GoBy(machine)
+		state.SetClock(machine)
 		peers := &fakePeers{watcher: watcher}
 		f := NewFollower(cfg, store, peers, state, event.Discard(), nil)
 		is.NoErr(f.Start(t.Context()))
@@ -47,9 +47,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
-		state.GoBy(machine)
+		state.SetClock(machine)
 		f := NewFollower(cfg, nil, nil, state, event.Discard(), nil)
 		requestedAt := machine.Now()
 		w := f.newWatch(requestedAt)
@@ -64,9 +64,9 @@
 func TestSuspendedHostReportsTheAgeOfItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		machine, suspend := clock.Virtual()
+		machine, suspend := clock.NewVirtual()
 		state := NewState()
-		state.GoBy(machine)
+		state.SetClock(machine)
 		state.ApplyConfig(ConfigRead{Config: configVersion(1), Found: true, Revision: at(1)}, machine.Now())
 		suspend(time.Minute)
 		reply := encodeReply(state.AwaitUpdate(t.Context(), Cursor{}, time.Second), machine.Now(), machine.Now())
--- a/internal/discovery/waking_test.go
+++ b/internal/discovery/waking_test.go
@@ -17,10 +17,10 @@
 // registry has been confirmed to still contain it.
 func TestTombstoneOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
-	c, pass := clock.Virtual()
+	c, pass := clock.NewVirtual()
 	s := NewState()
-	s.GoBy(c)
-	left := []Target{{ID: "left", Born: 3, Service: "s"}}
+	s.SetClock(c)
+	left := []Target{{ID: "left", StartMillis: 3, Service: "s"}}
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyChanges(TargetChanges{Changes: removalOf("left"), Revision: inEra(1, 9)}, c.Now())
 	s.ApplyTargets(TargetList{Targets: left, Revision: inEra(2, 6)}, c.Now())
@@ -39,9 +39,9 @@
 // The same for an evacuation that is missing in an older copy of the store.
 func TestKeptEvacuationOutlivesASuspension(t *testing.T) {
 	is := is.New(t)
-	c, pass := clock.Virtual()
+	c, pass := clock.NewVirtual()
 	s := NewState()
-	s.GoBy(c)
+	s.SetClock(c)
 	s.evacuations.enabled, s.evacuations.retention = true, 4*time.Second
 	s.ApplyEvacuations(EvacuationRead{Domains: []string{"d"}, Revision: inEra(1, 5)}, c.Now())
 	s.ApplyEvacuations(EvacuationRead{Revision: inEra(2, 3)}, c.Now())
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -57,7 +57,7 @@
 	target          *target
 	outcome         outcome.Outcome
 	verdict         Verdict
-	answer          targetconn.Answer
+	answer          targetconn.Response
 	err             error
 	latency         time.Duration
 	shed            bool // the target rejected the request as overloaded
@@ -108,7 +108,7 @@
 func (g *Gateway) attempt(ctx context.Context, s *service, t *target, r *request, sends *sendTracker, alone bool) result {
 	head, err := g.head(r)
 	if err != nil {
-		t.pool.Unreserve()
+		t.pool.CancelReservation()
 		return result{outcome: outcome.NotSent, err: err}
 	}
 	conn, err := t.pool.Get(ctx, r.deadline)
@@ -158,8 +158,8 @@
 	began := time.Now()
 	answer, sent, err := conn.Exchange(ctx, r.deadline, &targetconn.Request{
 		Method: r.method, Head: head, Header: own, Body: r.body,
-		Mine:  func(h http.Header) bool { return g.answersRequest(h, r) },
-		Limit: g.cfg.MaxAnswer,
+		Matches:      func(h http.Header) bool { return g.answersRequest(h, r) },
+		MaxBodyBytes: g.cfg.MaxAnswer,
 	})
 	if err != nil {
 		late := ctx.Err() != nil || !time.Now().Before(r.deadline)
@@ -169,7 +169,7 @@
 		if t.replaced.Load() && !late {
 			return result{outcome: outcome.Unknown, err: Error.Wrap(errTargetRestarted), targetRestarted: true}
 		}
-		return result{outcome: outcome.Unknown, err: err, abandoned: late, connectionLost: !late && targetconn.BrokeOff(err)}
+		return result{outcome: outcome.Unknown, err: err, abandoned: late, connectionLost: !late && targetconn.ConnectionLost(err)}
 	}
 	res := g.evaluate(t, answer)
 	res.targetTimedOut = timeout < left && res.outcome != outcome.Done && time.Since(began) > timeout-targetTimeoutMargin
@@ -201,10 +201,10 @@
 }
 
 // evaluate returns the result of an attempt by the target's response.
-func (g *Gateway) evaluate(t *target, a targetconn.Answer) result {
+func (g *Gateway) evaluate(t *target, a targetconn.Response) result {
 	v := g.messages.Answer(a.Status, a.Header)
 	res := result{verdict: v, answer: a}
-	if v.Spoilt {
+	if v.MalformedReport {
 		g.metrics.unreadableReports.Inc()
 	}
 	switch v.Kind {
@@ -241,7 +241,7 @@
 		g.log.Event(evWrongTarget).Str("target", t.info.ID).Str("service", s.name).Str("address", t.info.Address).Msg("")
 	}
 	if t.evacuated {
-		t.health.Unsent(now) // attempts at an evacuated target do not count for its health
+		t.health.CancelSent(now) // attempts at an evacuated target do not count for its health
 		s.wake()
 		return
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -96,9 +96,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.inFlight--
-	t.pool.Unreserve()
+	t.pool.CancelReservation()
 	t.unreserveSend()
-	t.health.Unsent(time.Now())
+	t.health.CancelSent(time.Now())
 	s.wake()
 }
 
@@ -161,7 +161,7 @@
 			continue
 		}
 		c.usable = true
-		if !t.pool.Free() {
+		if !t.pool.HasFree() {
 			c.busy = true
 			continue
 		}
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -70,7 +70,7 @@
 		c.extend(now.Add(ended.Sub(v.Now) + limit.duration))
 	}
 	c.permit = v.Permits[conf.ID]
-	c.maxPerSecond = c.permit.Of(reg.hostID)
+	c.maxPerSecond = c.permit.LimitFor(reg.hostID)
 }
 
 // cold reports whether a target counts as cold. The caller holds the lock.
@@ -149,7 +149,7 @@
 	if s.coldLimit.perSecond <= 0 {
 		return 0, false
 	}
-	if t.pool.TakeRestarted() {
+	if t.pool.TakeMayHaveRestarted() {
 		w.restartSigns++
 	}
 	if w.restartSigns > w.handledSigns && s.checkPath == "" {
@@ -173,7 +173,7 @@
 	t.pool.Reserve() // before the query releases its connection, which other requests wait for
 	v, err := g.queryHealth(ctx, deadline, conn, s, r)
 	if err != nil {
-		t.pool.Unreserve()
+		t.pool.CancelReservation()
 		return nil, err
 	}
 	s.mu.Lock()
@@ -192,9 +192,9 @@
 
 // ColdTarget is a cold target without a permit.
 type ColdTarget struct {
-	ID    string
-	Bound float64  // requests per second that it can take
-	Hosts []string // hosts that send requests to it
+	ID           string
+	MaxPerSecond float64  // requests per second that it can take
+	Hosts        []string // hosts that send requests to it
 }
 
 // signalCold notifies the permit writer of a cold target without a permit. The caller holds the
@@ -228,7 +228,7 @@
 		bound := s.coldLimit.perSecond
 		s.mu.Unlock()
 		for _, t := range cold {
-			all = append(all, ColdTarget{ID: t.info.ID, Bound: bound, Hosts: reg.hostsServing(s.name, t.info.Domain)})
+			all = append(all, ColdTarget{ID: t.info.ID, MaxPerSecond: bound, Hosts: reg.hostsServing(s.name, t.info.Domain)})
 		}
 	}
 	return all
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -40,7 +40,7 @@
 // makeCold makes targets cold, in their responses and in their registrations.
 func (s *site) makeCold(ids ...string) {
 	for _, id := range ids {
-		s.targets[id].GoCold(coldDuration)
+		s.targets[id].StartColdPhase(coldDuration)
 		s.register(discovery.Target{ID: id, Service: "s0", Address: id + ":80", Domain: domain, Slots: 4, Warmup: coldDuration})
 	}
 }
@@ -97,8 +97,8 @@
 		statuses, _ = s.sendConcurrently(20, "/one/x")
 		is.Equal(statuses[http.StatusOK], 2)
 		is.Equal(statuses[http.StatusServiceUnavailable], 18)
-		is.Equal(s.targets["s0-t0"].MostWhileCold(), permittedPerSecond)
-		is.Equal(s.targets["s0-t1"].Arrived(), 0) // no permit
+		is.Equal(s.targets["s0-t0"].MaxRequestsWhileCold(), permittedPerSecond)
+		is.Equal(s.targets["s0-t1"].Received(), 0) // no permit
 		time.Sleep(coldDuration)
 		statuses, _ = s.sendConcurrently(permittedPerSecond, "/one/x")
 		statuses2, _ := s.sendConcurrently(permittedPerSecond, "/one/x")
@@ -150,8 +150,8 @@
 			s.sendConcurrently(3, "/one/x")
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
@@ -164,7 +164,7 @@
 	back := s.refuseConnections("s0-t0:80")
 	s.sendConcurrently(6, "/one/x")
 	back()
-	s.targets["s0-t0"].GoCold(coldDuration)
+	s.targets["s0-t0"].StartColdPhase(coldDuration)
 }
 
 // A target that refused connections accepts them again before its new registration arrives. It may
@@ -177,8 +177,8 @@
 			s.sendConcurrently(6, "/one/x")
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
@@ -191,12 +191,12 @@
 		for i := range 40 {
 			s.sendConcurrently(6, "/one/x")
 			if i == 20 {
-				s.register(discovery.Target{ID: "s0-t0", Service: "s0", Address: "s0-t0:80", Domain: domain, Slots: 4, Born: 1, Warmup: coldDuration})
+				s.register(discovery.Target{ID: "s0-t0", Service: "s0", Address: "s0-t0:80", Domain: domain, Slots: 4, StartMillis: 1, Warmup: coldDuration})
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].MostWhileCold() > 0)
-		is.True(s.targets["s0-t0"].MostWhileCold() <= permittedPerSecond)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() > 0)
+		is.True(s.targets["s0-t0"].MaxRequestsWhileCold() <= permittedPerSecond)
 	})
 }
 
@@ -236,7 +236,7 @@
 		coldSite(s, "s0-t1")
 		g := s.gateways[0]
 		<-g.BecameCold()
-		is.Equal(g.ColdTargets(), []gateway.ColdTarget{{ID: "s0-t0", Bound: 10, Hosts: []string{"h"}}})
+		is.Equal(g.ColdTargets(), []gateway.ColdTarget{{ID: "s0-t0", MaxPerSecond: 10, Hosts: []string{"h"}}})
 		time.Sleep(coldDuration)
 		is.Equal(len(g.ColdTargets()), 0)
 		is.True(!strings.Contains(log.String(), "error"))
--- a/internal/gateway/divided.go
+++ b/internal/gateway/divided.go
@@ -53,7 +53,7 @@
 	cells := g.planCells(r, route, gatherers)
 	q := &dividedQuery{route: route, minParts: minParts, cells: make([]cellResult, len(cells))}
 	maxLost := len(route.Shards) - minParts
-	lossLimits := Missing{Most: maxLost, Untold: maxLost / len(cells)}
+	lossLimits := LossLimits{MaxLost: maxLost, MaxUnreported: maxLost / len(cells)}
 	updates := make(chan cellResult, 2*len(route.Shards)+2*len(cells)) // sending never blocks
 	for i, cell := range cells {
 		n := len(cell.Shards)
@@ -168,7 +168,7 @@
 		if p.ended {
 			lost += p.shards - len(p.gathered.Signatures)
 		} else {
-			lost += p.gathered.Failed
+			lost += p.gathered.LostShards
 		}
 	}
 	return len(q.route.Shards)-lost < q.minParts
@@ -190,10 +190,10 @@
 			out.Attempts += p.gathered.Attempts // attempts of this host are counted when they are made
 		}
 		out.PartBytes += p.gathered.PartBytes
-		lacking, reasons = appendText(lacking, p.gathered.Lacking), appendText(reasons, p.gathered.Reason)
+		lacking, reasons = appendText(lacking, p.gathered.MissingShards), appendText(reasons, p.gathered.Reason)
 		helpers = appendText(helpers, p.gathered.Helper)
 	}
-	out.Lacking, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
+	out.MissingShards, out.Helper = strings.Join(lacking, " "), strings.Join(helpers, " ")
 	if len(out.Signatures) >= q.minParts {
 		out.Outcome, out.Records = outcome.Done, top.joined()
 		return out
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,10 +69,10 @@
 	}
 	g.attemptHeader = http.Header{}
 	messages.Attempt(g.attemptHeader, "", 0)
-	g.registry.permitsValid = state.PermitsCount
-	state.Follow(g.registry.apply)
+	g.registry.permitsValid = state.PermitsValid
+	state.Subscribe(g.registry.apply)
 	if !cfg.disabled(Findings) {
-		state.FollowFindings(g.applyFindings)
+		state.OnFindings(g.applyFindings)
 	}
 	return g
 }
@@ -220,7 +220,7 @@
 		g.scatter(ctx, w, r, route)
 		return
 	}
-	service := route.Choose(rand.Float64())
+	service := route.ChooseService(rand.Float64())
 	if service == "" {
 		w.refuse(refusalNoTarget)
 		return
--- a/internal/gateway/gathering.go
+++ b/internal/gateway/gathering.go
@@ -12,24 +12,24 @@
 
 // Gathered is the result of gathering some shards of a query, complete or partial.
 type Gathered struct {
-	Signatures []string // of the parts received
-	Records    []byte   // greatest records of the parts, in descending order
-	Outcome    outcome.Outcome
-	Lacking    string // some of the missing shards with the targets tried, for the log
-	Reason     string // why there is no answer
-	Attempts   int    // attempts at targets
-	Cut        bool   // the answer became due before all parts were there
-	PartBytes  int    // total size of the parts
-	Failed     int    // shards that can't be answered any more
-	Helper     string // host that gathered the shards; empty: this one
-	// Known is the helper's quarantine records of the request, if targets ended under it.
-	Known []quarantine.Record
+	Signatures    []string // of the parts received
+	Records       []byte   // greatest records of the parts, in descending order
+	Outcome       outcome.Outcome
+	MissingShards string // some of the missing shards with the targets tried, for the log
+	Reason        string // why there is no answer
+	Attempts      int    // attempts at targets
+	Cut           bool   // the answer became due before all parts were there
+	PartBytes     int    // total size of the parts
+	LostShards    int    // shards that can't be answered any more
+	Helper        string // host that gathered the shards; empty: this one
+	// QuarantineRecords is the helper's quarantine records of the request, if targets ended under it.
+	QuarantineRecords []quarantine.Record
 }
 
-// Missing limits the parts of a query that may be lost.
-type Missing struct {
-	Most   int // of the whole query; once more are lost it is abandoned
-	Untold int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
+// LossLimits limits the parts of a query that may be lost.
+type LossLimits struct {
+	MaxLost       int // of the whole query; once more are lost it is abandoned
+	MaxUnreported int // of one cell before the delegating host is notified; those of all cells together don't exceed that of the query
 }
 
 // part is the final result of one shard.
@@ -62,7 +62,7 @@
 // earlier once more shards are lost than need not be reported. It returns when all shards have ended,
 // when more are lost than the whole answer may lack, at the deadline, or when ctx is done.
 // otherHostAttempts is how often other hosts may have sent the query to each shard.
-func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits Missing, otherHostAttempts int, report func(Gathered)) Gathered {
+func (g *Gateway) gatherLocally(ctx context.Context, r *request, route *routing.Route, lossLimits LossLimits, otherHostAttempts int, report func(Gathered)) Gathered {
 	collector := newPartCollector(route)
 	runs := g.newRuns(r, route, otherHostAttempts)
 	parts := make(chan part, len(runs))
@@ -82,11 +82,11 @@
 	deadlineTimer := time.NewTimer(time.Until(r.deadline))
 	defer deadlineTimer.Stop()
 	late := false
-	for !collector.ended() && collector.failed <= lossLimits.Most {
+	for !collector.ended() && collector.failed <= lossLimits.MaxLost {
 		select {
 		case p := <-parts:
 			collector.add(p)
-			if !collector.ended() && (late || !p.ok && collector.failed > lossLimits.Untold) {
+			if !collector.ended() && (late || !p.ok && collector.failed > lossLimits.MaxUnreported) {
 				report(result())
 			}
 		case <-answerTimer.C:
@@ -141,7 +141,7 @@
 func (c *partCollector) result(runs []*run, attempts int) Gathered {
 	out := Gathered{
 		Signatures: append([]string(nil), c.signatures...), Records: c.top.joined(), PartBytes: c.partBytes,
-		Outcome: c.combined, Lacking: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), Failed: c.failed,
+		Outcome: c.combined, MissingShards: c.missingShards(runs), Attempts: attempts, Cut: !c.ended(), LostShards: c.failed,
 	}
 	if !c.ended() && !c.abandoned {
 		out.Outcome = outcome.Combine(out.Outcome, outcome.Unknown)
--- a/internal/gateway/helper.go
+++ b/internal/gateway/helper.go
@@ -20,28 +20,28 @@
 // Query is a request to another host to gather some shards of a query. Durations count from the
 // moment at which it is received.
 type Query struct {
-	RequestID string
-	Caller    string
-	Method    string
-	URI       string
-	Host      string
-	Header    http.Header
-	Body      []byte
-	Route     routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
-	May       Missing
-	Objective time.Duration // latency within which the answer counts as in time
-	AnswerIn  time.Duration // time until the answer is sent without the missing parts
-	Budget    time.Duration // time until the caller's deadline
-	Late      bool          // the request is a late retry
-	Asked     int           // how often other hosts may have sent the query to each shard
+	RequestID     string
+	Caller        string
+	Method        string
+	URI           string
+	Host          string
+	Header        http.Header
+	Body          []byte
+	Route         routing.Route // name, shards to gather, maximum attempts, rank, home regions and size of the answer
+	LossLimits    LossLimits
+	Objective     time.Duration // latency within which the answer counts as in time
+	AnswerIn      time.Duration // time until the answer is sent without the missing parts
+	Budget        time.Duration // time until the caller's deadline
+	LateRetry     bool          // the request is a late retry
+	PriorAttempts int           // how often other hosts may have sent the query to each shard
 }
 
 // Progress has the callbacks through which a gathering host reports its progress.
 type Progress struct {
-	// Taken is called once the host has accepted the query, with the number of queries that it
-	// gathers for others. If Taken returns true the host gets the go-ahead, before which it makes
+	// Accepted is called once the host has accepted the query, with the number of queries that it
+	// gathers for others. If Accepted returns true the host gets the go-ahead, before which it makes
 	// at most one attempt per shard.
-	Taken func(load int) bool
+	Accepted func(load int) bool
 	// Partial is called with the partial result when the answer is due, and again with each part
 	// that arrives later.
 	Partial func(Gathered)
@@ -67,15 +67,15 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	byHost  map[string]*policy.Helper
-	helping policy.Helping
+	helping policy.HelperTimings
 }
 
-// HelpWith enables the delegation of queries to other hosts. It must be called before Start.
-func (g *Gateway) HelpWith(client Helpers, hosts func() []member.Host) {
+// EnableHelpers enables the delegation of queries to other hosts. It must be called before Start.
+func (g *Gateway) EnableHelpers(client Helpers, hosts func() []member.Host) {
 	g.registry.gatherers = newGathererIndex(g.self, hosts)
 	g.helpers = &helperPool{
 		self: g.self, client: client, byHost: map[string]*policy.Helper{},
-		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), helping: policy.NewHelping(),
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), helping: policy.NewHelperTimings(),
 	}
 }
 
@@ -141,19 +141,19 @@
 	return helper
 }
 
-// patience calls policy.Helping.Patience under the lock.
+// patience calls policy.HelperTimings.Timeouts under the lock.
 func (h *helperPool) patience(left time.Duration) (silent, back time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.helping.Patience(left)
+	return h.helping.Timeouts(left)
 }
 
 // noteAccepted records that a host accepted a query, and how many it gathers now.
 func (h *helperPool) noteAccepted(id string, after time.Duration, load int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.helping.Took(after)
-	h.get(id).Told(load)
+	h.helping.ObserveAck(after)
+	h.get(id).SetReportedLoad(load)
 }
 
 // noteEnded records whether a query at a host ended well.
@@ -167,7 +167,7 @@
 func (h *helperPool) noteReturnLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.helping.CameBack(lag)
+	h.helping.ObserveReturnLag(lag)
 }
 
 // plannedCell is a cell and where it is gathered.
@@ -216,7 +216,7 @@
 	route      *routing.Route // with only the shards of the cell
 	gatherers  *gatherers
 	plan       plannedCell
-	lossLimits Missing
+	lossLimits LossLimits
 	report     func(Gathered)
 }
 
@@ -316,7 +316,7 @@
 	q := r.query(req, left-returnTime, otherHostAttempts)
 	var partial *Gathered
 	got, err = h.client.Gather(call, enough, host, q, Progress{
-		Taken: func(load int) bool {
+		Accepted: func(load int) bool {
 			goAhead = acceptTimer.Stop()
 			h.noteAccepted(host.ID, time.Since(began), load)
 			return goAhead
@@ -344,8 +344,8 @@
 func (r *request) query(req *cellRequest, answerIn time.Duration, otherHostAttempts int) Query {
 	return Query{
 		RequestID: r.call.RequestID, Caller: r.caller, Method: r.method, URI: r.uri, Host: r.host,
-		Header: r.header, Body: r.body, Route: *req.route, May: req.lossLimits, Objective: r.objective,
-		AnswerIn: answerIn, Budget: time.Until(r.deadline), Late: r.lateRetry, Asked: otherHostAttempts,
+		Header: r.header, Body: r.body, Route: *req.route, LossLimits: req.lossLimits, Objective: r.objective,
+		AnswerIn: answerIn, Budget: time.Until(r.deadline), LateRetry: r.lateRetry, PriorAttempts: otherHostAttempts,
 	}
 }
 
@@ -355,7 +355,7 @@
 func (g *Gateway) GatherFor(ctx, enough context.Context, q Query, p Progress, goAhead *atomic.Bool) Gathered {
 	load := g.queriesForOthers.Add(1)
 	defer g.queriesForOthers.Add(-1)
-	if !p.Taken(int(load)) {
+	if !p.Accepted(int(load)) {
 		return Gathered{Outcome: outcome.NotSent, Reason: "the other host has gone"}
 	}
 	r := g.requestFromQuery(q)
@@ -366,10 +366,10 @@
 	stop := context.AfterFunc(enough, done)
 	defer stop()
 	if g.quarantined(r) {
-		return Gathered{Outcome: outcome.NotSent, Reason: quarantine.ErrQuarantined.Error(), Known: g.quarantineRecords(r)}
+		return Gathered{Outcome: outcome.NotSent, Reason: quarantine.ErrQuarantined.Error(), QuarantineRecords: g.quarantineRecords(r)}
 	}
-	got := g.gatherLocally(ctx, r, &q.Route, q.May, q.Asked, p.Partial)
-	got.Known = g.quarantineRecords(r)
+	got := g.gatherLocally(ctx, r, &q.Route, q.LossLimits, q.PriorAttempts, p.Partial)
+	got.QuarantineRecords = g.quarantineRecords(r)
 	return got
 }
 
@@ -379,7 +379,7 @@
 	r := &request{
 		call: Call{RequestID: q.RequestID, Budget: q.Budget}, caller: q.Caller, method: q.Method, uri: q.URI, host: q.Host,
 		header: q.Header, body: q.Body, arrived: now, arrivedClock: g.state.Clock().Now(), answerBy: now.Add(q.AnswerIn), deadline: now.Add(q.Budget),
-		objective: q.Objective, rank: q.Route.Rank, homeRegions: q.Route.Homes, sharded: true, lateRetry: q.Late, stats: g.routeStats.forRoute(q.Route.Name),
+		objective: q.Objective, rank: q.Route.Rank, homeRegions: q.Route.Homes, sharded: true, lateRetry: q.LateRetry, stats: g.routeStats.forRoute(q.Route.Name),
 	}
 	r.latencyScale = r.stats.latencyScale(r.objective)
 	return r
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -20,8 +20,8 @@
 			s.get("/one/x", fmt.Sprintf("r%d", i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(s.targets["s0-t0"].Arrived() < 20)
-		is.True(s.targets["s0-t1"].Arrived() > 80)
+		is.True(s.targets["s0-t0"].Received() < 20)
+		is.True(s.targets["s0-t1"].Received() > 80)
 	})
 }
 
@@ -34,7 +34,7 @@
 			s.get("/one/x", fmt.Sprintf("r%d", i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		less := min(s.targets["s0-t0"].Arrived(), s.targets["s0-t1"].Arrived())
+		less := min(s.targets["s0-t0"].Received(), s.targets["s0-t1"].Received())
 		is.True(less > 50) // each gets its share
 	})
 }
@@ -48,9 +48,9 @@
 		for _, target := range s.targets {
 			for _, r := range target.Runs() {
 				if r.RequestID == "r1" {
-					is.True(r.Left < objective)
+					is.True(r.Budget < objective)
 				} else {
-					is.True(r.Left > objective) // the answer to a single request is useful until the deadline
+					is.True(r.Budget > objective) // the answer to a single request is useful until the deadline
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 			s.get("/all/x", fmt.Sprintf("r%d", i))
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(s.targets["s1-t0"].Arrived() > 5)
-		is.True(s.targets["s1-t1"].Arrived() > 5)
+		is.True(s.targets["s1-t0"].Received() > 5)
+		is.True(s.targets["s1-t1"].Received() > 5)
 	})
 }
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -125,15 +125,15 @@
 	if o.log != nil {
 		s.log = event.New(o.log, plog.InfoLevel, "h")
 	}
-	machine, suspend := clock.Virtual()
-	s.state.GoBy(machine)
+	machine, suspend := clock.NewVirtual()
+	s.state.SetClock(machine)
 	s.suspend = suspend
 	s.requests = quarantine.NewTable(quarantine.DefaultConfig(), s.log)
 	s.setDial(o.dial)
 	s.regions, s.changeTarget = o.regions, o.changeTarget
 	g := s.gateway(member.Host{ID: "h", FailureDomain: domain, LinkMbps: o.link}, o.without...)
 	if o.helpers != nil {
-		g.HelpWith(o.helpers(s), func() []member.Host { return o.hosts })
+		g.EnableHelpers(o.helpers(s), func() []member.Host { return o.hosts })
 	}
 	s.life.Advance(kernel.Ready)
 	s.serve(callersAddress, g)
--- a/internal/gateway/trial.go
+++ b/internal/gateway/trial.go
@@ -32,11 +32,11 @@
 
 // quarantineMode returns how attempts of a request may be made, and for how much longer it is
 // quarantined.
-func (g *Gateway) quarantineMode(r *request) (s quarantine.Stance, left time.Duration) {
+func (g *Gateway) quarantineMode(r *request) (s quarantine.Status, left time.Duration) {
 	if !g.hasSuspects() {
 		return quarantine.Free, 0
 	}
-	return g.quarantineTable.Stance(r.quarantineKeys())
+	return g.quarantineTable.Status(r.quarantineKeys())
 }
 
 // quarantined reports whether a request is quarantined.
@@ -59,7 +59,7 @@
 // releaseAdmission ends an attempt that admit let through.
 func (r *run) releaseAdmission(alone bool) {
 	if alone {
-		r.gateway.quarantineTable.Left(r.request.quarantineKeys())
+		r.gateway.quarantineTable.Release(r.request.quarantineKeys())
 	}
 }
 
@@ -72,7 +72,7 @@
 func (g *Gateway) refusesConnections(ctx context.Context, s *service, t *target) bool {
 	ctx, cancel := context.WithTimeout(ctx, reconnectCheckTimeout)
 	defer cancel()
-	refused := targetconn.Refused(t.pool.Check(ctx))
+	refused := targetconn.Refused(t.pool.ProbeConnection(ctx))
 	if refused {
 		s.mu.Lock()
 		t.noteUnreachable()
@@ -127,8 +127,8 @@
 
 // mergeQuarantineRecords merges the quarantine records that came with the result of a helper.
 func (g *Gateway) mergeQuarantineRecords(got Gathered) {
-	if len(got.Known) > 0 && !g.cfg.disabled(Quarantine) {
-		g.quarantineTable.Merge(got.Known)
+	if len(got.QuarantineRecords) > 0 && !g.cfg.disabled(Quarantine) {
+		g.quarantineTable.Merge(got.QuarantineRecords)
 	}
 }
 
--- a/internal/gatewayhost/fleet_test.go
+++ b/internal/gatewayhost/fleet_test.go
@@ -120,7 +120,7 @@
 func (t *fleetTarget) becomeCold(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.target.GoCold(d)
+	t.target.StartColdPhase(d)
 	id, target := t.id, t.target
 	time.AfterFunc(registrationInterval, func() { t.fleet.register(id, target.Registration(t.address, t.domain)) })
 }
@@ -228,8 +228,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.incarnations {
-		most = max(most, t.MostWhileCold())
-		if t.MostWhileCold() > 0 {
+		most = max(most, t.MaxRequestsWhileCold())
+		if t.MaxRequestsWhileCold() > 0 {
 			targets++
 		}
 	}
@@ -503,12 +503,12 @@
 		f.settings(&s)
 	}
 	p := &fleetHostProcess{network: &hostNetwork{network: f.network, fleet: f}}
-	onPlatform := OnPlatform()
+	onPlatform := UserPlatform()
 	onPlatform.Records = func(c objstore.Config) objstore.Records {
 		return platform.NewObjectsOver(p.network.Dial, c.Addresses...)
 	}
 	var err error
-	p.Host, err = NewOn(System{Listen: p.network.Listen, Dial: p.network.Dial}, s, onPlatform, event.Discard())
+	p.Host, err = NewWithSystem(System{Listen: p.network.Listen, Dial: p.network.Dial}, s, onPlatform, event.Discard())
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -79,14 +79,14 @@
 // New returns a host with every module built and every listener open, but
 // no module started. It fails if an address is in use.
 func New(s Settings, p Platform, log *event.Log) (*Host, error) {
-	return NewOn(OwnSystem(), s, p, log)
+	return NewWithSystem(LocalSystem(), s, p, log)
 }
 
-// OwnSystem returns the network and the clock of the operating system.
-func OwnSystem() System { return System{Listen: net.Listen, Clock: clock.New()} }
+// LocalSystem returns the network and the clock of the operating system.
+func LocalSystem() System { return System{Listen: net.Listen, Clock: clock.New()} }
 
-// NewOn is New with the given network and clock instead of those of the operating system.
-func NewOn(system System, s Settings, p Platform, log *event.Log) (*Host, error) {
+// NewWithSystem is New with the given network and clock instead of those of the operating system.
+func NewWithSystem(system System, s Settings, p Platform, log *event.Log) (*Host, error) {
 	opened, err := listenAll(system, s.Addresses)
 	if err != nil {
 		return nil, err
@@ -138,8 +138,8 @@
 		return nil, err
 	}
 	s := discovery.NewState()
-	s.GoBy(h.system.Clock)
-	s.ShareRequests(requests.table)
+	s.SetClock(h.system.Clock)
+	s.ShareQuarantine(requests.table)
 	return stateModule{s}, nil
 }
 
@@ -160,7 +160,7 @@
 }
 
 // platformModule is the rate-limited client of the platform's object API as a module.
-type platformModule struct{ *objstore.Governed }
+type platformModule struct{ *objstore.LimitedRecords }
 
 // Start does nothing, so that a host can start while the platform is down.
 func (platformModule) Start(context.Context) error { return nil }
@@ -173,8 +173,8 @@
 
 func (h *Host) newPlatform(kernel.Finder) (kernel.Module, error) {
 	cfg := h.settings.Platform
-	records := objstore.Govern(cfg, h.platform.Records(cfg), h.log, h.metrics)
-	records.GoBy(h.system.Clock)
+	records := objstore.NewLimitedRecords(cfg, h.platform.Records(cfg), h.log, h.metrics)
+	records.SetClock(h.system.Clock)
 	return platformModule{records}, nil
 }
 
@@ -196,7 +196,7 @@
 
 func (h *Host) newPeers(kernel.Finder) (kernel.Module, error) {
 	s := peer.NewServer(h.settings.Addresses.Peers, peer.WithMetrics(h.peerMetrics))
-	s.On(h.listeners.peers)
+	s.UseListener(h.listeners.peers)
 	return s, nil
 }
 
@@ -210,15 +210,15 @@
 	}
 	self := member.Host{
 		ID: h.settings.ID, FailureDomain: h.settings.FailureDomain,
-		Peer: h.Addresses().Peers, API: h.Addresses().Callers,
+		PeerAddress: h.Addresses().Peers, APIAddress: h.Addresses().Callers,
 		LinkMbps: uint32(math.Round(h.settings.LinkMbps)),
 	}
-	h.members = member.New(h.settings.Member, self, store, member.DRPC{Dialer: pool}, h.log, h.metrics)
+	h.members = member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
 	return h.members, h.members.Register(server)
 }
 
 // stateExchangeModule is the exchange of discovery state with other hosts as a module.
-type stateExchangeModule struct{ *discovery.Spread }
+type stateExchangeModule struct{ *discovery.Exchange }
 
 // Start does nothing: the peer listener serves the calls.
 func (stateExchangeModule) Start(context.Context) error { return nil }
@@ -235,8 +235,8 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	s := discovery.NewSpread(h.settings.Discovery, members, pool, state.State)
-	s.AskFirst(h.settings.Member.Seeds)
+	s := discovery.NewExchange(h.settings.Discovery, members, pool, state.State)
+	s.SetSeeds(h.settings.Member.Seeds)
 	return stateExchangeModule{s}, s.Register(server)
 }
 
@@ -250,7 +250,7 @@
 		return nil, l.Err
 	}
 	follower := discovery.NewFollower(h.settings.Discovery, h.platform.Source(records), spread, state.State, h.log, h.metrics)
-	follower.ReadRequests(requests)
+	follower.SetQuarantineStore(requests)
 	return follower, nil
 }
 
@@ -298,7 +298,7 @@
 	if h.system.Dial != nil {
 		h.gateway.DialWith(h.system.Dial)
 	}
-	h.gateway.HelpWith(gatherrpc.NewClient(pool, h.system.Clock), members.Hosts)
+	h.gateway.EnableHelpers(gatherrpc.NewClient(pool, h.system.Clock), members.Hosts)
 	return h.gateway, gatherrpc.NewServer(h.gateway, h.system.Clock).Register(server)
 }
 
@@ -367,8 +367,8 @@
 // dropCheckInterval is the interval at which the number of dropped log lines is checked.
 const dropCheckInterval = time.Second
 
-// WatchDrops logs the number of dropped log lines whenever it has grown, until the host begins to stop.
-func (h *Host) WatchDrops(dropped func() uint64) {
+// LogDroppedLines logs the number of dropped log lines whenever it has grown, until the host begins to stop.
+func (h *Host) LogDroppedLines(dropped func() uint64) {
 	go func() {
 		reported := uint64(0)
 		tick := time.NewTicker(dropCheckInterval)
@@ -394,7 +394,7 @@
 		h.log.Event(evReloadRefused).Err(err).Msg("")
 		return
 	}
-	h.log.SetLevel(s.Log.Plog())
+	h.log.SetLevel(s.Log.ParsedLevel())
 	h.log.Event(evReloaded).Str("level", s.Log.Level).Bool("restart_needed", h.needsRestart(s)).Msg("")
 }
 
--- a/internal/gatewayhost/host_test.go
+++ b/internal/gatewayhost/host_test.go
@@ -64,7 +64,7 @@
 	gs.Platform.Addresses = []string{s.address}
 	gs.Member.Seeds = seeds
 	gs.Stop.BalancerLag = unit.Duration(time.Second)
-	h, err := New(gs, OnPlatform(), event.Discard())
+	h, err := New(gs, UserPlatform(), event.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	is.Equal(getStatus(t, a.Readiness+"/api/readyz"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics"), http.StatusOK)
 	is.Equal(getStatus(t, a.Metrics+"/metrics/runtime"), http.StatusOK)
-	for _, path := range []string{platformtarget.SiteQuery + "x", platformtarget.SiteSingle + "x"} {
+	for _, path := range []string{platformtarget.SiteQueryPath + "x", platformtarget.SiteSinglePath + "x"} {
 		got, _, err := sendRequest(http.DefaultClient, a.Callers, path, "r1")
 		is.NoErr(err)
 		is.Equal(got, http.StatusOK)
@@ -139,7 +139,7 @@
 	second := s.startHost(t, "b", first.Addresses().Peers)
 	defer second.stopForTest(t)
 	is.NoErr(second.WaitReady(t.Context()))
-	got, _, err := sendRequest(http.DefaultClient, second.Addresses().Callers, platformtarget.SiteQuery+"x", "r1")
+	got, _, err := sendRequest(http.DefaultClient, second.Addresses().Callers, platformtarget.SiteQueryPath+"x", "r1")
 	is.NoErr(err)
 	is.Equal(got, http.StatusOK)
 }
@@ -150,7 +150,7 @@
 	s.store.SetFaults(objectstore.Faults{Outage: objectstore.OutageUnavailable})
 	h := s.startHost(t, "a")
 	defer h.stopForTest(t)
-	got, _, err := sendRequest(http.DefaultClient, h.Addresses().Callers, platformtarget.SiteQuery+"x", "r1")
+	got, _, err := sendRequest(http.DefaultClient, h.Addresses().Callers, platformtarget.SiteQueryPath+"x", "r1")
 	is.NoErr(err)
 	is.Equal(got, http.StatusServiceUnavailable)
 	is.Equal(getStatus(t, h.Addresses().Readiness+"/api/readyz"), http.StatusServiceUnavailable)
@@ -179,7 +179,7 @@
 					return
 				default:
 				}
-				got, body, err := sendRequest(c, address, platformtarget.SiteSingle+"x", strconv.Itoa(i)+"-"+strconv.Itoa(n))
+				got, body, err := sendRequest(c, address, platformtarget.SiteSinglePath+"x", strconv.Itoa(i)+"-"+strconv.Itoa(n))
 				if err != nil || got != http.StatusOK {
 					cut.Add(1)
 					t.Logf("status %d: %v %s", got, err, body)
--- a/internal/gatherrpc/gatherrpc.go
+++ b/internal/gatherrpc/gatherrpc.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	progress := gateway.Progress{
-		Taken: func(load int) bool {
+		Accepted: func(load int) bool {
 			if !send(&peerpb.GatherReply{Taken: true, Load: uint32(load)}) {
 				return false
 			}
@@ -115,7 +115,7 @@
 
 // Gather implements gateway.Helpers.
 func (c *Client) Gather(ctx, enough context.Context, host member.Host, q gateway.Query, p gateway.Progress) (gateway.Gathered, error) {
-	stream, err := peerpb.NewDRPCGatherClient(c.dialer.Conn(ctx, host.Peer)).Gather(ctx)
+	stream, err := peerpb.NewDRPCGatherClient(c.dialer.Conn(ctx, host.PeerAddress)).Gather(ctx)
 	if err != nil {
 		return gateway.Gathered{}, Error.New("open stream to %s: %w", host.ID, err)
 	}
@@ -132,7 +132,7 @@
 		}
 		switch {
 		case m.Taken:
-			if !p.Taken(int(m.Load)) {
+			if !p.Accepted(int(m.Load)) {
 				return gateway.Gathered{}, Error.New("%s accepted the query too late", host.ID)
 			}
 			if err := stream.Send(&peerpb.GatherRequest{GoOn: true}); err != nil && enough.Err() == nil {
@@ -153,9 +153,9 @@
 func queryToWire(q *gateway.Query) *peerpb.GatherRequest {
 	out := &peerpb.GatherRequest{
 		RequestId: q.RequestID, Caller: q.Caller, Method: q.Method, Uri: q.URI, Host: q.Host, Body: q.Body,
-		Route: q.Route.Name, Shards: q.Route.Shards, TopK: uint32(q.Route.TopK), MostMissing: uint32(q.May.Most), UntoldMissing: uint32(q.May.Untold),
+		Route: q.Route.Name, Shards: q.Route.Shards, TopK: uint32(q.Route.TopK), MostMissing: uint32(q.LossLimits.MaxLost), UntoldMissing: uint32(q.LossLimits.MaxUnreported),
 		ObjectiveUs: q.Objective.Microseconds(), MaxAttempts: uint32(q.Route.MaxAttempts), Rank: int32(q.Route.Rank), Homes: q.Route.Homes,
-		AnswerUs: q.AnswerIn.Microseconds(), BudgetUs: q.Budget.Microseconds(), Late: q.Late, Asked: uint32(q.Asked),
+		AnswerUs: q.AnswerIn.Microseconds(), BudgetUs: q.Budget.Microseconds(), Late: q.LateRetry, Asked: uint32(q.PriorAttempts),
 	}
 	for name, values := range q.Header {
 		out.Header = append(out.Header, &peerpb.HeaderField{Name: name, Values: values})
@@ -174,16 +174,16 @@
 			Name: in.Route, Host: in.Host, Idempotent: true, Shards: in.Shards, TopK: int(in.TopK),
 			MaxAttempts: int(in.MaxAttempts), Rank: int(in.Rank), Homes: in.Homes,
 		},
-		May: gateway.Missing{Most: int(in.MostMissing), Untold: int(in.UntoldMissing)}, Objective: peer.Micros(in.ObjectiveUs),
-		AnswerIn: peer.Micros(in.AnswerUs), Budget: peer.Micros(in.BudgetUs), Late: in.Late, Asked: int(in.Asked),
+		LossLimits: gateway.LossLimits{MaxLost: int(in.MostMissing), MaxUnreported: int(in.UntoldMissing)}, Objective: peer.FromMicros(in.ObjectiveUs),
+		AnswerIn: peer.FromMicros(in.AnswerUs), Budget: peer.FromMicros(in.BudgetUs), LateRetry: in.Late, PriorAttempts: int(in.Asked),
 	}
 }
 
 func gatheredToWire(g *gateway.Gathered, now time.Time) *peerpb.GatherReply {
 	return &peerpb.GatherReply{
-		Signatures: g.Signatures, Records: g.Records, Outcome: g.Outcome.String(), Lacking: g.Lacking, Reason: g.Reason,
-		Attempts: uint32(g.Attempts), Cut: g.Cut, PartBytes: uint64(g.PartBytes), Failed: uint32(g.Failed),
-		Known: quarantine.AllToWire(g.Known, now),
+		Signatures: g.Signatures, Records: g.Records, Outcome: g.Outcome.String(), Lacking: g.MissingShards, Reason: g.Reason,
+		Attempts: uint32(g.Attempts), Cut: g.Cut, PartBytes: uint64(g.PartBytes), Failed: uint32(g.LostShards),
+		Known: quarantine.AllToWire(g.QuarantineRecords, now),
 	}
 }
 
@@ -193,8 +193,8 @@
 		return gateway.Gathered{}, Error.New("unknown outcome %q", m.Outcome)
 	}
 	return gateway.Gathered{
-		Signatures: m.Signatures, Records: m.Records, Outcome: o, Lacking: m.Lacking, Reason: m.Reason,
-		Attempts: int(m.Attempts), Cut: m.Cut, PartBytes: int(m.PartBytes), Failed: int(m.Failed),
-		Known: quarantine.AllFromWire(m.Known, now),
+		Signatures: m.Signatures, Records: m.Records, Outcome: o, MissingShards: m.Lacking, Reason: m.Reason,
+		Attempts: int(m.Attempts), Cut: m.Cut, PartBytes: int(m.PartBytes), LostShards: int(m.Failed),
+		QuarantineRecords: quarantine.AllFromWire(m.Known, now),
 	}, nil
 }
--- a/internal/gatherrpc/gatherrpc_test.go
+++ b/internal/gatherrpc/gatherrpc_test.go
@@ -35,7 +35,7 @@
 }
 
 func (g *fakeGatherer) GatherFor(ctx, enough context.Context, q gateway.Query, p gateway.Progress, goOn *atomic.Bool) gateway.Gathered {
-	p.Taken(3)
+	p.Accepted(3)
 	g.received <- q
 	for g.needsGoOn && !goOn.Load() {
 		time.Sleep(time.Millisecond)
@@ -55,7 +55,7 @@
 
 // progressReplying returns a Progress whose Taken returns on.
 func progressReplying(on bool) gateway.Progress {
-	return gateway.Progress{Taken: func(int) bool { return on }}
+	return gateway.Progress{Accepted: func(int) bool { return on }}
 }
 
 func newGatherer() *fakeGatherer {
@@ -75,7 +75,7 @@
 	t.Cleanup(func() { _ = s.Stop(context.Background()) })
 	pool := peer.NewPool()
 	t.Cleanup(func() { _ = pool.Stop(context.Background()) })
-	return NewClient(pool, nil), member.Host{ID: "w", Peer: s.Addr()}
+	return NewClient(pool, nil), member.Host{ID: "w", PeerAddress: s.Addr()}
 }
 
 func TestQueryAndAnswerArriveWhole(t *testing.T) {
@@ -83,8 +83,8 @@
 	g := newGatherer()
 	g.needsGoOn = true
 	g.result = gateway.Gathered{
-		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, Lacking: "s(t)", Reason: "r",
-		Attempts: 4, Cut: true, PartBytes: 99, Failed: 2,
+		Signatures: []string{"a", "b"}, Records: []byte("0123456789abcdef"), Outcome: outcome.Done, MissingShards: "s(t)", Reason: "r",
+		Attempts: 4, Cut: true, PartBytes: 99, LostShards: 2,
 	}
 	client, host := serve(t, g)
 	q := gateway.Query{
@@ -94,12 +94,12 @@
 			Name: "all", Host: "a.example", Idempotent: true, Shards: []string{"s0", "s1"}, TopK: 5,
 			MaxAttempts: 2, Rank: 3, Homes: []string{"here"},
 		},
-		May: gateway.Missing{Most: 3, Untold: 1}, Asked: 1,
+		LossLimits: gateway.LossLimits{MaxLost: 3, MaxUnreported: 1}, PriorAttempts: 1,
 		Objective: 150 * time.Millisecond,
-		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, Late: true,
+		AnswerIn:  140 * time.Millisecond, Budget: 800 * time.Millisecond, LateRetry: true,
 	}
 	load := 0
-	got, err := client.Gather(t.Context(), t.Context(), host, q, gateway.Progress{Taken: func(n int) bool {
+	got, err := client.Gather(t.Context(), t.Context(), host, q, gateway.Progress{Accepted: func(n int) bool {
 		load = n
 		return true
 	}})
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	g := newGatherer()
 	client, host := serve(t, g)
-	host.Peer = "127.0.0.1:1" // no process listens on it
+	host.PeerAddress = "127.0.0.1:1" // no process listens on it
 	_, err := client.Gather(t.Context(), t.Context(), host, gateway.Query{}, progressReplying(true))
 	is.True(client.NotRun(err))
 }
@@ -166,7 +166,7 @@
 	enough, hasEnough := context.WithCancel(t.Context())
 	var partial gateway.Gathered
 	got, err := client.Gather(t.Context(), enough, host, gateway.Query{}, gateway.Progress{
-		Taken: func(int) bool { return true },
+		Accepted: func(int) bool { return true },
 		Partial: func(got gateway.Gathered) {
 			partial = got
 			hasEnough()
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -59,8 +59,8 @@
 func (h *Host) newPlatform(kernel.Finder) (kernel.Module, error) {
 	cfg := h.settings.Platform
 	records := platform.NewObjects(cfg.Timeout.Std(), cfg.Addresses...)
-	governed := objstore.Govern(cfg, records, h.log, h.metrics)
-	governed.GoBy(h.clock)
+	governed := objstore.NewLimitedRecords(cfg, records, h.log, h.metrics)
+	governed.SetClock(h.clock)
 	return objstore.New(governed), nil
 }
 
@@ -70,7 +70,7 @@
 
 func (h *Host) newPeerServer(kernel.Finder) (kernel.Module, error) {
 	s := peer.NewServer(h.settings.Addresses.Peers, peer.WithMetrics(h.peerMetrics))
-	s.On(h.listeners.peers)
+	s.UseListener(h.listeners.peers)
 	return s, nil
 }
 
@@ -85,10 +85,10 @@
 	self := member.Host{
 		ID:            h.settings.ID,
 		FailureDomain: h.settings.FailureDomain,
-		Peer:          h.Addresses().Peers,
-		API:           h.Addresses().Callers,
+		PeerAddress:   h.Addresses().Peers,
+		APIAddress:    h.Addresses().Callers,
 	}
-	m := member.New(h.settings.Member, self, store, member.DRPC{Dialer: pool}, h.log, h.metrics)
+	m := member.New(h.settings.Member, self, store, member.DRPCProber{Dialer: pool}, h.log, h.metrics)
 	h.modules.members = m
 	return m, m.Register(server)
 }
@@ -103,8 +103,8 @@
 		return nil, l.Err
 	}
 	c := catalog.New(h.settings.Catalog, store, members, catalog.NewPeerPuller(pool), members, h.log, h.metrics)
-	members.Follow(c)
-	c.GoBy(h.clock)
+	members.SetRevisionSource(c)
+	c.SetClock(h.clock)
 	h.modules.catalog = c
 	return c, peerpb.DRPCRegisterConfiguration(server, c)
 }
@@ -120,7 +120,7 @@
 		return nil, l.Err
 	}
 	r := relay.New(h.settings.Relay, services, lastHostView{members}, store, h.log, h.metrics)
-	r.Teller = relayrpc.NewTeller(pool)
+	r.SignSender = relayrpc.NewSignSender(pool)
 	return r, relayrpc.RegisterSigns(server, r)
 }
 
@@ -135,7 +135,7 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	c := claim.New(h.settings.Claim, store, sender, claim.NewPeerAsker(pool), members, services, h.log, h.metrics)
+	c := claim.New(h.settings.Claim, store, sender, claim.NewPeerAttemptClient(pool), members, services, h.log, h.metrics)
 	return c, peerpb.DRPCRegisterClaims(server, c)
 }
 
@@ -208,7 +208,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := api.NewCallers(h.settings.API, h.settings.Addresses.Callers, e, h, h.log)
-	s.On(h.listeners.callers)
+	s := api.NewCallerServer(h.settings.API, h.settings.Addresses.Callers, e, h, h.log)
+	s.UseListener(h.listeners.callers)
 	return s, nil
 }
--- a/internal/host/statements.go
+++ b/internal/host/statements.go
@@ -25,7 +25,7 @@
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	exec := operate.New(operate.Parts{
+	exec := operate.New(operate.Dependencies{
 		Members: members,
 		Store:   store,
 		Catalog: cat,
@@ -36,8 +36,8 @@
 
 		Objectives: objectivesOf(cat),
 	})
-	s := api.NewOperators(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
-	s.On(h.listeners.operators)
+	s := api.NewOperatorServer(h.settings.API, h.settings.Addresses.Operators, h.operators(), statementExecutor{exec}, h, h.metrics, h.log)
+	s.UseListener(h.listeners.operators)
 	return s, nil
 }
 
@@ -71,13 +71,13 @@
 type relayTargets struct{ relay *relay.Relay }
 
 // TargetStates returns the states of the targets that this host is the relay of.
-func (s relayTargets) TargetStates() []operate.Target {
-	var relayed []operate.Target
+func (s relayTargets) TargetStates() []operate.RelayedTarget {
+	var relayed []operate.RelayedTarget
 	for _, t := range s.relay.Targets() {
 		if !t.Relayed {
 			continue
 		}
-		relayed = append(relayed, operate.Target{
+		relayed = append(relayed, operate.RelayedTarget{
 			Service:     t.Service,
 			ID:          t.ID,
 			State:       string(t.State),
--- a/internal/load/site.go
+++ b/internal/load/site.go
@@ -222,7 +222,7 @@
 func (s *site) searchFunc(seed uint64, budget time.Duration) searchFunc {
 	return func(ctx context.Context, index int) result {
 		e := s.hosts[index%len(s.hosts)].entry
-		answer, refusal := e.Search(ctx, query.Search{
+		answer, refusal := e.Search(ctx, query.SearchRequest{
 			RequestID:   requestID(seed, index),
 			Caller:      "load",
 			Workload:    s.workload,
@@ -237,12 +237,12 @@
 			answered: true,
 			coverage: answer.Coverage.Fraction(),
 			attempts: answer.Attempts,
-			needed:   answer.Needed,
+			needed:   answer.NeededAnswers,
 		}
 	}
 }
 
-// siteRelays implements entry.Relays for one host. Relays on other hosts are a
+// siteRelays implements entry.RelayClients for one host. Relays on other hosts are a
 // round trip away.
 type siteRelays struct {
 	site   *site
@@ -250,7 +250,7 @@
 	direct bool
 }
 
-// Searcher implements entry.Relays. With direct, a host always uses its own
+// Searcher implements entry.RelayClients. With direct, a host always uses its own
 // searcher.
 func (a *siteRelays) Searcher(h member.Host) relay.Searcher {
 	if a.direct {
@@ -262,7 +262,7 @@
 	return &remoteRelay{a.site.searchers[h.ID]}
 }
 
-// Reserver implements entry.Relays. It is unused, as the runs reserve nothing.
+// Reserver implements entry.RelayClients. It is unused, as the runs reserve nothing.
 func (a *siteRelays) Reserver(member.Host) claim.Reserver { return nil }
 
 // remoteRelay is a relay on another host. It sleeps for the whole round trip
--- a/internal/member/members_test.go
+++ b/internal/member/members_test.go
@@ -240,7 +240,7 @@
 func (r *revisions) Hint(peer Host) {
 	r.self.goroutines.Go(func() {
 		time.Sleep(2 * oneWayLatency) // the pull
-		r.set(r.net.host(peer.Peer).revisions.Revision())
+		r.set(r.net.host(peer.PeerAddress).revisions.Revision())
 	})
 }
 
@@ -254,7 +254,7 @@
 
 func TestRevisionReachesAllWithinASecond(t *testing.T) {
 	inBubble(t, func(t *testing.T, net *network) {
-		all := startAll(t, net, 60, func(m *Members) { m.Follow(&revisions{net: net, self: m}) })
+		all := startAll(t, net, 60, func(m *Members) { m.SetRevisionSource(&revisions{net: net, self: m}) })
 		all[17].revisions.(*revisions).set(42)
 		eventually(t, time.Second, "in force everywhere", func() bool {
 			return holdsForAll(all, func(m *Members) bool { return m.Self().Revision == 42 })
--- a/internal/objstore/client.go
+++ b/internal/objstore/client.go
@@ -236,7 +236,7 @@
 func (c *Client) Era() uint64 { return c.records.Era() }
 
 // Hosts implements Store.
-func (c *Client) Hosts(ctx context.Context) ([]LiveHost, error) { return c.records.Hosts(ctx) }
+func (c *Client) Hosts(ctx context.Context) ([]ListedHost, error) { return c.records.Hosts(ctx) }
 
 // Now implements Store.
 func (c *Client) Now() (time.Time, bool) { return c.records.Now() }
@@ -253,7 +253,7 @@
 // appendReadable appends the objects of those records that can be decoded.
 func (c *Client) appendReadable(kind string, records []Record, l *Listing) {
 	for _, r := range records {
-		if o, err := c.openAndCache(kind, r); err == nil { // else written by another program; Governed has logged it
+		if o, err := c.openAndCache(kind, r); err == nil { // else written by another program; LimitedRecords has logged it
 			l.Objects = append(l.Objects, o)
 		}
 	}
@@ -261,7 +261,7 @@
 
 // openAndCache decodes the object of a record and caches its version and revision.
 func (c *Client) openAndCache(kind string, r Record) (Object, error) {
-	o, err := Open(kind, r)
+	o, err := Decode(kind, r)
 	if err != nil {
 		return Object{}, err
 	}
--- a/internal/objstore/governed_test.go
+++ b/internal/objstore/limitedrecords_test.go
@@ -138,13 +138,13 @@
 	return r
 }
 
-func (f *fakeRecords) Hosts(context.Context) ([]LiveHost, error) { return nil, f.recordCall("hosts") }
-func (f *fakeRecords) Now() (time.Time, bool)                    { return f.now, !f.now.IsZero() }
-func (f *fakeRecords) Era() uint64                               { return f.era }
-func (f *fakeRecords) Close()                                    {}
+func (f *fakeRecords) Hosts(context.Context) ([]ListedHost, error) { return nil, f.recordCall("hosts") }
+func (f *fakeRecords) Now() (time.Time, bool)                      { return f.now, !f.now.IsZero() }
+func (f *fakeRecords) Era() uint64                                 { return f.era }
+func (f *fakeRecords) Close()                                      {}
 
-func govern(f *fakeRecords) *Governed {
-	return Govern(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
+func govern(f *fakeRecords) *LimitedRecords {
+	return NewLimitedRecords(DefaultConfig(), f, event.Discard(), prometheus.NewRegistry())
 }
 
 func TestCallsAreCountedByResult(t *testing.T) {
@@ -215,8 +215,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := govern(newFake())
-		machine, suspend := clock.Virtual()
-		g.GoBy(machine)
+		machine, suspend := clock.NewVirtual()
+		g.SetClock(machine)
 		_, err := g.List(t.Context(), "k", "")
 		is.NoErr(err)
 		before, ok := g.Now()
@@ -242,7 +242,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	f := newFake()
-	g := Govern(DefaultConfig(), f, event.New(&out, plog.InfoLevel, "host"), prometheus.NewRegistry())
+	g := NewLimitedRecords(DefaultConfig(), f, event.New(&out, plog.InfoLevel, "host"), prometheus.NewRegistry())
 	read := func(era uint64) {
 		f.era = era
 		_, _ = g.Get(t.Context(), "k", "n")
--- a/internal/objstore/objstoretest/client.go
+++ b/internal/objstore/objstoretest/client.go
@@ -20,14 +20,14 @@
 	latency      time.Duration
 	loseAnswers  int // number of next writes whose response is lost
 	loseRequests int // number of next writes whose request is lost
-	holdWrites   int // number of next writes that are applied by Release
+	holdWrites   int // number of next writes that are applied by ApplyDelayedWrites
 	now          time.Time
 }
 
 var _ objstore.Store = (*Client)(nil)
 
-// Outage disconnects this client from the platform, or reconnects it.
-func (c *Client) Outage(down bool) {
+// SetDown disconnects this client from the platform, or reconnects it.
+func (c *Client) SetDown(down bool) {
 	c.set(func() { c.down = down })
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
@@ -42,9 +42,9 @@
 // without effect.
 func (c *Client) LoseNextRequests(n int) { c.set(func() { c.loseRequests = n }) }
 
-// HoldNextWrites makes the next n writes fail with *objstore.Unanswered and
-// take effect only when Platform.Release is called.
-func (c *Client) HoldNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
+// DelayNextWrites makes the next n writes fail with *objstore.Unanswered and
+// take effect only when Platform.ApplyDelayedWrites is called.
+func (c *Client) DelayNextWrites(n int) { c.set(func() { c.holdWrites = n }) }
 
 // SetLatency delays each call but a watch by d before it takes effect. A call
 // whose context ends first fails with *objstore.Unanswered, without effect.
@@ -118,7 +118,7 @@
 }
 
 // Hosts implements objstore.Store.
-func (c *Client) Hosts(ctx context.Context) ([]objstore.LiveHost, error) {
+func (c *Client) Hosts(ctx context.Context) ([]objstore.ListedHost, error) {
 	if err := c.begin(ctx, "hosts"); err != nil {
 		return nil, err
 	}
--- a/internal/objstore/objstoretest/objstoretest.go
+++ b/internal/objstore/objstoretest/objstoretest.go
@@ -32,7 +32,7 @@
 	changeSignal chan struct{} // closed and replaced at each change, outage and recovery
 	down         bool
 	heldWrites   []func()
-	hosts        []objstore.LiveHost
+	hosts        []objstore.ListedHost
 	clock        func() time.Time
 	callCounts   map[string]int
 }
@@ -51,9 +51,9 @@
 // Client returns a new client of the platform, without faults.
 func (p *Platform) Client() *Client { return &Client{p: p} }
 
-// Outage takes the platform down for every client, or up again. During an
+// SetDown takes the platform down for every client, or up again. During an
 // outage calls fail with *objstore.Unavailable; pending watches fail with *objstore.Unanswered.
-func (p *Platform) Outage(down bool) {
+func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
@@ -68,7 +68,7 @@
 }
 
 // SetHosts replaces the platform's list of hosts.
-func (p *Platform) SetHosts(hosts ...objstore.LiveHost) {
+func (p *Platform) SetHosts(hosts ...objstore.ListedHost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = slices.Clone(hosts)
@@ -94,22 +94,22 @@
 	p.signalWatches()
 }
 
-// Copy is a backup of the platform's objects and revision.
-type Copy struct {
+// Backup is a backup of the platform's objects and revision.
+type Backup struct {
 	objects  map[key]objstore.Object
 	revision uint64
 }
 
-// Copy returns a backup of the platform's current state.
-func (p *Platform) Copy() Copy {
+// Backup returns a backup of the platform's current state.
+func (p *Platform) Backup() Backup {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{maps.Clone(p.objects), p.revision}
+	return Backup{maps.Clone(p.objects), p.revision}
 }
 
 // Restore resets the platform to a copy. Writes made after the copy are lost, and their revisions
 // are assigned again. The era increases by one.
-func (p *Platform) Restore(c Copy) {
+func (p *Platform) Restore(c Backup) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects, p.revision = maps.Clone(c.objects), c.revision
@@ -118,9 +118,9 @@
 	p.signalWatches()
 }
 
-// Release applies the writes delayed by HoldNextWrites, in their order. A write
+// ApplyDelayedWrites applies the writes delayed by DelayNextWrites, in their order. A write
 // whose condition is no longer met is dropped.
-func (p *Platform) Release() {
+func (p *Platform) ApplyDelayedWrites() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := p.heldWrites
--- a/internal/objstore/objstoretest/objstoretest_test.go
+++ b/internal/objstore/objstoretest/objstoretest_test.go
@@ -30,18 +30,18 @@
 	is.True(errors.As(err, &unanswered))
 	is.Equal(len(p.Objects("k")), 1) // not applied
 
-	c.HoldNextWrites(1)
+	c.DelayNextWrites(1)
 	_, err = c.Put(t.Context(), "k", "b", 0, []byte("late"))
 	is.True(errors.As(err, &unanswered))
 	is.Equal(len(p.Objects("k")), 1)
-	p.Release()
+	p.ApplyDelayedWrites()
 	is.Equal(len(p.Objects("k")), 2) // applied late
 
 	_, err = c.Put(t.Context(), "k", "b", 0, []byte("2"))
 	is.True(errors.As(err, &conflict))
 	is.Equal(string(conflict.Current.Value), "late")
 
-	c.Outage(true)
+	c.SetDown(true)
 	_, err = c.Get(t.Context(), "k", "b")
 	is.True(errors.As(err, &unavailable))
 	_, err = p.Client().Get(t.Context(), "k", "b")
--- a/internal/operate/execute.go
+++ b/internal/operate/execute.go
@@ -40,9 +40,9 @@
 	Lookup(ctx context.Context, reservation string) (claim.LookupResult, error)
 }
 
-// Target is the state of a target as observed by this host, which relays to it.
+// RelayedTarget is the state of a target as observed by this host, which relays to it.
 // Attempts, Sheds and Errors are counters.
-type Target struct {
+type RelayedTarget struct {
 	Service     string
 	ID          string
 	State       string
@@ -56,12 +56,12 @@
 }
 
 // Relay returns the states of the targets that this host relays to.
-type Relay interface{ TargetStates() []Target }
+type Relay interface{ TargetStates() []RelayedTarget }
 
-// Parts are the dependencies of an executor. Relay and Claims may be nil. If
+// Dependencies are the dependencies of an executor. Relay and Claims may be nil. If
 // Catalog is nil, only reports can be shown, and only Reports and Objectives are
 // used.
-type Parts struct {
+type Dependencies struct {
 	Members member.View
 	Store   objstore.Store
 	Catalog Catalog
@@ -74,17 +74,17 @@
 }
 
 // Executor runs the statements of operators.
-type Executor struct{ deps Parts }
+type Executor struct{ deps Dependencies }
 
 // New returns an executor with the given dependencies.
-func New(p Parts) *Executor { return &Executor{deps: p} }
+func New(p Dependencies) *Executor { return &Executor{deps: p} }
 
 // Execute runs a statement for the named operator. A dry run checks a change and
 // shows its effect without writing it; a statement with the "dry run" prefix is
 // one too. The error is a *query.Refusal: its outcome says whether the change was
 // applied, and is Unknown if the platform did not answer.
 func (e *Executor) Execute(ctx context.Context, operator string, stmt lang.Statement, dryRun bool) (Table, error) {
-	stmt, dryRunPrefix := lang.Unwrap(stmt)
+	stmt, dryRunPrefix := lang.TrimDryRun(stmt)
 	_, changes := stmt.(lang.Change)
 	if dryRun && !changes {
 		return Table{}, badRequest("a dry run is of a change, and %q changes nothing", stmt)
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -57,14 +57,14 @@
 		p := objstoretest.New()
 		h := &testHost{t: t, platform: p, client: p.Client()}
 		h.hosts.Store(&[]member.Host{
-			{ID: "h0", FailureDomain: "salt-lake", State: member.Alive, Incarnation: 1, Peer: "127.0.0.1:7000"},
-			{ID: "h1", FailureDomain: "new-town", State: member.Alive, Incarnation: 1, Peer: "127.0.0.1:7001"},
+			{ID: "h0", FailureDomain: "salt-lake", State: member.Alive, Incarnation: 1, PeerAddress: "127.0.0.1:7000"},
+			{ID: "h1", FailureDomain: "new-town", State: member.Alive, Incarnation: 1, PeerAddress: "127.0.0.1:7001"},
 		})
 		_, _ = h.client.Put(t.Context(), objstore.KindMember, "h0", 0, []byte("{}")) // the host's own record
 		h.catalog = catalog.New(catalog.DefaultConfig(), h.client, h, h, h, event.Discard(), prometheus.NewRegistry())
 		_ = h.catalog.Start(t.Context())
 		cfg := delivery.DefaultConfig()
-		h.Executor = New(Parts{
+		h.Executor = New(Dependencies{
 			Members: h, Store: h.client, Catalog: h.catalog, Editor: catalog.NewEditor(h.catalog),
 			Reports:    delivery.NewReporter(cfg, h.client, h, event.Discard()),
 			Objectives: func() []delivery.Objective { return delivery.Objectives(h.catalog.Services()) },
@@ -123,7 +123,7 @@
 		is.Equal(h.mustRefuse("asha", "show hosts where zone = x").Reason, query.ReasonBadRequest)
 		is.Equal(h.mustRefuse("asha", "show hosts since 1h").Reason, query.ReasonBadRequest)
 
-		h.platform.Outage(true)
+		h.platform.SetDown(true)
 		s = h.mustRun("show services")
 		is.Equal(s.cell(0, "version"), "") // unknown, which the message says
 		is.True(strings.Contains(s.Message, "versions are not known"))
@@ -199,7 +199,7 @@
 
 		h.client.LoseNextAnswers(1)
 		h.client.SetLatency(time.Millisecond)
-		time.AfterFunc(2500*time.Microsecond, func() { h.client.Outage(true) }) // the outage begins after two reads, during the write
+		time.AfterFunc(2500*time.Microsecond, func() { h.client.SetDown(true) }) // the outage begins after two reads, during the write
 		r := h.mustRefuse("asha", "alter service guest-01 set relays = 3 at version 2")
 		is.Equal(r.Outcome, outcome.Unknown)
 		is.True(strings.Contains(r.Detail, "did not tell"))
--- a/internal/operate/reports.go
+++ b/internal/operate/reports.go
@@ -24,11 +24,11 @@
 	if err != nil {
 		return nil, err
 	}
-	t := newTable(append(fieldNames(report.Query.By), "answers", "p50", "p99", "attempts_per_needed")...)
+	t := newTable(append(fieldNames(report.Query.GroupBy), "answers", "p50", "p99", "attempts_per_needed")...)
 	for _, l := range report.Lines {
-		t.addRow(append(keyCells(l.Key, report.Query.By),
-			formatUint(l.Sums.Count), formatMilliseconds(l.Sums.Quantile(0.5)), formatMilliseconds(l.Sums.Quantile(0.99)),
-			formatRatio(l.Sums.Attempts, l.Sums.Needed))...)
+		t.addRow(append(keyCells(l.Key, report.Query.GroupBy),
+			formatUint(l.Totals.Count), formatMilliseconds(l.Totals.Quantile(0.5)), formatMilliseconds(l.Totals.Quantile(0.99)),
+			formatRatio(l.Totals.Attempts, l.Totals.Needed))...)
 	}
 	t.limit(s.Limit)
 	t.noteCompleteness(report.Completeness)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := coverageTable(report, report.Query.By[:groups])
+	t := coverageTable(report, report.Query.GroupBy[:groups])
 	t.limit(s.Limit)
 	t.noteCompleteness(report.Completeness)
 	return t, nil
@@ -78,7 +78,7 @@
 			counts[key] = map[delivery.Band]uint64{}
 			groups = append(groups, group)
 		}
-		counts[key][l.Key.Band] += l.Sums.Count
+		counts[key][l.Key.Band] += l.Totals.Count
 	}
 	for _, group := range groups {
 		t.addRow(append(group, bandCells(counts[groupKey(group)])...)...)
@@ -101,15 +101,15 @@
 // queryReport runs the delivery query of a show statement; by are the groups
 // where the statement names none.
 func (e *Executor) queryReport(ctx context.Context, s lang.Show, by ...delivery.Field) (delivery.Report, error) {
-	q := delivery.Query{Since: s.Since, By: by}
+	q := delivery.Query{Since: s.Since, GroupBy: by}
 	if len(s.By) > 0 {
-		q.By = nil
+		q.GroupBy = nil
 	}
 	for _, f := range s.By {
-		q.By = append(q.By, delivery.Field(f))
+		q.GroupBy = append(q.GroupBy, delivery.Field(f))
 	}
 	for _, c := range s.Where {
-		q.Where = append(q.Where, delivery.Filter{Field: delivery.Field(c.Field), Not: c.Not, Value: c.Value})
+		q.Filters = append(q.Filters, delivery.Filter{Field: delivery.Field(c.Field), Not: c.Not, Value: c.Value})
 	}
 	if err := q.Validate(); err != nil {
 		return delivery.Report{}, badRequestFrom(err)
@@ -146,13 +146,13 @@
 	t := newTable(fieldRequest, "reservation", "caller", "service", "outcome", "reason", "coverage", "snapshot", "latency", "host", "until")
 	for _, r := range records {
 		t.addRow(r.Request, r.Reservation, r.Caller, r.Service, r.Outcome.String(), string(r.Reason), formatFraction(r.Coverage),
-			formatUint(r.Snapshot), formatMilliseconds(r.Latency), r.Host, r.Until.UTC().Format(time.RFC3339))
+			formatUint(r.Snapshot), formatMilliseconds(r.Latency), r.Host, r.WindowEnd.UTC().Format(time.RFC3339))
 	}
 	if err := t.filter(s.Where); err != nil {
 		return nil, err
 	}
 	t.limit(s.Limit)
-	t.addNote("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.LeftOut)
+	t.addNote("single records are kept of reservations, refusals and partial answers; %d were left out", completeness.DroppedRecords)
 	t.noteCompleteness(completeness)
 	return t, nil
 }
@@ -200,13 +200,13 @@
 // missing from it.
 func (t *Table) noteCompleteness(c delivery.Completeness) {
 	t.addNote("from %s to %s, %d windows", formatTime(c.From), formatTime(c.To), c.Windows)
-	if c.Folded > 0 {
-		t.addNote("%d answers are summed under %s", c.Folded, delivery.Other)
+	if c.FoldedDeliveries > 0 {
+		t.addNote("%d answers are summed under %s", c.FoldedDeliveries, delivery.Other)
 	}
 	for _, g := range c.Missing {
 		t.addNote("missing: %s", g)
 	}
-	for _, o := range c.Open {
+	for _, o := range c.Incomplete {
 		t.addNote("missing: %s", o)
 	}
 	for _, name := range c.Unreadable {
--- a/internal/operate/state.go
+++ b/internal/operate/state.go
@@ -21,7 +21,7 @@
 	t := newTable("host", "failure_domain", "state", "incarnation", "revision", "peer", "api")
 	self := e.deps.Members.Self().ID
 	for _, h := range e.deps.Members.Hosts() {
-		t.addRow(h.ID, h.FailureDomain, string(h.State), formatUint(h.Incarnation), formatRevision(h.Revision), h.Peer, h.API)
+		t.addRow(h.ID, h.FailureDomain, string(h.State), formatUint(h.Incarnation), formatRevision(h.Revision), h.PeerAddress, h.APIAddress)
 	}
 	t.addNote("%d hosts as host %s sees them", len(t.Rows), self)
 	return t
@@ -107,8 +107,8 @@
 
 // relayedTargets returns the targets that this host relays to, by service and
 // target id.
-func (e *Executor) relayedTargets() map[[2]string]*Target {
-	byTarget := map[[2]string]*Target{}
+func (e *Executor) relayedTargets() map[[2]string]*RelayedTarget {
+	byTarget := map[[2]string]*RelayedTarget{}
 	if e.deps.Relay == nil {
 		return byTarget
 	}
@@ -122,7 +122,7 @@
 const targetStateColumns = 8
 
 // targetStateCells returns the state columns of a target, empty for nil.
-func targetStateCells(t *Target) []string {
+func targetStateCells(t *RelayedTarget) []string {
 	if t == nil {
 		return make([]string, targetStateColumns)
 	}
@@ -174,7 +174,7 @@
 // describeInForce describes on how many hosts a revision is in force, and names
 // those on which it isn't.
 func describeInForce(inForce catalog.InForce) string {
-	text := fmt.Sprintf("revision %s is in force on %d of %d hosts", formatRevision(inForce.Revision), inForce.On, inForce.Of)
+	text := fmt.Sprintf("revision %s is in force on %d of %d hosts", formatRevision(inForce.Revision), inForce.InForceCount, inForce.HostCount)
 	if len(inForce.Missing) > 0 {
 		text += ", not yet on " + strings.Join(inForce.Missing, ", ")
 	}
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -56,7 +56,7 @@
 func TestHelperWithMoreWorkCostsMore(t *testing.T) {
 	is := is.New(t)
 	var busy, idle Helper
-	busy.Told(5)
+	busy.SetReportedLoad(5)
 	is.True(busy.Option(true).Cost > idle.Option(true).Cost)
 	idle.Sent()
 	idle.Sent()
@@ -65,19 +65,19 @@
 
 func TestSilentHelperIsWaitedForAsLongAsUsual(t *testing.T) {
 	is := is.New(t)
-	helping := NewHelping()
+	helping := NewHelperTimings()
 	ackTimeout := func(left time.Duration) time.Duration {
-		silent, _ := helping.Patience(left)
+		silent, _ := helping.Timeouts(left)
 		return silent
 	}
 	const left = 140 * time.Millisecond
 	is.Equal(ackTimeout(left), 2*initialAckTime)
 	for range 500 {
-		helping.Took(time.Millisecond)
+		helping.ObserveAck(time.Millisecond)
 	}
 	is.Equal(ackTimeout(left), 2*minAckTime)
 	for range 200 {
-		helping.Took(100 * time.Millisecond)
+		helping.ObserveAck(100 * time.Millisecond)
 	}
 	is.Equal(ackTimeout(left), 28*time.Millisecond) // a fifth of what is left
 	is.Equal(ackTimeout(-left), time.Duration(0))
@@ -85,18 +85,18 @@
 
 func TestWayBackFromAHelperIsObserved(t *testing.T) {
 	is := is.New(t)
-	helping := NewHelping()
+	helping := NewHelperTimings()
 	back := func() time.Duration {
-		_, back := helping.Patience(time.Second)
+		_, back := helping.Timeouts(time.Second)
 		return back
 	}
 	is.Equal(back(), initialReturnLag)
 	for range 200 {
-		helping.CameBack(8 * time.Millisecond)
+		helping.ObserveReturnLag(8 * time.Millisecond)
 	}
 	is.True(back() > 7*time.Millisecond)
 	for range 2000 {
-		helping.CameBack(0)
+		helping.ObserveReturnLag(0)
 	}
 	is.Equal(back(), minReturnLag)
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -80,8 +80,8 @@
 // suspended. Call it before the table is used.
 func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
 
-// Stance returns how attempts of a request are admitted now and, if quarantined, for how long.
-func (t *Table) Stance(r Request) (s Stance, left time.Duration) {
+// Status returns how attempts of a request are admitted now and, if quarantined, for how long.
+func (t *Table) Status(r Request) (s Status, left time.Duration) {
 	if t.Empty() {
 		return Free, 0
 	}
@@ -94,7 +94,7 @@
 
 // status returns how attempts of a request are admitted, and when its latest quarantine ends. The
 // caller holds the lock.
-func (t *Table) status(r Request, now time.Time) (strictest Stance, until time.Time) {
+func (t *Table) status(r Request, now time.Time) (strictest Status, until time.Time) {
 	for _, e := range t.entries(r) {
 		strictest = max(strictest, e.status(now, t.hold))
 		if end := e.quarantinedUntil(t.hold); end.After(until) {
@@ -125,7 +125,7 @@
 	Among   []string // services that the request is sent to
 }
 
-// Admit waits until an attempt is admitted, and reports whether it is admitted alone; Left must
+// Admit waits until an attempt is admitted, and reports whether it is admitted alone; Release must
 // follow then. It fails with ErrQuarantined, with ErrBusy at the time until, or with the error of
 // ctx.
 func (t *Table) Admit(ctx context.Context, a Attempt, until time.Time) (alone bool, err error) {
@@ -188,8 +188,8 @@
 	return len(e.strikes) > 0 && (e.hasStrikeOf(a.Service) || !slices.ContainsFunc(a.Among, e.hasStrikeOf))
 }
 
-// Left ends an attempt that was admitted alone.
-func (t *Table) Left(r Request) {
+// Release ends an attempt that was admitted alone.
+func (t *Table) Release(r Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries(r) {
@@ -223,7 +223,7 @@
 }
 
 // noteQuarantined logs that a key has become quarantined.
-func (t *Table) noteQuarantined(k Key, e *entry, before Stance, from string) {
+func (t *Table) noteQuarantined(k Key, e *entry, before Status, from string) {
 	if before == Quarantined {
 		return
 	}
@@ -385,8 +385,8 @@
 	}
 }
 
-// Held returns the keys of quarantined requests.
-func (t *Table) Held() []Key {
+// QuarantinedKeys returns the keys of quarantined requests.
+func (t *Table) QuarantinedKeys() []Key {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -4,7 +4,7 @@
 // Messages carry time as a remaining budget, never as a clock reading, as the
 // wall clocks of two hosts are never compared.
 //
-// It contains no routing, encoding or network code. Start reading at Search and
+// It contains no routing, encoding or network code. Start reading at SearchRequest and
 // Answer, then Batch and ShardResult; Refusal is in refusal.go.
 package query
 
@@ -43,9 +43,9 @@
 	Score   float64 `json:"score"`
 }
 
-// Search is a search request to one service, or to every service of one workload.
+// SearchRequest is a search request to one service, or to every service of one workload.
 // Exactly one of Service and Workload is set.
-type Search struct {
+type SearchRequest struct {
 	RequestID   string
 	Caller      string
 	Service     string
@@ -75,17 +75,17 @@
 	return float64(c.Answered) / float64(c.Shards)
 }
 
-// Answer is the merged answer to a Search. All rows are of one snapshot.
+// Answer is the merged answer to a SearchRequest. All rows are of one snapshot.
 type Answer struct {
-	RequestID string
-	Workload  string
-	Snapshot  uint64
-	Rows      []Row
-	TotalRows int // rows found by the answered shards, before the limit
-	Coverage  Coverage
-	Attempts  int // shard attempts sent to targets, including hedges and retries
-	Needed    int // shard answers needed for a complete answer
-	Elapsed   time.Duration
+	RequestID     string
+	Workload      string
+	Snapshot      uint64
+	Rows          []Row
+	TotalRows     int // rows found by the answered shards, before the limit
+	Coverage      Coverage
+	Attempts      int // shard attempts sent to targets, including hedges and retries
+	NeededAnswers int // shard answers needed for a complete answer
+	Elapsed       time.Duration
 }
 
 // Batch is the request of an entry to one relay for one search: the shards of
@@ -99,11 +99,11 @@
 	Text      string
 	Limit     int
 	Budget    time.Duration
-	Parts     []Part
+	Parts     []ServiceShards
 }
 
-// Part lists the requested shards of one service.
-type Part struct {
+// ServiceShards lists the requested shards of one service.
+type ServiceShards struct {
 	Service string
 	Shards  []uint32
 }
@@ -121,9 +121,9 @@
 	Attempts   int
 }
 
-// Reserve is a request for one non-idempotent reservation. ReservationID is a
+// ReserveRequest is a request for one non-idempotent reservation. ReservationID is a
 // ULID chosen by the caller and so contains its creation time.
-type Reserve struct {
+type ReserveRequest struct {
 	RequestID     string
 	Caller        string
 	ReservationID string
@@ -132,7 +132,7 @@
 	Budget        time.Duration
 }
 
-// Reservation is the final result of a Reserve. Answer is the text returned by
+// Reservation is the final result of a ReserveRequest. Answer is the text returned by
 // the target and is set only if Outcome is Done.
 type Reservation struct {
 	RequestID     string
--- a/internal/relay/announce.go
+++ b/internal/relay/announce.go
@@ -68,7 +68,7 @@
 func (a *announcer) announce(now time.Time, hosts []member.Host, s TargetSign) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.relay.Teller == nil || a.ctx == nil {
+	if a.relay.SignSender == nil || a.ctx == nil {
 		return
 	}
 	self := a.relay.members.Self().ID
@@ -76,7 +76,7 @@
 		if h.ID == self {
 			continue
 		}
-		key := recipient{h.ID, h.Peer}
+		key := recipient{h.ID, h.PeerAddress}
 		pending, busy := a.pending[key]
 		a.pending[key] = append(pending, pendingSign{s, now.Add(signMaxAge)})
 		if !busy {
@@ -88,7 +88,7 @@
 
 // deliver sends the pending signs of the host until none is left.
 func (a *announcer) deliver(ctx context.Context, to member.Host) {
-	key := recipient{to.ID, to.Peer}
+	key := recipient{to.ID, to.PeerAddress}
 	var cause error
 	for {
 		batch := a.nextBatch(key, cause)
@@ -138,7 +138,7 @@
 func (a *announcer) send(ctx context.Context, to member.Host, signs []TargetSign) error {
 	ctx, cancel := context.WithTimeout(ctx, signCallTimeout)
 	defer cancel()
-	return a.relay.Teller.SendSigns(ctx, to, signs)
+	return a.relay.SignSender.SendSigns(ctx, to, signs)
 }
 
 func (r *Relay) recordUndelivered(host string, signs int, cause error) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -41,7 +41,7 @@
 // HostLister reads the list of hosts from the platform. objstore.Store
 // implements it.
 type HostLister interface {
-	Hosts(ctx context.Context) ([]objstore.LiveHost, error)
+	Hosts(ctx context.Context) ([]objstore.ListedHost, error)
 }
 
 // Relay runs shard searches and reservations against targets. Its methods are
@@ -55,9 +55,9 @@
 	metrics *metrics
 	dial    dialFunc
 
-	// Teller sends signs of leaving targets to other relays. It must be set
+	// SignSender sends signs of leaving targets to other relays. It must be set
 	// before Start; nil disables sending.
-	Teller SignSender
+	SignSender SignSender
 
 	announcer  announcer
 	table      atomic.Pointer[table]
--- a/internal/relayrpc/signs.go
+++ b/internal/relayrpc/signs.go
@@ -16,8 +16,8 @@
 // SignSender sends signs of leaving targets to other hosts.
 type SignSender struct{ dialer peer.Dialer }
 
-// NewTeller returns a SignSender over the connections of the dialer.
-func NewTeller(d peer.Dialer) SignSender { return SignSender{d} }
+// NewSignSender returns a SignSender over the connections of the dialer.
+func NewSignSender(d peer.Dialer) SignSender { return SignSender{d} }
 
 // SendSigns implements relay.SignSender.
 func (t SignSender) SendSigns(ctx context.Context, to member.Host, signs []relay.TargetSign) error {
@@ -27,7 +27,7 @@
 			Service: s.Service, Target: s.Target, Incarnation: s.Incarnation, Sign: string(s.Sign),
 		}
 	}
-	if _, err := peerpb.NewDRPCSignsClient(t.dialer.Conn(ctx, to.Peer)).Tell(ctx, out); err != nil {
+	if _, err := peerpb.NewDRPCSignsClient(t.dialer.Conn(ctx, to.PeerAddress)).Tell(ctx, out); err != nil {
 		return Error.New("send target signs to host %s: %w", to.ID, err)
 	}
 	return nil
--- a/internal/soak/placement.go
+++ b/internal/soak/placement.go
@@ -100,7 +100,7 @@
 	if !t.site.cfg.Placement {
 		return
 	}
-	cfg.TellLoad, cfg.Pause, cfg.PauseEvery = true, targetPause, targetPausePeriod
+	cfg.ReportLoad, cfg.Pause, cfg.PauseEvery = true, targetPause, targetPausePeriod
 	if afterCrash {
 		cfg.Cold = coldDuration
 	}
@@ -187,7 +187,7 @@
 	defer t.mu.Unlock()
 	most := 0
 	for _, one := range t.incarnations {
-		most = max(most, one.MostWhileCold())
+		most = max(most, one.MaxRequestsWhileCold())
 	}
 	return most
 }
--- a/internal/standin/platformtarget/cold.go
+++ b/internal/standin/platformtarget/cold.go
@@ -19,15 +19,15 @@
 	maxPerWindow int         // maximum number of requests in any window
 }
 
-// GoCold starts a cold phase of the given duration.
-func (t *Target) GoCold(d time.Duration) {
+// StartColdPhase starts a cold phase of the given duration.
+func (t *Target) StartColdPhase(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cold.until = time.Now().Add(d)
 }
 
-// MostWhileCold returns the maximum number of requests within any second of the cold phases.
-func (t *Target) MostWhileCold() int {
+// MaxRequestsWhileCold returns the maximum number of requests within any second of the cold phases.
+func (t *Target) MaxRequestsWhileCold() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cold.maxPerWindow
@@ -68,7 +68,7 @@
 // setLoadHeader sets the load header: running and waiting requests, slots, and the current cost of
 // work in percent of the nominal one.
 func (t *Target) setLoadHeader(h http.Header, f Faults) {
-	if !t.cfg.TellLoad {
+	if !t.cfg.ReportLoad {
 		return
 	}
 	t.mu.Lock()
--- a/internal/standin/platformtarget/target.go
+++ b/internal/standin/platformtarget/target.go
@@ -39,8 +39,8 @@
 	// every PauseEvery.
 	Pause      time.Duration
 	PauseEvery time.Duration
-	// TellLoad adds the load header to each response.
-	TellLoad bool
+	// ReportLoad adds the load header to each response.
+	ReportLoad bool
 }
 
 // Faults are the injected faults. Probabilities are drawn for each request.
@@ -62,7 +62,7 @@
 	Method    string
 	URI       string
 	Body      string
-	Left      time.Duration // remaining time that the request was given; 0: no bound
+	Budget    time.Duration // remaining time that the request was given; 0: no bound
 	Began     time.Time
 	Cancelled bool // the caller disconnected before the end
 }
@@ -84,14 +84,14 @@
 	healthCheckHangs atomic.Bool
 }
 
-// SilenceHealth sets whether health checks hang.
-func (t *Target) SilenceHealth(silent bool) { t.healthCheckHangs.Store(silent) }
+// HangHealthCheck sets whether health checks hang.
+func (t *Target) HangHealthCheck(silent bool) { t.healthCheckHangs.Store(silent) }
 
 // New returns a stand-in without faults.
 func New(cfg Config) *Target {
 	cfg.Slots = max(cfg.Slots, 1)
 	t := &Target{cfg: cfg, pauseEpoch: time.Now(), rng: standin.NewRand(cfg.Seed), slots: make(chan struct{}, cfg.Slots)}
-	t.GoCold(cfg.Cold)
+	t.StartColdPhase(cfg.Cold)
 	return t
 }
 
@@ -113,8 +113,8 @@
 	return all
 }
 
-// Arrived returns the number of received requests, including rejected ones.
-func (t *Target) Arrived() int {
+// Received returns the number of received requests, including rejected ones.
+func (t *Target) Received() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.received
@@ -210,12 +210,12 @@
 	left, _ := strconv.ParseFloat(r.Header.Get(platform.HeaderDeadline), 64)
 	run := &Run{
 		RequestID: r.Header.Get(platform.HeaderRequestID), Method: r.Method, URI: r.RequestURI, Body: body,
-		Left: time.Duration(left * float64(time.Millisecond)), Began: time.Now(),
+		Budget: time.Duration(left * float64(time.Millisecond)), Began: time.Now(),
 	}
 	t.mu.Lock()
 	t.runs = append(t.runs, run)
 	t.mu.Unlock()
-	ended := t.work(r.Context(), f, run.Left)
+	ended := t.work(r.Context(), f, run.Budget)
 	if ended == workCancelled {
 		t.mu.Lock()
 		run.Cancelled = true
--- a/internal/standin/platformtarget/target_test.go
+++ b/internal/standin/platformtarget/target_test.go
@@ -73,7 +73,7 @@
 				target := newTarget(tc.faults)
 				resp, body, err := ask(t, target, tc.header)
 				is.Equal(len(target.Runs()), tc.ran)
-				is.Equal(target.Arrived(), 1)
+				is.Equal(target.Received(), 1)
 				if tc.status == 0 {
 					is.True(err != nil)
 					return
@@ -83,7 +83,7 @@
 				if tc.status == 200 {
 					is.Equal(string(body), string(Body("s", "r1", 3)))
 					is.Equal(resp.Header.Get(platform.HeaderSignature), Signature("s", "r1"))
-					is.Equal(target.Runs()[0].Left, 600*time.Millisecond)
+					is.Equal(target.Runs()[0].Budget, 600*time.Millisecond)
 				}
 			})
 		})
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -21,16 +21,16 @@
 	Head   []byte      // request line and shared headers, as NewHead returns them
 	Header http.Header // in addition to the headers of Head
 	Body   []byte
-	// Mine reports whether a response with this header belongs to the request;
+	// Matches reports whether a response with this header belongs to the request;
 	// nil accepts every response. A target may send a response twice, and the
 	// duplicate is then read as the response to the next request.
-	Mine func(http.Header) bool
-	// Limit is the maximum length of the response body, in bytes.
-	Limit int64
+	Matches func(http.Header) bool
+	// MaxBodyBytes is the maximum length of the response body, in bytes.
+	MaxBodyBytes int64
 }
 
-// Answer is the complete response of a target.
-type Answer struct {
+// Response is the complete response of a target.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -42,9 +42,9 @@
 // errForeignResponse means that only responses to other requests were received.
 var errForeignResponse = errors.New("the response belongs to another request")
 
-// BrokeOff reports whether an exchange failed because the connection was closed or reset
+// ConnectionLost reports whether an exchange failed because the connection was closed or reset
 // before the response was complete.
-func BrokeOff(err error) bool {
+func ConnectionLost(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
@@ -124,7 +124,7 @@
 // ctx is done. sent is false only if no byte of the request was written. The
 // connection returns to its pool if it can carry another request, and is closed
 // otherwise.
-func (c *Conn) Exchange(ctx context.Context, deadline time.Time, r *Request) (a Answer, sent bool, err error) {
+func (c *Conn) Exchange(ctx context.Context, deadline time.Time, r *Request) (a Response, sent bool, err error) {
 	stopWatch := context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(pastDeadline) })
 	defer stopWatch()
 	if err := c.net.SetDeadline(deadline); err != nil {
@@ -156,7 +156,7 @@
 // fail closes the connection after a failed exchange. If the target ended the
 // connection, it notes that the target may have restarted.
 func (c *Conn) fail(err error) {
-	if BrokeOff(err) {
+	if ConnectionLost(err) {
 		c.pool.restarted.Store(true)
 	}
 	c.Discard()
@@ -223,13 +223,13 @@
 
 // read reads the response, skipping responses to other requests. reusable reports
 // whether the connection may carry another request.
-func (c *Conn) read(r *Request) (a Answer, reusable bool, err error) {
+func (c *Conn) read(r *Request) (a Response, reusable bool, err error) {
 	for skipped := 0; ; skipped++ {
 		a, reusable, err := c.readResponse(r)
 		if err != nil {
 			return a, false, err
 		}
-		if r.Mine == nil || r.Mine(a.Header) {
+		if r.Matches == nil || r.Matches(a.Header) {
 			// A target that sent a surplus response may send more of them.
 			return a, reusable && skipped == 0, nil
 		}
@@ -240,17 +240,17 @@
 }
 
 // readResponse reads the next response on the connection.
-func (c *Conn) readResponse(r *Request) (a Answer, reusable bool, err error) {
+func (c *Conn) readResponse(r *Request) (a Response, reusable bool, err error) {
 	resp, err := c.readHeader(r)
 	if err != nil {
 		return a, false, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := readBody(resp, r.Limit)
+	body, err := readBody(resp, r.MaxBodyBytes)
 	if err != nil {
 		return a, false, err
 	}
-	a = Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
+	a = Response{Status: resp.StatusCode, Header: resp.Header, Body: body}
 	c.expires = time.Now().Add(keepAliveTime(resp.Header))
 	return a, !resp.Close && c.reader.Buffered() == 0, nil
 }
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -77,17 +77,17 @@
 		panic(err) // every argument is valid
 	}
 	return &Request{
-		Method: method, Head: head, Header: http.Header{"X-Id": {id}}, Body: body, Limit: 1 << 20,
-		Mine: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Method: method, Head: head, Header: http.Header{"X-Id": {id}}, Body: body, MaxBodyBytes: 1 << 20,
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
-func exchange(t *testing.T, p *Pool, r *Request) (Answer, bool, error) {
+func exchange(t *testing.T, p *Pool, r *Request) (Response, bool, error) {
 	t.Helper()
 	return exchangeUntil(t, p, r, time.Now().Add(testTimeout))
 }
 
-func exchangeUntil(t *testing.T, p *Pool, r *Request, deadline time.Time) (Answer, bool, error) {
+func exchangeUntil(t *testing.T, p *Pool, r *Request, deadline time.Time) (Response, bool, error) {
 	t.Helper()
 	p.Reserve()
 	c, err := p.Get(t.Context(), time.Now().Add(time.Minute))
@@ -241,7 +241,7 @@
 	is.NoErr(err)
 	is.True(p.idle[0].usable(time.Now().Add(4 * time.Second)))
 	is.True(!p.idle[0].usable(time.Now().Add(5*time.Second - idleMargin + time.Millisecond)))
-	p.Trim(time.Now().Add(time.Minute))
+	p.CloseExpired(time.Now().Add(time.Minute))
 	is.Equal(len(p.idle), 0)
 	is.Equal(p.openCount, 0)
 }
@@ -274,7 +274,7 @@
 	p.Reserve()
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
 	is.True(err != nil)
-	is.True(p.Free()) // the failed dial doesn't count as an open connection
+	is.True(p.HasFree()) // the failed dial doesn't count as an open connection
 }
 
 func TestLimitOfConnections(t *testing.T) {
@@ -288,7 +288,7 @@
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
 	is.True(errors.Is(err, ErrLimit))
 	c.Discard()
-	is.True(p.Free())
+	is.True(p.HasFree())
 	p.Close()
 	p.Reserve()
 	_, err = p.Get(t.Context(), time.Now().Add(time.Minute))
@@ -358,9 +358,9 @@
 	is := is.New(t)
 	p := NewPool("target:80", 2, time.Second, (&net.Dialer{}).DialContext)
 	p.Reserve()
-	is.True(p.Free())
+	is.True(p.HasFree())
 	p.Reserve()
-	is.True(!p.Free())
-	p.Unreserve()
-	is.True(p.Free())
+	is.True(!p.HasFree())
+	p.CancelReservation()
+	is.True(p.HasFree())
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -52,7 +52,7 @@
 	dial        netdial.Func
 	dialTimeout time.Duration
 
-	restarted atomic.Bool // the target may have restarted; see TakeRestarted
+	restarted atomic.Bool // the target may have restarted; see TakeMayHaveRestarted
 
 	mu          sync.Mutex
 	limit       int
@@ -79,22 +79,22 @@
 	p.limit = limit
 }
 
-// SetKeep changes the maximum time that an idle connection is kept; 0 keeps it as
+// SetMaxIdleTime changes the maximum time that an idle connection is kept; 0 keeps it as
 // long as the target's Keep-Alive timeout allows.
-func (p *Pool) SetKeep(keep time.Duration) {
+func (p *Pool) SetMaxIdleTime(keep time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdleTime = keep
 }
 
-// Free reports whether a connection can be reserved.
-func (p *Pool) Free() bool {
+// HasFree reports whether a connection can be reserved.
+func (p *Pool) HasFree() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.free()
 }
 
-// free is Free for callers that hold p.mu.
+// free is HasFree for callers that hold p.mu.
 func (p *Pool) free() bool { return !p.closed && len(p.idle)+max(p.limit-p.openCount, 0) > p.reserved }
 
 // TryReserve reserves a connection if one is free, and reports whether it did.
@@ -116,16 +116,16 @@
 	p.reserved++
 }
 
-// Unreserve cancels a reservation for which Get is not called.
-func (p *Pool) Unreserve() {
+// CancelReservation cancels a reservation for which Get is not called.
+func (p *Pool) CancelReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reserved--
 }
 
-// TakeRestarted reports whether the target may have restarted since the last call, and resets the flag: the target has
+// TakeMayHaveRestarted reports whether the target may have restarted since the last call, and resets the flag: the target has
 // closed a connection early, or a connection was opened while the pool had no other that a restart would have closed.
-func (p *Pool) TakeRestarted() bool { return p.restarted.Swap(false) }
+func (p *Pool) TakeMayHaveRestarted() bool { return p.restarted.Swap(false) }
 
 // Dialed returns the number of connections opened so far.
 func (p *Pool) Dialed() uint64 {
@@ -201,9 +201,9 @@
 // sent its Keep-Alive timeout yet.
 const unusedIdleTime = 2 * time.Second
 
-// Check opens a connection to find out whether the target accepts any, and keeps it for the next
+// ProbeConnection opens a connection to find out whether the target accepts any, and keeps it for the next
 // request if the limit allows. It returns the dial error.
-func (p *Pool) Check(ctx context.Context) error {
+func (p *Pool) ProbeConnection(ctx context.Context) error {
 	p.mu.Lock()
 	closed := p.closed
 	p.openCount++
@@ -242,9 +242,9 @@
 	delete(p.conns, c)
 }
 
-// Trim closes the idle connections whose idle time is over, so that new ones can be
+// CloseExpired closes the idle connections whose idle time is over, so that new ones can be
 // opened in their place.
-func (p *Pool) Trim(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var expired []*Conn
 	remaining := p.idle[:0]
@@ -262,8 +262,8 @@
 	}
 }
 
-// Abort ends the exchanges in flight, since their target no longer exists.
-func (p *Pool) Abort() {
+// AbortExchanges ends the exchanges in flight, since their target no longer exists.
+func (p *Pool) AbortExchanges() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
--- a/internal/warmup/keeper_test.go
+++ b/internal/warmup/keeper_test.go
@@ -90,7 +90,7 @@
 }
 
 func coldTarget(id string, hosts ...string) gateway.ColdTarget {
-	return gateway.ColdTarget{ID: id, Bound: 23, Hosts: hosts}
+	return gateway.ColdTarget{ID: id, MaxPerSecond: 23, Hosts: hosts}
 }
 
 // The first host in turn writes the permit and sends it; a host that does not watch the store writes none.
@@ -99,8 +99,8 @@
 		is := is.New(t)
 		k := startKeepers(t, []gateway.ColdTarget{coldTarget("i-1", "a", "b")}, 0, 1, -1)
 		time.Sleep(writerStagger / 2)
-		is.Equal(k.permit(0, "i-1").Of("a"), 10)
-		is.Equal(k.permit(0, "i-1").Of("b"), 10)
+		is.Equal(k.permit(0, "i-1").LimitFor("a"), 10)
+		is.Equal(k.permit(0, "i-1").LimitFor("b"), 10)
 		is.Equal(k.peers[0].sent, []discovery.Permit{k.permit(0, "i-1")})
 		is.Equal(k.permit(1, "i-1"), discovery.Permit{})
 		time.Sleep(writerStagger)
@@ -131,8 +131,8 @@
 		"answer lost":  func(c *objstoretest.Client) { c.LoseNextAnswers(1) },
 		"request lost": func(c *objstoretest.Client) { c.LoseNextRequests(1) },
 		"store away": func(c *objstoretest.Client) {
-			c.Outage(true)
-			time.AfterFunc(time.Second, func() { c.Outage(false) })
+			c.SetDown(true)
+			time.AfterFunc(time.Second, func() { c.SetDown(false) })
 		},
 		"store slow": func(c *objstoretest.Client) { c.SetLatency(300 * time.Millisecond) },
 	} {
@@ -147,7 +147,7 @@
 				t.Cleanup(func() { _ = keeper.Stop(context.Background()) })
 				targets.becameCold <- struct{}{}
 				time.Sleep(3 * time.Second)
-				is.Equal(k.permit(0, "i-1").Of("a"), 21)
+				is.Equal(k.permit(0, "i-1").LimitFor("a"), 21)
 			})
 		})
 	}
@@ -160,7 +160,7 @@
 		is := is.New(t)
 		k := startKeepers(t, nil, 0)
 		state, client := k.states[0], k.clients[0]
-		k.platform.Restore(k.platform.Copy())
+		k.platform.Restore(k.platform.Backup())
 		peers := k.peers[0]
 		targets := &fakeTargets{state: state, cold: []gateway.ColdTarget{coldTarget("i-1", "a")}, becameCold: make(chan struct{}, 1)}
 		keeper := NewKeeper(targets, peers, client, state, event.Discard())
@@ -173,7 +173,7 @@
 		is.Equal(k.permit(0, "i-1"), discovery.Permit{})
 		is.Equal(len(peers.sent), 0)
 		time.Sleep(2 * time.Second)
-		is.Equal(k.permit(0, "i-1").Of("a"), 21)
+		is.Equal(k.permit(0, "i-1").LimitFor("a"), 21)
 		is.True(len(peers.sent) > 0)
 	})
 }
