--- a/internal/gatewayhost/host.go
+++ b/internal/gatewayhost/host.go
@@ -133,13 +133,13 @@
 func (stateModule) Stop(context.Context) error { return nil }
 
 func (h *Host) newState(f kernel.Finder) (kernel.Module, error) {
-	requests, err := kernel.Find[quarantineModule](f, modQuarantine)
+	quarantined, err := kernel.Find[quarantineModule](f, modQuarantine)
 	if err != nil {
 		return nil, err
 	}
 	s := discovery.NewState()
 	s.SetClock(h.system.Clock)
-	s.ShareQuarantine(requests.table)
+	s.ShareQuarantine(quarantined.table)
 	return stateModule{s}, nil
 }
 
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	h.quarantine = quarantine.NewTable(h.settings.Quarantine, h.log)
-	h.quarantine.GoBy(h.system.Clock)
+	h.quarantine.SetClock(h.system.Clock)
 	return quarantineModule{quarantine.NewKeeper(h.quarantine, store, h.log), h.quarantine}, nil
 }
 
@@ -244,13 +244,13 @@
 	l := kernel.Lookup{Finder: f}
 	state := kernel.FindIn[stateModule](&l, modState)
 	records := kernel.FindIn[objstore.Records](&l, modPlatform)
-	spread := kernel.FindIn[stateExchangeModule](&l, modStateExchange)
-	requests := kernel.FindIn[quarantineModule](&l, modQuarantine)
+	exchange := kernel.FindIn[stateExchangeModule](&l, modStateExchange)
+	quarantined := kernel.FindIn[quarantineModule](&l, modQuarantine)
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	follower := discovery.NewFollower(h.settings.Discovery, h.platform.Source(records), spread, state.State, h.log, h.metrics)
-	follower.SetQuarantineStore(requests)
+	follower := discovery.NewFollower(h.settings.Discovery, h.platform.Source(records), exchange, state.State, h.log, h.metrics)
+	follower.SetQuarantineStore(quarantined)
 	return follower, nil
 }
 
@@ -286,7 +286,7 @@
 	l := kernel.Lookup{Finder: f}
 	state := kernel.FindIn[stateModule](&l, modState)
 	members := kernel.FindIn[member.View](&l, modMembers)
-	requests := kernel.FindIn[quarantineModule](&l, modQuarantine)
+	quarantined := kernel.FindIn[quarantineModule](&l, modQuarantine)
 	recorder := kernel.FindIn[delivery.Recorder](&l, modDelivery)
 	pool := kernel.FindIn[peer.Dialer](&l, modPeerPool)
 	server := kernel.FindIn[*peer.Server](&l, modPeers)
@@ -294,7 +294,7 @@
 		return nil, l.Err
 	}
 	s := h.settings
-	h.gateway = gateway.New(s.Gateway, members.Self(), members.Count, state.State, requests.table, h.platform.Messages, recorder, h.lifecycle, h.log, h.metrics)
+	h.gateway = gateway.New(s.Gateway, members.Self(), members.Count, state.State, quarantined.table, h.platform.Messages, recorder, h.lifecycle, h.log, h.metrics)
 	if h.system.Dial != nil {
 		h.gateway.DialWith(h.system.Dial)
 	}
@@ -306,12 +306,12 @@
 	l := kernel.Lookup{Finder: f}
 	store := kernel.FindIn[objstore.Store](&l, modStore)
 	state := kernel.FindIn[stateModule](&l, modState)
-	spread := kernel.FindIn[stateExchangeModule](&l, modStateExchange)
+	exchange := kernel.FindIn[stateExchangeModule](&l, modStateExchange)
 	g := kernel.FindIn[*gateway.Gateway](&l, modGateway)
 	if l.Err != nil {
 		return nil, l.Err
 	}
-	return warmup.NewKeeper(g, spread, store, state.State, h.log), nil
+	return warmup.NewKeeper(g, exchange, store, state.State, h.log), nil
 }
 
 func (h *Host) newCallers(f kernel.Finder) (kernel.Module, error) {
--- a/internal/host/modules.go
+++ b/internal/host/modules.go
@@ -59,9 +59,9 @@
 func (h *Host) newPlatform(kernel.Finder) (kernel.Module, error) {
 	cfg := h.settings.Platform
 	records := platform.NewObjects(cfg.Timeout.Std(), cfg.Addresses...)
-	governed := objstore.NewLimitedRecords(cfg, records, h.log, h.metrics)
-	governed.SetClock(h.clock)
-	return objstore.New(governed), nil
+	limited := objstore.NewLimitedRecords(cfg, records, h.log, h.metrics)
+	limited.SetClock(h.clock)
+	return objstore.New(limited), nil
 }
 
 func (h *Host) newPeerPool(kernel.Finder) (kernel.Module, error) {
--- a/internal/quarantine/events.go
+++ b/internal/quarantine/events.go
@@ -8,7 +8,7 @@
 
 var (
 	evQuarantined = event.Define(13001, "request_quarantined", plog.WarnLevel,
-		"Requests with one content, from one caller or (of_anyone) from any, are not sent to targets, because targets end while they run them. hold is the duration, from the host that detected it.",
+		"Requests with one content, from one caller or (of_anyone) from any, are not sent to targets, because targets end while they run them. hold is how long that lasts; from tells whether this host or other hosts detected it.",
 		"Look for event 11010 with this content on all hosts: it names the requests and the targets. \"rhubarbwood quarantine\" lists the quarantined requests, and clears them once the targets are repaired.",
 		"content", "of_anyone", "strikes", "hold", "from")
 	evStored = event.Define(13002, "quarantine_stored", plog.InfoLevel,
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -76,9 +76,9 @@
 // request's keys.
 func (t *Table) Empty() bool { return t == nil || t.size.Load() == 0 }
 
-// GoBy sets the clock for the ages of strikes, one that includes the time in which the machine is
+// SetClock sets the clock for the ages of strikes, one that includes the time in which the machine is
 // suspended. Call it before the table is used.
-func (t *Table) GoBy(c *clock.Clock) { t.clock = c }
+func (t *Table) SetClock(c *clock.Clock) { t.clock = c }
 
 // Status returns how attempts of a request are admitted now and, if quarantined, for how long.
 func (t *Table) Status(r Request) (s Status, left time.Duration) {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -317,7 +317,7 @@
 		is := is.New(t)
 		table, request := newTestTable(), testRequest("/x")
 		machine, suspend := clock.NewVirtual()
-		table.GoBy(machine)
+		table.SetClock(machine)
 		for i := range uint64(quarantineStrikes) {
 			table.Ended(request, i, "s")
 		}
